--- a/src/lapisdrum/policy/dispatch/mod.rs
+++ b/src/lapisdrum/policy/dispatch/mod.rs
@@ -1,11 +1,12 @@
-//! Which waiting task starts next, and on which worker.
+//! Decides which waiting task starts next, and on which worker.
 //!
-//! Load pattern: short urgent graphs of a few steps among wide batch graphs and tasks that last, on hosts
-//! that are two thirds full before any burst. Without an order by what can still be on time, a burst of
-//! batch work makes every job behind it late, the urgent ones too. Without separating tasks that use
-//! best-effort processors from tasks that serve users, the latter's tails break their targets within a
-//! second. [`order`] ranks steps by what [`forecast`] expects of them, [`place`] chooses workers,
-//! [`pressure`] learns what disturbs what and [`relief`] decides what gives way; all are pure.
+//! Load pattern: short urgent graphs of a few steps among wide batch graphs and long-running tasks, on hosts
+//! that are two thirds full before any burst. Unless steps are ordered by whether they can still be on time, a
+//! burst of batch work makes every job behind it late, urgent ones included. Unless best-effort tasks are kept
+//! apart from tasks that serve users, the latency tails of the latter exceed their targets within a second.
+//! [`order`] ranks steps by the durations that [`forecast`] estimates, [`place`] chooses workers, [`pressure`]
+//! models the interference between tasks and [`relief`] decides which best-effort tasks are throttled or
+//! stopped. All are pure.
 
 pub mod forecast;
 pub mod order;
--- a/src/lapisdrum/policy/dispatch/order.rs
+++ b/src/lapisdrum/policy/dispatch/order.rs
@@ -1,68 +1,69 @@
 //! The order in which steps with startable tasks are served.
 //!
-//! Load pattern: a burst of up to twice the batch rate and more for some seconds. First come first served
-//! then makes every job late by the length of the queue. Here long-running tasks that were interrupted go before
-//! everything, since their users are without them; then a class goes before the next. Within a class short tasks go
-//! before long-running ones, which hold for minutes what a short one gives back within seconds; jobs that can still
-//! meet their objective go before those that can only be late, which earn a part of their worth, and those before the
-//! hopeless.
+//! Load pattern: a burst of up to twice the batch rate and more for some seconds. First come, first served then
+//! delays every job by the length of the queue. Instead, steps are ordered by, in turn:
 //!
-//! A job in progress goes before a new one, and a new one that has time to spare before one that
-//! would miss its end by any wait. Without that, a backlog is worked on from all sides: each job starts when it
-//! is all but late and waits between its steps, and with twice the work that there is room for hardly any job is
-//! on time, instead of half of them.
-//! A job's size has no part in it, so wide jobs are served as often as narrow ones.
+//! - interrupted long-running tasks first, since their users lack them until they run again;
+//! - priority;
+//! - short tasks before long-running ones, which occupy for minutes what a short one frees within seconds;
+//! - jobs that can still meet their objective, then those that can only be late and are worth less, then those
+//!   whose result would be worth nothing;
+//! - jobs in progress, then new ones with slack to spare, then new ones that any wait would make late.
+//!
+//! Without the last rule a backlog is served evenly: each job starts when it is nearly late and waits between its
+//! steps, and at twice the sustainable load hardly any job is on time, instead of half of them.
+//! A job's size plays no part, so wide jobs are served as often as narrow ones.
 
 use std::cmp::Reverse;
 
-/// A job is worth something, if little, up to so many times its objective.
+/// A job that finishes within this many times its objective is still worth something, if little.
 const LATE_FACTOR: u64 = 3;
-/// A new job is safe while its slack is this part of its chain, in hundredths. With less, jobs under a
-/// backlog start that others' work makes late; the more, the less it helps those who wait out a short burst.
+/// Slack, in percent of the chain, from which a new job can safely wait. A lower value starts jobs under a backlog
+/// that other jobs then make late; the higher it is, the less it helps jobs that wait out a short burst.
 const SPARE_PERCENT: u64 = 40;
 
-/// What decides a step's rank.
+/// The inputs of a step's rank.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Standing {
-    /// 0 goes first.
+    /// Priority of the class; 0 is served first.
     pub priority: u32,
-    /// Whether it runs until it is cancelled: it earns for each moment that it is up.
+    /// Whether it runs until it is cancelled; its value grows with the time that it is up.
     pub is_long_running: bool,
-    /// Whether it is long-running and some of its tasks that ran do not run any more: users are without them.
+    /// Whether it is long-running and some of its tasks have stopped running, so that its users lack them.
     pub is_interrupted: bool,
-    /// Since the job was due, in milliseconds.
+    /// Time since the job was due, in milliseconds.
     pub age_ms: u64,
-    /// Time from due within which the job is on time, in milliseconds.
+    /// Time after the job was due within which it must finish to be on time, in milliseconds.
     pub objective_ms: u64,
-    /// Time that the chain that begins with this step is expected to take, in milliseconds.
+    /// Estimated duration of the chain of steps that starts with this one, in milliseconds.
     pub chain_ms: u64,
-    /// Whether anything of the job's occurrence was started.
+    /// Whether any task of the job's occurrence has been started.
     pub is_in_progress: bool,
 }
 
-/// What a job can still reach.
+/// Whether a job can still meet its objective; sorted from best to worst.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Prospect {
-    /// It can be on time.
+    /// It can finish within its objective.
     OnTime,
-    /// It can only be late.
+    /// It will miss its objective, but can finish while its result is worth something.
     Late,
-    /// It can't earn anything any more.
+    /// It will finish too late for its result to be worth anything.
     Hopeless,
 }
 
-/// Whose turn it is among jobs with the same prospect.
+/// Precedence among jobs of equal feasibility.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Turn {
-    /// It is in progress, or runs until it is cancelled: the one with the least slack first.
+    /// In progress, or long-running: least slack first.
     InProgress,
-    /// It has slack to spare: the one with the least first.
+    /// New, with slack to spare: least slack first.
     Safe,
-    /// Any wait would make it miss its end: the one with the most slack first.
+    /// New, and any wait would make it miss its deadline: most slack first.
     Tight(Reverse<u64>),
 }
 
-/// Sorts steps: the least goes first.
+/// Sort key of a step: the smallest is served first. The order of the fields is the order of the rules.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Rank {
     is_uninterrupted: bool,
@@ -75,7 +76,7 @@
 }
 
 impl Standing {
-    /// What the job can still reach if the step begins now.
+    /// Whether the job can meet its objective if the step starts now.
     pub fn prospect(&self) -> Prospect {
         let done_at = self.age_ms + self.chain_ms;
         if self.is_long_running || done_at <= self.objective_ms {
@@ -96,7 +97,7 @@
         }
     }
 
-    /// The step's rank.
+    /// Computes the sort key of the step.
     pub fn rank(&self) -> Rank {
         let prospect = self.prospect();
         let end = match prospect {
--- a/src/lapisdrum/policy/dispatch/outlook.rs
+++ b/src/lapisdrum/policy/dispatch/outlook.rs
@@ -1,61 +1,61 @@
-//! What is expected of a serving task over the next moments, and what it costs when it misses its target.
+//! Forecasts the utilisation of serving tasks, and what their missed targets cost.
 //!
-//! Load pattern: serving loads rise and fall by half while best-effort tasks come, run for a second or two and end.
-//! A decision by the present strain alone stops a task that is all but done, or lets one in at the foot of a
-//! rise. So strain is told for some moments ahead, with those gone that will be gone, and every decision is
-//! weighed in one unit: what a second of one best-effort task is worth.
+//! Load pattern: serving loads rise and fall by half while best-effort tasks are placed, run for a second or two and
+//! end. A decision by the present utilisation alone stops a task that has almost finished, or admits one at the start
+//! of a rise. So utilisation is forecast for some points ahead, without the tasks that will have ended by then, and
+//! every decision is weighed in one unit: the value of a second of one best-effort task.
 
 use std::time::Duration;
 
-/// Moments that are looked at.
+/// The number of forecast points.
 pub const MOMENTS: usize = 6;
-/// The first of them: what is decided now shows by then.
+/// Time until the first forecast point: the effect of a decision shows by then.
 const FIRST: Duration = Duration::from_millis(200);
-/// Time between two, for which each of them stands.
+/// Time between two forecast points, and the time that each of them covers.
 const SPACING: Duration = Duration::from_millis(400);
-/// Cost of a serving task that is over its target for a second, in seconds of a best-effort task. The serving tasks
-/// beside it are over together, so a host's misses cost a few times this.
+/// Cost of a serving task that misses its target for a second, in seconds of a best-effort task. The serving tasks of
+/// a host miss their targets together, so a host's misses cost a few times this.
 const OVER_COST: f64 = 0.4;
-/// A target is taken for missed in part within so many standard deviations around it.
+/// A target counts as partly missed within this many standard deviations around its limit.
 const DOUBT: f64 = 1.5;
-/// Variance of a strain that is told, whatever presses.
+/// Variance of a utilisation forecast without aggressors.
 const LEAST_VARIANCE: f64 = 0.001;
-/// Scatter of a press relative to itself: tasks of one image differ, and change within seconds.
+/// Standard deviation of interference relative to its mean: tasks of one image differ, and change within seconds.
 const PRESS_SCATTER: f64 = 0.35;
 
-/// A figure for each moment.
+/// A value for each forecast point.
 pub type Path = [f64; MOMENTS];
 
-/// How long from now a moment is.
+/// Returns the time from now to a forecast point.
 pub fn moment(at: usize) -> Duration {
     FIRST + SPACING * at as u32
 }
 
-/// Moments at which something that lasts for this time is still there.
+/// Returns the number of forecast points before this time has passed.
 pub fn moments_within(left: Duration) -> usize {
     (0..MOMENTS).take_while(|at| moment(*at) < left).count()
 }
 
-/// Time that so many moments stand for, in seconds.
+/// Returns the time that this many forecast points cover, in seconds.
 pub fn seconds(moments: usize) -> f64 {
     SPACING.as_secs_f64() * moments as f64
 }
 
-/// What is expected of like tasks on one host.
+/// The utilisation forecast of the serving tasks of one step on a host.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Outlook {
-    /// How many tasks.
+    /// The number of tasks.
     pub tasks: u32,
-    /// The strain at which they are at their target.
+    /// The utilisation at which their latency tail reaches its target.
     pub limit: f64,
-    /// The strain expected.
+    /// The expected utilisation at each forecast point.
     pub strain: Path,
-    /// Variance of that.
+    /// The variance of `strain`, the same for all points.
     pub variance: f64,
 }
 
 impl Outlook {
-    /// What is expected without anything that presses.
+    /// Creates a forecast from the load alone, without aggressors.
     pub fn unpressed(tasks: u32, limit: f64, load: Path) -> Self {
         Self {
             tasks,
@@ -65,44 +65,45 @@
         }
     }
 
-    /// Adds what presses during the first so many moments. Its variance is that of what is known of it.
+    /// Adds an aggressor's interference to the first `moments` points. `variance` is that of its estimate; the scatter
+    /// between tasks of one image comes on top.
     pub fn add(&mut self, press: f64, variance: f64, moments: usize) {
         self.add_known(press, moments);
         let scatter = PRESS_SCATTER * press;
         self.variance += variance + scatter * scatter;
     }
 
-    /// Adds what is known to press during the first so many moments.
+    /// Adds an aggressor's interference to the first `moments` points, without any variance.
     pub fn add_known(&mut self, press: f64, moments: usize) {
         for strain in &mut self.strain[..moments] {
             *strain += press;
         }
     }
 
-    /// The strain at the worst moment.
+    /// Returns the highest utilisation of all points.
     pub fn worst(&self) -> f64 {
         self.strain.iter().copied().fold(0.0, f64::max)
     }
 
-    /// What its targets' misses cost over the moments, in seconds of a best-effort task.
+    /// Returns the cost of missed targets over all points, in seconds of a best-effort task.
     pub fn cost(&self) -> f64 {
         let certain = 2.0 * self.margin();
         let missed: f64 = self.beyond().map(|b| (b / certain).min(1.0)).sum();
         OVER_COST * f64::from(self.tasks) * missed * seconds(1)
     }
 
-    /// How far its targets may be missed, summed over the moments. Unlike the cost it goes on growing where they are
-    /// missed for certain: what adds to that must not seem to be free.
+    /// Returns how far targets may be missed, summed over all points. Unlike [`Self::cost`] it keeps growing once a
+    /// miss is certain, so that adding to such a miss does not appear to be free.
     pub fn overload(&self) -> f64 {
         self.beyond().sum()
     }
 
-    /// Strain beyond which a target may be missed is this much below the limit, and certainly missed as much above.
+    /// A target may be missed from this far below `limit`, and is certainly missed from as far above it.
     fn margin(&self) -> f64 {
         DOUBT * self.variance.sqrt()
     }
 
-    /// Of each moment, how far the strain is beyond where a miss begins to be likely.
+    /// For each point, how far the utilisation is above the level from which a target may be missed.
     fn beyond(&self) -> impl Iterator<Item = f64> {
         let likely = self.limit - self.margin();
         self.strain
--- a/src/lapisdrum/policy/dispatch/place.rs
+++ b/src/lapisdrum/policy/dispatch/place.rs
@@ -1,16 +1,16 @@
-//! Which worker a task goes to.
+//! Chooses the worker that a task runs on.
 //!
-//! Load pattern: tasks of three kinds on the same hosts. *Reserving* tasks take their processors and
-//! memory out of the host's; *serving* ones do too and must keep their users' latency tail under a
-//! target; *best-effort* ones take memory, and the processors that the others leave. A best-effort task
-//! presses on serving ones beside it by amounts that differ by image and change within seconds, and its
-//! effect is seen half a second late. So a best-effort task goes only where every serving task is expected
-//! to stay clear of its target with it ([`super::pressure`]), and first where most of that room is left.
+//! Load pattern: tasks of three kinds share hosts. *Reserving* tasks reserve processors and memory. *Serving* tasks
+//! do too, and must keep the latency tail of their users under a target. *Best-effort* tasks reserve memory and run
+//! on idle processors. A best-effort task slows the serving tasks beside it by amounts that differ by image and
+//! change within seconds, and its effect is measured half a second late. So a best-effort task is placed only where
+//! every serving task is expected to stay clear of its target with it ([`super::pressure`]), and first where the
+//! most headroom remains.
 //!
-//! Hosts are filled from the fullest that still fits, so that wide tasks find room, but for best-effort
-//! tasks, which run as fast as what they find. Serving tasks go first to hosts whose serving tasks run the
-//! same image: each image bears about half of the best-effort images, so five images on a host bear almost
-//! none in common, and one bears half.
+//! Reserving and serving tasks go to the fullest host that still fits, so that wide tasks find free capacity.
+//! Best-effort tasks don't, since they run only as fast as the processors they find allow. Serving tasks prefer
+//! hosts whose serving tasks run the same image: each image tolerates about half of the best-effort images, so a
+//! host with five images tolerates almost none of them, and a host with one tolerates half.
 
 use super::{
     outlook::{self, Outlook},
@@ -19,23 +19,24 @@
 use crate::core::size::Size;
 use std::time::Duration;
 
-/// Added to the load expected of a serving task before its processors count as left over, as a part of what
-/// it reserves: loads are told somewhat wrong while they swing.
+/// Margin added to the expected load of a serving task when its idle processors are counted, as a fraction of what
+/// it reserves: reported loads are inaccurate while they swing.
 const LOAD_SLACK: f64 = 0.05;
-/// A best-effort task is let in where it finds this part of its processors, in hundredths: those on a host share
-/// what is left. Tasks that must find them whole leave the rest of each host unused under a backlog; with much
-/// less they slow each other so much that fewer jobs are on time.
+/// A best-effort task is admitted where this percentage of its processors is idle; best-effort tasks on a host share
+/// the idle ones. At 100 the rest of each host stays unused under a backlog; much lower values make the tasks slow
+/// each other so much that fewer jobs are on time.
 const LEAST_FILL_PERCENT: u64 = 80;
-/// One of so many hosts may be kept free.
+/// One host in this many, and at least one, may be kept free for tasks that found no host.
 const HOSTS_A_KEPT_ONE: usize = 16;
-/// What kind of load a task is for its host.
+
+/// How a task uses the resources of its host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Load {
-    /// Takes processors and memory for itself.
+    /// Reserves processors and memory.
     Reserving,
-    /// Like [`Load::Reserving`], with a latency tail to keep.
+    /// Like [`Load::Reserving`], with a target for its latency tail.
     Serving,
-    /// Takes memory, and the processors that are left.
+    /// Reserves memory and runs on idle processors.
     BestEffort,
 }
 
@@ -44,81 +45,81 @@
 pub struct Need<'a> {
     /// The pool whose hosts may run it.
     pub pool: &'a str,
-    /// What it takes.
+    /// The resources that it asks for.
     pub size: Size,
-    /// Its kind.
+    /// How it uses them.
     pub load: Load,
-    /// A label that its worker must have.
+    /// A label that the worker must have.
     pub required_label: Option<&'a str>,
     /// The rack where its data is.
     pub data_rack: Option<&'a str>,
-    /// Most tasks of its step on one worker.
+    /// The maximum number of tasks of its step on one worker.
     pub max_per_worker: Option<u32>,
-    /// What it runs, if its step says so.
+    /// The image that it runs, if its step names one.
     pub image: Option<Image>,
-    /// What is known of it as a serving task.
+    /// Its image, latency target and load, if it is a serving task.
     pub victim: Option<Victim>,
-    /// How long it is expected to run.
+    /// Its estimated run time.
     pub duration: Duration,
 }
 
-/// The serving tasks of one step on a host, and what is expected of them.
+/// The serving tasks of one step on a host, with their utilisation forecast.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Strained {
-    /// What is known of them.
+    /// Their image, step, latency target and load.
     pub victim: Victim,
-    /// What they reserve, in thousandths of a core.
+    /// Processors that they reserve, in thousandths of a core.
     pub millicores: u64,
-    /// The load expected of them, as a part of that.
+    /// Their expected load, as a fraction of `millicores`.
     pub load: f64,
-    /// The strain expected with all that runs beside them.
+    /// Their utilisation forecast with everything that runs beside them.
     pub outlook: Outlook,
 }
 
 /// A worker that may take tasks.
 #[derive(Clone, Debug)]
 pub struct Host<'a> {
-    /// Its id.
+    /// The id of its worker.
     pub id: &'a str,
     /// The pool that it belongs to.
     pub pool: &'a str,
-    /// Its rack.
+    /// Its rack, if it is known.
     pub rack: Option<&'a str>,
-    /// Its labels.
+    /// Labels that tasks can require.
     pub labels: &'a [String],
-    /// What it has.
+    /// Its total resources.
     pub capacity: Size,
-    /// What is taken for good: processors of best-effort tasks are not in it, their memory is.
+    /// Resources reserved by its tasks: includes the memory of best-effort tasks, but not their processors.
     pub reserved: Size,
-    /// Processors of its best-effort tasks, in thousandths.
+    /// Processors that its best-effort tasks ask for, in thousandths of a core.
     pub best_effort_millicores: u64,
-    /// Serving tasks on it.
+    /// Its serving tasks, one entry per step or newly placed task.
     pub serving: Vec<Strained>,
-    /// Whether it takes best-effort tasks at all just now.
+    /// Whether it currently accepts best-effort tasks.
     pub is_open_for_best_effort: bool,
-    /// Tasks on it of the step that is being placed.
+    /// The number of its tasks that belong to the step that is being placed.
     pub of_step: u32,
-    /// Whether tasks have failed or stalled on it lately.
+    /// Whether tasks have recently failed or stalled on it.
     pub is_suspect: bool,
-    /// Whether this very task has failed on it.
+    /// Whether the task that is being placed has failed on it.
     pub is_avoided: bool,
-    /// What is kept free on it for a task that goes before all that come after it.
+    /// Which tasks it refuses while it is kept free for a task of higher rank.
     pub kept: Option<Kept>,
-    /// Processors of the tasks that it is kept free for, in thousandths.
+    /// Processors of the tasks that it is kept free for, in thousandths of a core.
     pub kept_millicores: u64,
 }
 
-/// What a host is kept free of until a waiting task fits.
+/// The tasks that a host refuses until a waiting task fits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kept {
-    /// Of tasks that reserve processors and serve nobody.
+    /// [`Load::Reserving`] tasks.
     Processors,
-    /// Of every task that doesn't serve: its memory is short too.
+    /// Every task but serving ones, as its memory is short too.
     All,
 }
 
 impl Strained {
-    /// A serving task that is only just placed.
+    /// A newly placed serving task, without measurements.
     fn unmeasured(victim: Victim, millicores: u64, pressure: &Pressure) -> Self {
         let load = victim.load.level();
         let limit = pressure.limit(&victim);
@@ -130,13 +131,13 @@
         }
     }
 
-    /// What they reserve and are not expected to use, in thousandths of a core.
+    /// Processors that they reserve and are not expected to use, in thousandths of a core.
     fn idle_millicores(&self) -> u64 {
         let used = (self.load + LOAD_SLACK).min(1.0);
         (self.millicores as f64 * (1.0 - used)) as u64
     }
 
-    /// The same beside one more that presses.
+    /// The utilisation forecast with one more aggressor, which runs for the first `moments` forecast points.
     fn pressed(&self, presser: &Presser, moments: usize, pressure: &Pressure) -> Outlook {
         let press = pressure.press(self.victim.image, presser);
         let variance = pressure.press_variance(self.victim.image, presser);
@@ -147,12 +148,12 @@
 }
 
 impl Host<'_> {
-    /// What is free of its capacity.
+    /// Its unreserved resources.
     pub fn free(&self) -> Size {
         self.capacity.minus(&self.reserved)
     }
 
-    /// Processors that nobody uses, in thousandths.
+    /// Processors expected to be idle, in thousandths of a core.
     pub fn unused_millicores(&self) -> u64 {
         let idle = self.serving.iter().map(Strained::idle_millicores);
         let used = self.reserved.millicores.saturating_sub(idle.sum());
@@ -160,13 +161,13 @@
         self.capacity.millicores.saturating_sub(used)
     }
 
-    /// Processors that its serving tasks don't reserve, in thousandths.
+    /// Processors that its serving tasks don't reserve, in thousandths of a core.
     pub fn unserving_millicores(&self) -> u64 {
         let serving = self.serving_millicores();
         self.capacity.millicores.saturating_sub(serving)
     }
 
-    /// Processors that its serving tasks reserve, in thousandths.
+    /// Processors that its serving tasks reserve, in thousandths of a core.
     pub fn serving_millicores(&self) -> u64 {
         self.serving.iter().map(|s| s.millicores).sum()
     }
@@ -178,7 +179,7 @@
         })
     }
 
-    /// Whether the task is expected to have a serving task there miss its target, or miss it by more.
+    /// Whether a serving task is expected to miss its target, or to miss it by more, because of the task.
     fn is_overloaded_by(&self, need: &Need, pressure: &Pressure) -> bool {
         let Some(presser) = self.presser(need) else {
             return false;
@@ -190,7 +191,7 @@
         })
     }
 
-    /// The most that the task is expected to press on a serving task there.
+    /// The highest interference that the task is expected to cause to a serving task.
     fn press_of(&self, need: &Need, pressure: &Pressure) -> f64 {
         let Some(presser) = self.presser(need) else {
             return 0.0;
@@ -199,13 +200,13 @@
         self.serving.iter().map(press).fold(0.0, f64::max)
     }
 
-    /// What is left of the room below the targets of its serving tasks; 1 where none serves.
+    /// The lowest margin between a serving task's utilisation limit and its worst forecast; 1 without serving tasks.
     fn headroom(&self) -> f64 {
         let headroom = |s: &Strained| s.outlook.limit - s.outlook.worst();
         self.serving.iter().map(headroom).fold(1.0, f64::min)
     }
 
-    /// Takes a task of this kind and size.
+    /// Accounts for the task as placed on this host.
     pub fn take(&mut self, need: &Need, pressure: &Pressure) {
         self.reserved = self.reserved.plus(&reserved_by(&need.size, need.load));
         match need.load {
@@ -227,7 +228,7 @@
     }
 }
 
-/// What a task of this size and kind takes of its host for good.
+/// Returns the resources that a task of this size and kind reserves on its host.
 pub fn reserved_by(size: &Size, load: Load) -> Size {
     let millicores = match load {
         Load::Reserving | Load::Serving => size.millicores,
@@ -239,35 +240,35 @@
     }
 }
 
-/// What keeps a host from taking a task.
+/// The reason why a host refuses a task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Unfit {
-    /// It has not enough memory or accelerators free.
+    /// Not enough memory or accelerators are free.
     Memory,
-    /// It has not enough processors free.
+    /// Not enough processors are free.
     Processors,
     /// It is kept free for another task.
     Kept,
-    /// What is free in the pool is left to short tasks.
+    /// The free capacity of the pool is left to short tasks.
     LeftToShort,
     /// It lacks the label.
     Label,
-    /// It has as many tasks of the step as may be.
+    /// It already runs the maximum number of tasks of the step.
     StepLimit,
-    /// Something has just given way there, and its tails still tell of before.
+    /// A best-effort task was just throttled or stopped there, and the latency tails still reflect the time before.
     Closed,
-    /// The processors that others leave are too few for a best-effort task.
+    /// Too few processors are idle for a best-effort task.
     Busy,
-    /// A serving task there would come too near its target.
+    /// A serving task would come too close to its target, or exceed it by more.
     Pressure,
 }
 
-/// Whether the host may take the task at all.
+/// Whether the host can take the task; does not compare pools.
 pub fn admits(need: &Need, host: &Host, pressure: &Pressure) -> bool {
     unfit(need, host, pressure).is_none()
 }
 
-/// What keeps the host from taking the task, if anything does.
+/// Returns why the host refuses the task; none if it admits it. Does not compare pools.
 pub fn unfit(need: &Need, host: &Host, pressure: &Pressure) -> Option<Unfit> {
     let has = |label: &str| host.labels.iter().any(|have| have == label);
     let (wanted, free) = (reserved_by(&need.size, need.load), host.free());
@@ -304,12 +305,12 @@
     if need.size.millicores * LEAST_FILL_PERCENT / 100 > host.unused_millicores() {
         return Some(Unfit::Busy);
     }
-    // It may as well wait where it would cost anything.
+    // A best-effort task waits rather than cost serving tasks anything.
     let is_dear = host.is_overloaded_by(need, pressure);
     is_dear.then_some(Unfit::Pressure)
 }
 
-/// How well a host suits a task: the least goes first.
+/// Sort key of a host for a task: the smallest is preferred.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Fit {
     is_avoided: bool,
@@ -321,10 +322,10 @@
     spare: u64,
 }
 
-/// Amounts of interference within this much of each other count as equal. A best-effort task goes where it disturbs least,
-/// so that the hosts with headroom are kept for those that press everywhere.
+/// Amounts of interference within the same step of this width count as equal. A best-effort task goes where it
+/// interferes least, so that hosts with headroom stay available to tasks that interfere with every image.
 const PRESS_STEP: f64 = 0.03;
-/// Turns headroom into a whole number that sorts the largest first.
+/// Factor that converts headroom, a fraction, to an integer sort key.
 const HEADROOM_SCALE: f64 = 1e6;
 
 fn fit(need: &Need, host: &Host, pressure: &Pressure) -> Fit {
@@ -345,7 +346,7 @@
     }
 }
 
-/// Serving tasks on the host that run another image than a serving task to place.
+/// The number of serving tasks on the host whose image differs from that of the serving task to place.
 fn strangers(need: &Need, host: &Host) -> usize {
     let Some(own) = need.victim.map(|victim| victim.image) else {
         return 0;
@@ -354,11 +355,13 @@
     others.map(|s| s.outlook.tasks as usize).sum()
 }
 
-/// Keeps a host free for a task that found none, so that it is not starved: on hosts that are all but reserved, smaller
-/// tasks would take each core as it comes free. Kept is a host that has room for the task once everything but its
-/// serving tasks has ended, and of these the one that has the most free, which is the first to have enough. At most so
-/// many of the hosts are kept, since what is kept lies idle. Other serving tasks may go there: a smaller one would else
-/// stand still beside free processors that lasting tasks never leave to the wider one. False when none can be kept.
+/// Keeps a host free for a task that found none; false when none can be kept.
+///
+/// Prevents starvation: on hosts that are almost fully reserved, smaller tasks would take each core as it is freed.
+/// A host qualifies if the task fits once everything but the serving tasks has ended. A host that is already kept
+/// is preferred, then the one with the most free processors, which will fit the task first. Kept capacity lies idle,
+/// so only few hosts are kept. Other serving tasks may still go there: otherwise a smaller one would wait beside free
+/// processors that long-running tasks never release to the wider one.
 pub fn keep_for(need: &Need, hosts: &mut [Host]) -> bool {
     let in_pool = hosts.iter().filter(|host| host.pool == need.pool);
     let (all, kept) = in_pool.fold((0, 0), |(all, kept), host| {
@@ -389,7 +392,7 @@
     true
 }
 
-/// The best host for a task, by its place in `hosts`; none when no host admits it.
+/// Returns the index in `hosts` of the preferred host for a task; none when no host of its pool admits it.
 pub fn choose(need: &Need, hosts: &[Host], pressure: &Pressure) -> Option<usize> {
     let admitted = hosts.iter().enumerate();
     let admitted =
--- a/src/lapisdrum/policy/dispatch/relief.rs
+++ b/src/lapisdrum/policy/dispatch/relief.rs
@@ -1,14 +1,14 @@
-//! Which best-effort task gives way when a serving task's tail nears its target, and how far.
+//! Decides which best-effort tasks are throttled or stopped when the latency tail of a serving task nears its target.
 //!
-//! Load pattern: the serving load swings up under best-effort tasks that were harmless when they came, or a
-//! pair turns out worse than it was thought. Tails tell it half a second late. Without relief a tail stays
-//! at ten times its target for as long as the batch task runs, some four seconds. With relief by what presses
-//! most, tasks were stopped that had all but ended, and whole steps waited for them.
+//! Load pattern: serving load rises under best-effort tasks that were harmless when they were placed, or a pair of
+//! images interferes more than estimated. Latency tails show it half a second late. Without mitigation a tail stays
+//! at ten times its target for as long as the batch task runs, some four seconds. Mitigation that picks the task with
+//! the most interference stopped tasks that had almost finished, and whole steps waited for them.
 //!
-//! So each change is weighed by what it costs: a stop the time until the task works again elsewhere and what it
-//! had not saved, a slower pace the work not done meanwhile, and nothing at all the serving tasks' misses until
-//! the task ends by itself ([`super::outlook`]). What gains most is done first; letting a slowed task go on
-//! faster is weighed in the same way.
+//! So each change is weighed by its cost: for a stop, the time until the task runs again elsewhere and the progress
+//! that it had not saved; for a lower CPU limit, the work not done meanwhile; for no change, the serving tasks'
+//! missed targets until the best-effort task ends by itself ([`super::outlook`]). The change that gains most is made
+//! first. Raising the limit of a throttled task is weighed in the same way.
 
 use super::{
     outlook::{self, MOMENTS, Outlook, Path},
@@ -18,19 +18,19 @@
 use crate::core::time::Millis;
 use std::time::Duration;
 
-/// Paces that are set, in hundredths.
+/// CPU limits that are set, in percent of what the task asks for.
 const PACES: [u32; 6] = [0, 20, 40, 60, 80, 100];
-/// A change must gain this much, in seconds of a best-effort task: each is an order to a worker.
+/// The least gain for which a change is made, in seconds of a best-effort task: each is an order to a worker.
 const LEAST_GAIN: f64 = 0.1;
 
 /// The serving tasks of one step on a host.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Serving {
-    /// What is known of them.
+    /// Their image, step, latency target and load.
     pub victim: Victim,
-    /// How many.
+    /// The number of tasks.
     pub tasks: u32,
-    /// Strain that their tails tell beyond what is expected of what presses there.
+    /// Utilisation inferred from their latency tails, in excess of what the interference model expects.
     pub surprise: f64,
 }
 
@@ -39,41 +39,41 @@
 pub struct BestEffort {
     /// Its image.
     pub image: Image,
-    /// Processors it may use at full pace, as a part of the host's.
+    /// Processors that it may use without a CPU limit, as a fraction of the host's.
     pub share: f64,
-    /// Its pace, in hundredths.
+    /// Its CPU limit, in percent of what it asks for.
     pub pace: u32,
-    /// Whether a stop saves its progress.
+    /// Whether its progress is saved when it is stopped.
     pub is_checkpointing: bool,
     /// Whether it is being stopped.
     pub is_stopping: bool,
-    /// How long it has run.
+    /// The time for which it has run.
     pub ran: Duration,
-    /// How much longer it would run at full pace.
+    /// Its estimated remaining run time without a CPU limit.
     pub left: Duration,
 }
 
-/// What is to be done with a best-effort task.
+/// A change to a best-effort task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Let it work at this pace.
+    /// Set its CPU limit, in percent of what it asks for.
     Pace(u32),
-    /// Stop it; it goes on elsewhere.
+    /// Stop it, so that it continues on another host.
     Stop,
 }
 
-/// What is known at a moment.
+/// The inputs of a decision that all hosts share.
 #[derive(Clone, Copy, Debug)]
 pub struct Sight<'a> {
-    /// What disturbs what.
+    /// The interference model.
     pub pressure: &'a Pressure,
-    /// The moment.
+    /// The time of the decision.
     pub now: Millis,
-    /// What holds here for stops.
+    /// How long stops and restores take in this deployment.
     pub terms: &'a Terms,
 }
 
-/// What gives way on a host, by the places in `leftover`.
+/// Returns the changes to make on a host, at most one for each best-effort task, by its index in `leftover`.
 pub fn decide(sight: &Sight, serving: &[Serving], leftover: &[BestEffort]) -> Vec<(usize, Action)> {
     let loads: Vec<Path> = serving.iter().map(|s| sight.load_path(s)).collect();
     let host = Host {
@@ -91,7 +91,7 @@
 }
 
 impl Sight<'_> {
-    /// The strain that is there whatever presses.
+    /// The forecast utilisation without aggressors, corrected by the measured surprise.
     fn load_path(&self, s: &Serving) -> Path {
         let load = self.pressure.load_path(&s.victim, self.now);
         load.map(|load| load + s.surprise)
@@ -112,7 +112,7 @@
         after
     }
 
-    /// How much longer it runs at its pace.
+    /// Its estimated remaining run time at its CPU limit.
     fn left_at_pace(&self) -> Duration {
         match self.pace {
             0 => Duration::MAX,
@@ -128,7 +128,7 @@
         })
     }
 
-    /// What may be done with it.
+    /// The changes that can be made to it.
     fn choices(&self) -> impl Iterator<Item = Action> {
         let pace = self.pace;
         let paces = PACES.into_iter().filter(move |p| *p != pace);
@@ -136,7 +136,7 @@
     }
 }
 
-/// What is known of a host.
+/// A host, with the forecast of each entry of `serving` without aggressors in `loads`.
 struct Host<'a> {
     sight: &'a Sight<'a>,
     serving: &'a [Serving],
@@ -144,7 +144,8 @@
 }
 
 impl Host<'_> {
-    /// The change that gains most of those to tasks that aren't changed yet; none where none gains enough.
+    /// The change with the largest gain, among tasks that are neither changed nor being stopped; none if none gains
+    /// [`LEAST_GAIN`].
     fn best_change(
         &self,
         leftover: &[BestEffort],
@@ -184,7 +185,7 @@
                     continue;
                 };
                 let press = self.sight.pressure.press(s.victim.image, &presser);
-                // How far tasks that run are off what is expected of them is in the surprise.
+                // No variance is added: `surprise` already holds how far running tasks deviate from the model.
                 outlook.add_known(press, outlook::moments_within(l.left_at_pace()));
             }
             outlook
@@ -206,7 +207,7 @@
         self.cost(&after)
     }
 
-    /// What a change costs the task itself, in seconds; less than nothing where it works faster.
+    /// The cost of a change to the task itself, in seconds; negative if it raises the CPU limit.
     fn cost_of(&self, l: &BestEffort, action: Action, missed_for: f64) -> f64 {
         let left = l.left.as_secs_f64();
         let restart = self.sight.terms.restart_takes().as_secs_f64();
@@ -224,7 +225,7 @@
     }
 }
 
-/// For how long from now targets are missed, in seconds.
+/// The time until the last forecast point at which a target is missed, in seconds; at least one point.
 fn missed_for(outlooks: &[Outlook]) -> f64 {
     let is_missed = |at: &usize| outlooks.iter().any(|o| o.strain[*at] > o.limit);
     let last = (0..MOMENTS).rev().find(is_missed);
