--- a/src/lapisdrum/policy/dispatch/order.rs
+++ b/src/lapisdrum/policy/dispatch/order.rs
@@ -20,7 +20,7 @@
 const LATE_FACTOR: u64 = 3;
 /// Slack, in percent of the chain, from which a new job can safely wait. A lower value starts jobs under a backlog
 /// that other jobs then make late; the higher it is, the less it helps jobs that wait out a short burst.
-const SPARE_PERCENT: u64 = 40;
+const SAFE_SLACK_PERCENT: u64 = 40;
 
 /// The inputs of a step's rank.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -43,18 +43,18 @@
 
 /// Whether a job can still meet its objective; sorted from best to worst.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Prospect {
+pub enum Feasibility {
     /// It can finish within its objective.
     OnTime,
     /// It will miss its objective, but can finish while its result is worth something.
     Late,
     /// It will finish too late for its result to be worth anything.
-    Hopeless,
+    NoValue,
 }
 
 /// Precedence among jobs of equal feasibility.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Turn {
+enum Precedence {
     /// In progress, or long-running: least slack first.
     InProgress,
     /// New, with slack to spare: least slack first.
@@ -69,48 +69,48 @@
     is_uninterrupted: bool,
     priority: u32,
     is_long_running: bool,
-    prospect: Prospect,
-    turn: Turn,
+    feasibility: Feasibility,
+    precedence: Precedence,
     slack_ms: u64,
     oldest: Reverse<u64>,
 }
 
 impl Standing {
     /// Whether the job can meet its objective if the step starts now.
-    pub fn prospect(&self) -> Prospect {
-        let done_at = self.age_ms + self.chain_ms;
-        if self.is_long_running || done_at <= self.objective_ms {
-            return Prospect::OnTime;
+    pub fn feasibility(&self) -> Feasibility {
+        let completion_age_ms = self.age_ms + self.chain_ms;
+        if self.is_long_running || completion_age_ms <= self.objective_ms {
+            return Feasibility::OnTime;
         }
-        match done_at <= self.objective_ms * LATE_FACTOR {
-            true => Prospect::Late,
-            false => Prospect::Hopeless,
+        match completion_age_ms <= self.objective_ms * LATE_FACTOR {
+            true => Feasibility::Late,
+            false => Feasibility::NoValue,
         }
     }
 
-    fn turn(&self, slack_ms: u64) -> Turn {
-        let spare_ms = self.chain_ms * SPARE_PERCENT / 100;
+    fn precedence(&self, slack_ms: u64) -> Precedence {
+        let safe_slack_ms = self.chain_ms * SAFE_SLACK_PERCENT / 100;
         match self.is_in_progress || self.is_long_running {
-            true => Turn::InProgress,
-            false if slack_ms >= spare_ms => Turn::Safe,
-            false => Turn::Tight(Reverse(slack_ms)),
+            true => Precedence::InProgress,
+            false if slack_ms >= safe_slack_ms => Precedence::Safe,
+            false => Precedence::Tight(Reverse(slack_ms)),
         }
     }
 
     /// Computes the sort key of the step.
     pub fn rank(&self) -> Rank {
-        let prospect = self.prospect();
-        let end = match prospect {
-            Prospect::OnTime => self.objective_ms,
-            Prospect::Late | Prospect::Hopeless => self.objective_ms * LATE_FACTOR,
+        let feasibility = self.feasibility();
+        let deadline_ms = match feasibility {
+            Feasibility::OnTime => self.objective_ms,
+            Feasibility::Late | Feasibility::NoValue => self.objective_ms * LATE_FACTOR,
         };
-        let slack_ms = end.saturating_sub(self.age_ms + self.chain_ms);
+        let slack_ms = deadline_ms.saturating_sub(self.age_ms + self.chain_ms);
         Rank {
             is_uninterrupted: !self.is_interrupted,
             priority: self.priority,
             is_long_running: self.is_long_running,
-            prospect,
-            turn: self.turn(slack_ms),
+            feasibility,
+            precedence: self.precedence(slack_ms),
             slack_ms,
             oldest: Reverse(self.age_ms),
         }
--- a/src/lapisdrum/policy/dispatch/outlook.rs
+++ b/src/lapisdrum/policy/dispatch/outlook.rs
@@ -10,25 +10,25 @@
 /// The number of forecast points.
 pub const MOMENTS: usize = 6;
 /// Time until the first forecast point: the effect of a decision shows by then.
-const FIRST: Duration = Duration::from_millis(200);
+const FIRST_POINT_AFTER: Duration = Duration::from_millis(200);
 /// Time between two forecast points, and the time that each of them covers.
-const SPACING: Duration = Duration::from_millis(400);
+const POINT_SPACING: Duration = Duration::from_millis(400);
 /// Cost of a serving task that misses its target for a second, in seconds of a best-effort task. The serving tasks of
 /// a host miss their targets together, so a host's misses cost a few times this.
-const OVER_COST: f64 = 0.4;
+const MISS_COST: f64 = 0.4;
 /// A target counts as partly missed within this many standard deviations around its limit.
-const DOUBT: f64 = 1.5;
+const MISS_BAND_DEVIATIONS: f64 = 1.5;
 /// Variance of a utilisation forecast without aggressors.
-const LEAST_VARIANCE: f64 = 0.001;
+const MIN_VARIANCE: f64 = 0.001;
 /// Standard deviation of interference relative to its mean: tasks of one image differ, and change within seconds.
-const PRESS_SCATTER: f64 = 0.35;
+const INTERFERENCE_DEVIATION: f64 = 0.35;
 
 /// A value for each forecast point.
 pub type Path = [f64; MOMENTS];
 
 /// Returns the time from now to a forecast point.
 pub fn moment(at: usize) -> Duration {
-    FIRST + SPACING * at as u32
+    FIRST_POINT_AFTER + POINT_SPACING * at as u32
 }
 
 /// Returns the number of forecast points before this time has passed.
@@ -38,7 +38,7 @@
 
 /// Returns the time that this many forecast points cover, in seconds.
 pub fn seconds(moments: usize) -> f64 {
-    SPACING.as_secs_f64() * moments as f64
+    POINT_SPACING.as_secs_f64() * moments as f64
 }
 
 /// The utilisation forecast of the serving tasks of one step on a host.
@@ -61,22 +61,22 @@
             tasks,
             limit,
             strain: load,
-            variance: LEAST_VARIANCE,
+            variance: MIN_VARIANCE,
         }
     }
 
     /// Adds an aggressor's interference to the first `moments` points. `variance` is that of its estimate; the scatter
     /// between tasks of one image comes on top.
-    pub fn add(&mut self, press: f64, variance: f64, moments: usize) {
-        self.add_known(press, moments);
-        let scatter = PRESS_SCATTER * press;
+    pub fn add(&mut self, interference: f64, variance: f64, moments: usize) {
+        self.add_known(interference, moments);
+        let scatter = INTERFERENCE_DEVIATION * interference;
         self.variance += variance + scatter * scatter;
     }
 
     /// Adds an aggressor's interference to the first `moments` points, without any variance.
-    pub fn add_known(&mut self, press: f64, moments: usize) {
+    pub fn add_known(&mut self, interference: f64, moments: usize) {
         for strain in &mut self.strain[..moments] {
-            *strain += press;
+            *strain += interference;
         }
     }
 
@@ -89,7 +89,7 @@
     pub fn cost(&self) -> f64 {
         let certain = 2.0 * self.margin();
         let missed: f64 = self.beyond().map(|b| (b / certain).min(1.0)).sum();
-        OVER_COST * f64::from(self.tasks) * missed * seconds(1)
+        MISS_COST * f64::from(self.tasks) * missed * seconds(1)
     }
 
     /// Returns how far targets may be missed, summed over all points. Unlike [`Self::cost`] it keeps growing once a
@@ -100,7 +100,7 @@
 
     /// A target may be missed from this far below `limit`, and is certainly missed from as far above it.
     fn margin(&self) -> f64 {
-        DOUBT * self.variance.sqrt()
+        MISS_BAND_DEVIATIONS * self.variance.sqrt()
     }
 
     /// For each point, how far the utilisation is above the level from which a target may be missed.
--- a/src/lapisdrum/policy/dispatch/place.rs
+++ b/src/lapisdrum/policy/dispatch/place.rs
@@ -21,13 +21,13 @@
 
 /// Margin added to the expected load of a serving task when its idle processors are counted, as a fraction of what
 /// it reserves: reported loads are inaccurate while they swing.
-const LOAD_SLACK: f64 = 0.05;
+const LOAD_MARGIN: f64 = 0.05;
 /// A best-effort task is admitted where this percentage of its processors is idle; best-effort tasks on a host share
 /// the idle ones. At 100 the rest of each host stays unused under a backlog; much lower values make the tasks slow
 /// each other so much that fewer jobs are on time.
-const LEAST_FILL_PERCENT: u64 = 80;
+const MIN_IDLE_PERCENT: u64 = 80;
 /// One host in this many, and at least one, may be kept free for tasks that found no host.
-const HOSTS_A_KEPT_ONE: usize = 16;
+const HOSTS_PER_KEPT_HOST: usize = 16;
 
 /// How a task uses the resources of its host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -133,16 +133,16 @@
 
     /// Processors that they reserve and are not expected to use, in thousandths of a core.
     fn idle_millicores(&self) -> u64 {
-        let used = (self.load + LOAD_SLACK).min(1.0);
+        let used = (self.load + LOAD_MARGIN).min(1.0);
         (self.millicores as f64 * (1.0 - used)) as u64
     }
 
     /// The utilisation forecast with one more aggressor, which runs for the first `moments` forecast points.
-    fn pressed(&self, presser: &Presser, moments: usize, pressure: &Pressure) -> Outlook {
-        let press = pressure.press(self.victim.image, presser);
-        let variance = pressure.press_variance(self.victim.image, presser);
+    fn forecast_with(&self, aggressor: &Presser, moments: usize, pressure: &Pressure) -> Outlook {
+        let interference = pressure.press(self.victim.image, aggressor);
+        let variance = pressure.press_variance(self.victim.image, aggressor);
         let mut outlook = self.outlook;
-        outlook.add(press, variance, moments);
+        outlook.add(interference, variance, moments);
         outlook
     }
 }
@@ -172,7 +172,7 @@
         self.serving.iter().map(|s| s.millicores).sum()
     }
 
-    fn presser(&self, need: &Need) -> Option<Presser> {
+    fn aggressor(&self, need: &Need) -> Option<Presser> {
         Some(Presser {
             image: need.image?,
             share: need.size.millicores as f64 / self.capacity.millicores.max(1) as f64,
@@ -181,23 +181,23 @@
 
     /// Whether a serving task is expected to miss its target, or to miss it by more, because of the task.
     fn is_overloaded_by(&self, need: &Need, pressure: &Pressure) -> bool {
-        let Some(presser) = self.presser(need) else {
+        let Some(aggressor) = self.aggressor(need) else {
             return false;
         };
         let moments = outlook::moments_within(need.duration);
         self.serving.iter().any(|s| {
-            let pressed = s.pressed(&presser, moments, pressure);
-            pressed.overload() > s.outlook.overload()
+            let forecast = s.forecast_with(&aggressor, moments, pressure);
+            forecast.overload() > s.outlook.overload()
         })
     }
 
     /// The highest interference that the task is expected to cause to a serving task.
-    fn press_of(&self, need: &Need, pressure: &Pressure) -> f64 {
-        let Some(presser) = self.presser(need) else {
+    fn max_interference(&self, need: &Need, pressure: &Pressure) -> f64 {
+        let Some(aggressor) = self.aggressor(need) else {
             return 0.0;
         };
-        let press = |s: &Strained| pressure.press(s.victim.image, &presser);
-        self.serving.iter().map(press).fold(0.0, f64::max)
+        let interference = |s: &Strained| pressure.press(s.victim.image, &aggressor);
+        self.serving.iter().map(interference).fold(0.0, f64::max)
     }
 
     /// The lowest margin between a serving task's utilisation limit and its worst forecast; 1 without serving tasks.
@@ -217,10 +217,10 @@
             }
             Load::BestEffort => {
                 self.best_effort_millicores += need.size.millicores;
-                if let Some(presser) = self.presser(need) {
+                if let Some(aggressor) = self.aggressor(need) {
                     let moments = outlook::moments_within(need.duration);
                     for s in &mut self.serving {
-                        s.outlook = s.pressed(&presser, moments, pressure);
+                        s.outlook = s.forecast_with(&aggressor, moments, pressure);
                     }
                 }
             }
@@ -302,12 +302,12 @@
     if !host.is_open_for_best_effort {
         return Some(Unfit::Closed);
     }
-    if need.size.millicores * LEAST_FILL_PERCENT / 100 > host.unused_millicores() {
+    if need.size.millicores * MIN_IDLE_PERCENT / 100 > host.unused_millicores() {
         return Some(Unfit::Busy);
     }
     // A best-effort task waits rather than cost serving tasks anything.
-    let is_dear = host.is_overloaded_by(need, pressure);
-    is_dear.then_some(Unfit::Pressure)
+    let causes_overload = host.is_overloaded_by(need, pressure);
+    causes_overload.then_some(Unfit::Pressure)
 }
 
 /// Sort key of a host for a task: the smallest is preferred.
@@ -316,15 +316,15 @@
     is_avoided: bool,
     is_suspect: bool,
     is_far: bool,
-    squeezes: bool,
-    strangers: usize,
-    press: u64,
+    lacks_idle_cores: bool,
+    other_image_tasks: usize,
+    interference: u64,
     spare: u64,
 }
 
 /// Amounts of interference within the same step of this width count as equal. A best-effort task goes where it
 /// interferes least, so that hosts with headroom stay available to tasks that interfere with every image.
-const PRESS_STEP: f64 = 0.03;
+const INTERFERENCE_STEP: f64 = 0.03;
 /// Factor that converts headroom, a fraction, to an integer sort key.
 const HEADROOM_SCALE: f64 = 1e6;
 
@@ -339,15 +339,15 @@
         is_avoided: host.is_avoided,
         is_suspect: host.is_suspect,
         is_far: need.data_rack.is_some() && need.data_rack != host.rack,
-        squeezes: unused < need.size.millicores,
-        strangers: strangers(need, host),
-        press: (host.press_of(need, pressure) / PRESS_STEP) as u64,
+        lacks_idle_cores: unused < need.size.millicores,
+        other_image_tasks: other_image_tasks(need, host),
+        interference: (host.max_interference(need, pressure) / INTERFERENCE_STEP) as u64,
         spare,
     }
 }
 
 /// The number of serving tasks on the host whose image differs from that of the serving task to place.
-fn strangers(need: &Need, host: &Host) -> usize {
+fn other_image_tasks(need: &Need, host: &Host) -> usize {
     let Some(own) = need.victim.map(|victim| victim.image) else {
         return 0;
     };
@@ -367,7 +367,7 @@
     let (all, kept) = in_pool.fold((0, 0), |(all, kept), host| {
         (all + 1, kept + usize::from(host.kept.is_some()))
     });
-    let may_keep_another = kept < (all / HOSTS_A_KEPT_ONE).max(1);
+    let may_keep_another = kept < (all / HOSTS_PER_KEPT_HOST).max(1);
     let may_fit = |host: &&mut Host| {
         let has = |label: &str| host.labels.iter().any(|have| have == label);
         host.pool == need.pool
--- a/src/lapisdrum/policy/dispatch/relief.rs
+++ b/src/lapisdrum/policy/dispatch/relief.rs
@@ -19,9 +19,9 @@
 use std::time::Duration;
 
 /// CPU limits that are set, in percent of what the task asks for.
-const PACES: [u32; 6] = [0, 20, 40, 60, 80, 100];
+const CPU_LIMITS_PERCENT: [u32; 6] = [0, 20, 40, 60, 80, 100];
 /// The least gain for which a change is made, in seconds of a best-effort task: each is an order to a worker.
-const LEAST_GAIN: f64 = 0.1;
+const MIN_GAIN_SECONDS: f64 = 0.1;
 
 /// The serving tasks of one step on a host.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -113,14 +113,14 @@
     }
 
     /// Its estimated remaining run time at its CPU limit.
-    fn left_at_pace(&self) -> Duration {
+    fn left_at_cpu_limit(&self) -> Duration {
         match self.pace {
             0 => Duration::MAX,
             pace => self.left * 100 / pace,
         }
     }
 
-    fn presser(&self) -> Option<Presser> {
+    fn aggressor(&self) -> Option<Presser> {
         let is_working = !self.is_stopping && self.pace > 0;
         is_working.then(|| Presser {
             image: self.image,
@@ -131,7 +131,7 @@
     /// The changes that can be made to it.
     fn choices(&self) -> impl Iterator<Item = Action> {
         let pace = self.pace;
-        let paces = PACES.into_iter().filter(move |p| *p != pace);
+        let paces = CPU_LIMITS_PERCENT.into_iter().filter(move |p| *p != pace);
         paces.map(Action::Pace).chain([Action::Stop])
     }
 }
@@ -145,15 +145,15 @@
 
 impl Host<'_> {
     /// The change with the largest gain, among tasks that are neither changed nor being stopped; none if none gains
-    /// [`LEAST_GAIN`].
+    /// [`MIN_GAIN_SECONDS`].
     fn best_change(
         &self,
         leftover: &[BestEffort],
         changed: &[(usize, Action)],
     ) -> Option<(usize, Action)> {
-        let outlooks = self.outlooks(leftover);
-        let before: f64 = outlooks.iter().map(Outlook::cost).sum();
-        let missed_for = missed_for(&outlooks);
+        let forecasts = self.forecasts(leftover);
+        let before: f64 = forecasts.iter().map(Outlook::cost).sum();
+        let missed_for = missed_for(&forecasts);
         let open = leftover.iter().enumerate();
         let open = open
             .filter(|(at, l)| !l.is_stopping && changed.iter().all(|(changed, _)| changed != at));
@@ -162,12 +162,12 @@
             let most = before - self.cost_without(leftover, at);
             for action in l.choices() {
                 let own = self.cost_of(l, action, missed_for);
-                let is_hopeless = most - own < LEAST_GAIN;
-                if is_hopeless {
+                let is_too_little = most - own < MIN_GAIN_SECONDS;
+                if is_too_little {
                     continue;
                 }
                 let gain = before - self.cost_with(leftover, at, action) - own;
-                if gain >= LEAST_GAIN && best.is_none_or(|(.., most)| gain > most) {
+                if gain >= MIN_GAIN_SECONDS && best.is_none_or(|(.., most)| gain > most) {
                     best = Some((at, action, gain));
                 }
             }
@@ -175,18 +175,18 @@
         best.map(|(at, action, _)| (at, action))
     }
 
-    fn outlooks(&self, leftover: &[BestEffort]) -> Vec<Outlook> {
+    fn forecasts(&self, leftover: &[BestEffort]) -> Vec<Outlook> {
         let all = self.serving.iter().zip(self.loads);
         let all = all.map(|(s, load)| {
             let limit = self.sight.pressure.limit(&s.victim);
             let mut outlook = Outlook::unpressed(s.tasks, limit, *load);
             for l in leftover {
-                let Some(presser) = l.presser() else {
+                let Some(aggressor) = l.aggressor() else {
                     continue;
                 };
-                let press = self.sight.pressure.press(s.victim.image, &presser);
+                let interference = self.sight.pressure.press(s.victim.image, &aggressor);
                 // No variance is added: `surprise` already holds how far running tasks deviate from the model.
-                outlook.add_known(press, outlook::moments_within(l.left_at_pace()));
+                outlook.add_known(interference, outlook::moments_within(l.left_at_cpu_limit()));
             }
             outlook
         });
@@ -194,7 +194,7 @@
     }
 
     fn cost(&self, leftover: &[BestEffort]) -> f64 {
-        self.outlooks(leftover).iter().map(Outlook::cost).sum()
+        self.forecasts(leftover).iter().map(Outlook::cost).sum()
     }
 
     fn cost_without(&self, leftover: &[BestEffort], at: usize) -> f64 {
@@ -226,8 +226,8 @@
 }
 
 /// The time until the last forecast point at which a target is missed, in seconds; at least one point.
-fn missed_for(outlooks: &[Outlook]) -> f64 {
-    let is_missed = |at: &usize| outlooks.iter().any(|o| o.strain[*at] > o.limit);
+fn missed_for(forecasts: &[Outlook]) -> f64 {
+    let is_missed = |at: &usize| forecasts.iter().any(|o| o.strain[*at] > o.limit);
     let last = (0..MOMENTS).rev().find(is_missed);
     outlook::seconds(last.map_or(1, |at| at + 1))
 }
--- a/tests/testsuite/sched/order.rs
+++ b/tests/testsuite/sched/order.rs
@@ -2,7 +2,7 @@
 
 use lapisdrum::policy::dispatch::{
     forecast::Forecast,
-    order::{Prospect, Standing},
+    order::{Feasibility, Standing},
 };
 use std::collections::BTreeSet;
 
@@ -27,9 +27,9 @@
         standing(5_000, 3_000),
         standing(20_000, 3_000),
     );
-    assert_eq!(on_time.prospect(), Prospect::OnTime);
-    assert_eq!(late.prospect(), Prospect::Late);
-    assert_eq!(hopeless.prospect(), Prospect::Hopeless);
+    assert_eq!(on_time.feasibility(), Feasibility::OnTime);
+    assert_eq!(late.feasibility(), Feasibility::Late);
+    assert_eq!(hopeless.feasibility(), Feasibility::NoValue);
     let mut order = [hopeless, late, on_time];
     order.sort_by_key(Standing::rank);
     assert_eq!(order, [on_time, late, hopeless]);
