--- a/src/lapisdrum/sched/owner/backlog.rs
+++ b/src/lapisdrum/sched/owner/backlog.rs
@@ -1,7 +1,7 @@
-//! Reports what waits for room in the shard, who holds that room and who was placed meanwhile.
+//! Logs which tasks wait for capacity in the shard, how the capacity is used and how many tasks were placed meanwhile.
 //!
-//! A line for each waiting step says why that step waits, whenever that changes. Whether other tasks were placed past it
-//! shows only in sums over all of them: one line a second while anything waits.
+//! Each waiting step gets a line with its reason whenever that changes. Whether other tasks were placed before it shows
+//! only in totals: one line per second while tasks wait.
 
 use super::Owner;
 use crate::{
@@ -14,24 +14,23 @@
 };
 use std::time::Duration;
 
-/// Time between two looks at what keeps a step waiting: with hundreds of steps waiting a line for each is said
-/// at most twice a second, and only when it changes.
+/// Minimum time between two checks of why a step waits. With hundreds of waiting steps, each logs a line at most twice
+/// per second, and only when its reason changes.
 const WHY_EVERY: Duration = Duration::from_millis(500);
-/// Time between two reports in sum.
+/// Time between two lines with totals.
 const REPORT_EVERY: Duration = Duration::from_secs(1);
 
-/// Tasks of one kind of load.
+/// Totals over the tasks of one kind of load.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 struct Tasks {
-    /// How many wait.
     waiting: usize,
-    /// Since when the oldest of their jobs is due, in milliseconds.
+    /// Time since the oldest waiting step fell due.
     oldest_ms: u64,
-    /// How many were placed since the last report.
+    /// Placed since the last line with totals.
     placed: usize,
 }
 
-/// What waits, and what was placed since the last report.
+/// Waiting and placed tasks of a shard, by kind of load.
 #[derive(Clone, Debug, Default)]
 pub struct Backlog {
     serving: Tasks,
@@ -49,7 +48,7 @@
         }
     }
 
-    /// Begins a pass over everything that waits.
+    /// Resets the counts of waiting tasks at the start of a dispatch pass.
     pub fn begin(&mut self) {
         for load in [Load::Serving, Load::Reserving, Load::BestEffort] {
             let tasks = self.of(load);
@@ -57,7 +56,7 @@
         }
     }
 
-    /// Notes how many tasks of a step were placed in this pass, and how many go on waiting.
+    /// Counts the tasks of a step that this pass placed, and those that still wait.
     pub fn note(&mut self, load: Load, placed: usize, waiting: usize, age_ms: u64) {
         let tasks = self.of(load);
         tasks.placed += placed;
@@ -73,7 +72,7 @@
         waiting > 0 && self.reported_at.is_none_or(is_due)
     }
 
-    /// Ends a pass; reports where that is due.
+    /// Ends a dispatch pass; logs the totals if that is due.
     pub fn end(&mut self, cx: &Cx, owner: &Owner, room: impl FnOnce() -> Room) {
         let now = cx.clock.now();
         if !self.is_report_due(now) {
@@ -112,17 +111,17 @@
     }
 }
 
-/// A step of which tasks have no place.
+/// A step with tasks that a dispatch pass did not place.
 pub struct WaitingStep {
-    /// The step.
+    /// Id of the step, under which its last reason is kept.
     pub step: StepId,
-    /// How many of its tasks wait.
+    /// Number of tasks that are not placed.
     pub tasks: usize,
-    /// Their kind of load.
+    /// Kind of load of the tasks.
     pub load: Load,
 }
 
-/// Whether it is time to say again what a step waits for.
+/// Whether it is time to check again why a step waits.
 pub fn is_why_due(owner: &Owner, step: &StepId, now: Millis) -> bool {
     let waits = owner.waits.borrow();
     waits
@@ -130,7 +129,7 @@
         .is_none_or(|(_, said_at)| now.since(*said_at) >= WHY_EVERY)
 }
 
-/// Logs what a step waits for, where that is new, and how full the hosts are.
+/// Logs why a step waits and how the hosts' capacity is used, if the reason has changed.
 pub fn note_wait(
     owner: &Owner,
     waiting: &WaitingStep,
--- a/src/lapisdrum/sched/owner/delegate.rs
+++ b/src/lapisdrum/sched/owner/delegate.rs
@@ -1,13 +1,13 @@
-//! Hands interrupted long-running tasks to shards that have room for them.
+//! Delegates interrupted long-running tasks to shards with free capacity.
 //!
-//! Load pattern: long-running tasks reserve more than nine tenths of a shard. When workers go, their tasks find no room in
-//! their own shard, where small free pieces are all that is left, while another shard has whole hosts for them.
+//! Load pattern: long-running tasks reserve more than nine tenths of a shard. When workers are lost, the free capacity
+//! of their shard is too fragmented for the interrupted tasks, while another shard has whole hosts free.
 //!
-//! A task without a live run is marked as delegated in the owner's journal before the other shard hears of it, and
-//! there is no way back: the other owner is asked again until it has the task in its own journal, so a call
-//! that arrives late, or a crash of either owner in between, leaves the task with exactly one shard. A job stays with its
-//! shard: callers are answered there, and its end is passed on until it is confirmed. That call carries the
-//! tasks too, so a shard that never heard of them, or has forgotten them since, starts none.
+//! A task without a live run is journaled as delegated before the other shard receives it, and this is never undone:
+//! the call is repeated until the other owner has journaled the task. So a late call, or a crash of either owner,
+//! leaves the task with exactly one shard. The job stays with its shard, which answers callers and sends the job's
+//! end to the other shard until that confirms it. This call lists the tasks too, so a shard that never received them,
+//! or has forgotten them since, starts none.
 
 use super::Owner;
 use crate::{
@@ -27,62 +27,62 @@
 use indexmap::{IndexMap, IndexSet};
 use std::{rc::Rc, time::Duration};
 
-/// Time between two rounds.
+/// Time between two rounds of delegation and confirmation.
 const ROUND: Duration = Duration::from_millis(200);
-/// A task is handed on once it has waited for room this long: most find some as short tasks end.
+/// A task is delegated after waiting this long: most are placed before, as short tasks end.
 const STRANDED_AFTER: Duration = Duration::from_millis(800);
-/// Longest wait for another shard's answer about its room: many round trips between data centres.
+/// Timeout of a call that asks a shard for an offer: many round trips between data centres.
 const ROOM_TIMEOUT: Duration = Duration::from_millis(150);
-/// A shard offers one part in so many of its room at once: its own tasks may need the rest.
+/// A shard offers its free capacity divided by this at a time: its own tasks may need the rest.
 const ROOM_PART: u64 = 4;
-/// An offer holds this long: the decision is journaled and the tasks are adopted within it, on a store that is well.
+/// How long an offer counts as taken. On a healthy store the tasks are journaled and adopted within this time.
 const OFFER_HOLDS: Duration = Duration::from_millis(1_000);
 
-/// What is known of the tasks that an owner hands on.
+/// State of the tasks that an owner delegates.
 #[derive(Default)]
 pub struct Delegations {
-    /// Since when interrupted tasks wait for room.
+    /// When each interrupted task was first seen waiting.
     stranded_since: IndexMap<TaskId, Millis>,
-    /// Jobs of which other shards may have something to confirm.
+    /// Jobs with tasks or an end that another shard may not have confirmed.
     open: IndexSet<JobId>,
     /// Tasks that the other shard has confirmed.
     confirmed: IndexSet<TaskId>,
     /// Ends of jobs that a shard has confirmed.
     ended: IndexSet<(JobId, ShardId)>,
-    /// Tasks for which room was offered to other shards, and when.
+    /// How many tasks were offered capacity, and when.
     offered: Vec<(u64, Millis)>,
 }
 
-/// What a task needs of another shard.
+/// What a delegated task requires of a worker.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, serde::Serialize, serde::Deserialize)]
 pub struct TaskNeed {
-    /// The pool whose workers may run it.
+    /// The worker's pool.
     pub pool: String,
-    /// What it takes.
+    /// Resources that the task reserves.
     pub size: Size,
-    /// A label that its worker must have.
+    /// A label that the worker must have.
     pub required_label: Option<String>,
 }
 
 data! {
     /// Tasks of another shard's job.
     pub struct GuestTasks {
-        /// The job.
+        /// Id of the job, the same in both shards.
         pub job: JobId,
-        /// What was submitted.
+        /// The job as submitted.
         pub spec: JobSpec,
-        /// What its queue's catalogue entry says.
+        /// Settings of its queue, as the catalogue had them at submission.
         pub terms: QueueTerms,
         /// The shard that owns the job.
         pub from: ShardId,
         /// The tasks, each with the number of its last run.
         pub tasks: Vec<(TaskId, RunNumber)>,
-        /// Whether the job is over, so that nothing of them may run any more.
+        /// Whether the job has ended, so that none of its tasks may run.
         pub is_over: bool,
     }
 }
 
-/// Hands tasks on until the shard is lost.
+/// Delegates tasks and confirms delegations until the shard is lost.
 pub async fn run(cx: Cx, owner: Rc<Owner>) {
     reopen(&owner);
     while owner.is_serving() {
@@ -94,7 +94,7 @@
     }
 }
 
-/// An earlier owner may have ended before the other shards confirmed.
+/// Reopens delegations from the ledger: a previous owner may have ended before other shards confirmed them.
 fn reopen(owner: &Owner) {
     let ledger = owner.ledger.borrow();
     let jobs = ledger.jobs.iter();
@@ -114,7 +114,7 @@
     futures::future::join_all(delegating).await;
 }
 
-/// Interrupted long-running tasks that have waited for room too long, by what they need.
+/// Interrupted long-running tasks that have waited for [`STRANDED_AFTER`], by what they need.
 fn stranded(owner: &Owner, now: Millis) -> IndexMap<TaskNeed, Vec<TaskId>> {
     let waiting = interrupted_tasks(owner);
     let mut delegations = owner.delegations.borrow_mut();
@@ -177,7 +177,7 @@
     }
 }
 
-/// The shard that offers room for most such tasks, and for how many.
+/// The shard that offers capacity for most of these tasks, and for how many.
 async fn roomiest(cx: &Cx, owner: &Owner, need: &TaskNeed, tasks: usize) -> Option<(ShardId, u32)> {
     let layout = cx.layout.borrow().clone()?;
     let wanted = u32::try_from(tasks).unwrap_or(u32::MAX);
@@ -186,7 +186,7 @@
         let handle = cx.handle(shard);
         let offer = front::offer_of(cx, &handle, need, wanted);
         let offered = tokio::time::timeout(ROOM_TIMEOUT, offer).await;
-        // A shard that doesn't answer offers nothing this time.
+        // A shard that does not answer in time offers nothing in this round.
         (shard, offered.ok().flatten().unwrap_or_default())
     });
     let offers = futures::future::join_all(asked).await;
@@ -195,7 +195,7 @@
 }
 
 async fn delegate(cx: &Cx, owner: &Rc<Owner>, to: ShardId, tasks: &[TaskId]) {
-    // Some may have been placed while others were asked.
+    // Some may have been placed while the shards were asked.
     let still = interrupted_tasks(owner);
     let tasks: Vec<TaskId> = tasks
         .iter()
@@ -215,7 +215,7 @@
     }
 }
 
-/// Asks other shards for what they have not confirmed yet.
+/// Sends other shards the tasks and ends that they have not confirmed yet.
 async fn settle_open(cx: &Cx, owner: &Rc<Owner>) {
     let open: Vec<JobId> = owner.delegations.borrow().open.iter().copied().collect();
     let settling = open.iter().map(|job| settle_job(cx, owner, *job));
@@ -243,13 +243,13 @@
     }
 }
 
-/// What other shards have yet to confirm of a job, by shard.
+/// Tasks of a job, by shard, for shards that have not confirmed them or the job's end.
 fn unconfirmed(owner: &Owner, id: JobId) -> Vec<(ShardId, GuestTasks)> {
     let ledger = owner.ledger.borrow();
     let Some(job) = ledger.jobs.get(&id) else {
         return Vec::new();
     };
-    // An end that is not durable yet must have no effect elsewhere.
+    // A job's end must have no effect in other shards before it is durable.
     let is_over = job.phase != Phase::Active && !owner.ending.borrow().contains(&id);
     let delegations = owner.delegations.borrow();
     let is_open = |shard: ShardId, tasks: &[(TaskId, RunNumber)]| match is_over {
@@ -276,18 +276,18 @@
 }
 
 impl Owner {
-    /// Whether other shards have yet to confirm something of a job.
+    /// Whether a shard may not have confirmed tasks or the end of a job.
     pub fn is_delegation_open(&self, job: &JobId) -> bool {
         self.delegations.borrow().open.contains(job)
     }
 
-    /// Whether a job is this shard's own.
+    /// Whether a job belongs to this shard, and is not a guest.
     fn owns_job(&self, job: JobId) -> bool {
         let ledger = self.ledger.borrow();
         ledger.jobs.get(&job).is_some_and(|job| !job.is_guest)
     }
 
-    /// Has a job's end passed on to the shards that run tasks of it.
+    /// Has a job's end sent to the shards that have tasks of it.
     pub fn pass_end_on(&self, job: JobId) {
         let ledger = self.ledger.borrow();
         let job_state = ledger.jobs.get(&job);
@@ -296,15 +296,16 @@
         }
     }
 
-    /// Interrupted long-running tasks that wait for room here, guests among them.
+    /// How many interrupted long-running tasks wait in this shard, including those of guest jobs.
     fn interrupted_long_running(&self) -> u64 {
         let (ledger, active) = (self.ledger.borrow(), self.active.borrow());
         let jobs = active.iter().filter_map(|id| ledger.jobs.get(id));
         jobs.map(Job::interrupted_long_running).sum()
     }
 
-    /// For how many more such tasks there is room beside the shard's own long-running ones. What is offered counts as taken
-    /// for a while, or several shards would hand their tasks to the same few hosts.
+    /// Offers capacity for up to `wanted` tasks, beyond what the shard's own interrupted tasks need. An offer counts as
+    /// taken for a second, else several shards would delegate tasks to the same few hosts. None while the shard cannot
+    /// place tasks.
     pub fn offer_room(&self, cx: &Cx, need: &TaskNeed, wanted: u32) -> Option<u32> {
         let room = self.room_for(cx, need)?;
         let now = cx.clock.now();
@@ -334,7 +335,8 @@
     }
 }
 
-/// How many tasks of this size a host has room for once its short tasks have ended.
+/// How many tasks of this size fit on a host once its short tasks have ended: of its processors, only those that
+/// serving tasks reserve count as taken.
 fn room_on(host: &Host, size: &Size) -> u64 {
     let room = Size {
         millicores: host.unserving_millicores(),
@@ -343,14 +345,14 @@
     size.count_in(&room)
 }
 
-/// Takes tasks of another shard's job; a repeat is confirmed as the first.
+/// Adopts tasks of another shard's job. A repeated call is confirmed like the first.
 pub async fn adopt(cx: &Cx, owner: &Rc<Owner>, tasks: GuestTasks) -> AdoptReply {
     if !owner.is_recovered() {
         return AdoptReply::NotOwner;
     }
     let (job, is_over, at_unix_ms) = (tasks.job, tasks.is_over, cx.unix_ms());
     if owner.owns_job(job) {
-        log::error!(job:% = job, shard:% = owner.handle.part, from = tasks.from.0; "a job of this shard is handed to it");
+        log::error!(job:% = job, shard:% = owner.handle.part, from = tasks.from.0; "another shard delegated tasks of a job that this shard owns");
         return AdoptReply::NotOwner;
     }
     log::info!(job:% = job, shard:% = owner.handle.part, from = tasks.from.0, tasks = tasks.tasks.len(), is_over; "tasks are adopted");
--- a/src/lapisdrum/sched/owner/directory.rs
+++ b/src/lapisdrum/sched/owner/directory.rs
@@ -1,4 +1,4 @@
-//! Follows the directory's list of workers, for those that the shard owns.
+//! Polls the directory for the shard's workers.
 
 use super::{Owner, runs, session::Session, visit};
 use crate::{
@@ -12,10 +12,10 @@
 use indexmap::IndexSet;
 use std::{rc::Rc, time::Duration};
 
-/// Time between two reads of the list: a worker that leaves gets no new task within 2 s of saying so.
+/// Time between two reads of the directory: a worker must get no new tasks from 2 s after it announces that it leaves.
 const POLL: Duration = Duration::from_millis(600);
 
-/// Follows the list until the shard is lost.
+/// Polls the directory until the shard is lost.
 pub async fn follow(cx: Cx, owner: Rc<Owner>) {
     while owner.is_serving() {
         let read = cx.directory.workers().await;
@@ -31,7 +31,6 @@
     }
 }
 
-/// The workers that the shard owns.
 fn of_shard(cx: &Cx, shard: ShardId, mut reports: Vec<WorkerReport>) -> Vec<WorkerReport> {
     let layout = cx.layout.borrow().clone();
     reports.retain(|report| layout.as_ref().and_then(|l| l.owner_of(report)) == Some(shard));
--- a/src/lapisdrum/sched/owner/dispatch.rs
+++ b/src/lapisdrum/sched/owner/dispatch.rs
@@ -1,5 +1,5 @@
-//! Places startable tasks: collects them, has [`crate::policy::dispatch`] rank and place them, journals
-//! the placements and orders the starts once they are durable.
+//! Dispatch loop of a shard: collects startable tasks, ranks and places them with
+//! [`crate::policy::dispatch`], journals the placements and orders the starts once these are durable.
 
 use super::{
     Owner,
@@ -30,9 +30,9 @@
 use indexmap::IndexMap;
 use std::{rc::Rc, time::Duration};
 
-/// Least time between two passes: what frees room within it is placed together.
+/// Minimum time between two passes, so that capacity freed within it is used by one pass.
 const PASS_SPACING: Duration = Duration::from_millis(5);
-/// Longest time between two passes, for occurrences that fall due and objectives that pass.
+/// Maximum time between two passes. Occurrences that fall due and objectives that pass do not wake the loop.
 const LONGEST_PAUSE: Duration = Duration::from_millis(100);
 
 /// A step with tasks that may start.
@@ -41,13 +41,13 @@
     step: StepId,
     tasks: Vec<u32>,
     load: Load,
-    /// The class that its tasks are counted in and what they take, if they are short work.
+    /// For short tasks: their class, and the sum of what they ask for in thousandths of a core.
     short: Option<(Class, u64)>,
     age_ms: u64,
 }
 
 impl Waiting {
-    /// Reports what keeps the hosts from taking its tasks, where that was looked for.
+    /// Logs why no host takes its tasks, if the pass determined that.
     fn note_wait(&self, owner: &Owner, shortage: Option<&Shortage>, hosts: &[Host], now: Millis) {
         let Some(shortage) = shortage else {
             return;
@@ -61,7 +61,7 @@
     }
 }
 
-/// Places until the shard is lost.
+/// Runs dispatch passes until the shard is lost.
 pub async fn run(cx: Cx, owner: Rc<Owner>) {
     while owner.is_serving() {
         if owner.may_place(&cx) {
@@ -73,7 +73,7 @@
 }
 
 impl Owner {
-    /// Whether tasks may be placed: the journal takes what is decided.
+    /// Whether tasks may be placed: the shard is recovered and its journal keeps up with appends.
     pub fn may_place(&self, cx: &Cx) -> bool {
         self.is_recovered() && self.journal.is_flowing(cx.clock.now())
     }
@@ -99,11 +99,10 @@
     }
 }
 
-/// How the placing of a step's tasks ended.
 enum PlaceEnd {
-    /// All of them have a place.
+    /// All tasks of the step are placed.
     Whole,
-    /// Some have none; what keeps hosts from taking them, where that was looked for.
+    /// Some tasks are not placed; why, if the pass determined that.
     Short(Option<Shortage>),
 }
 
@@ -125,7 +124,7 @@
     commit(cx, owner, placed);
 }
 
-/// Places what it can of the waiting steps, in their order.
+/// Places as many tasks of the waiting steps as fit, in the order of the steps.
 fn place_all(
     cx: &Cx,
     owner: &Owner,
@@ -171,7 +170,7 @@
     let (active, forecast) = (owner.active.borrow(), owner.forecast.borrow());
     let mut waiting = Vec::new();
     for id in active.iter() {
-        // An acceptance that isn't durable must have no effect.
+        // A job must have no effect before its acceptance is durable.
         if owner.accepting.borrow().contains_key(id) {
             continue;
         }
@@ -233,7 +232,7 @@
     }
 }
 
-/// Tasks of a step that are not done and of which no run can be alive.
+/// Indices of the tasks that are not done, have no live run and are not delegated to another shard.
 fn startable(job: &Job, step: &StepId, spec: &Step) -> Vec<u32> {
     let Some(state) = job.step(step) else {
         return (0..spec.count).collect();
@@ -244,7 +243,7 @@
     let is_free = |task: &Task| !task.is_done && task.live.is_empty() && task.elsewhere.is_none();
     let free = state.tasks.iter().enumerate().filter(|(_, t)| is_free(t));
     let free: Vec<u32> = free.map(|(at, _)| at as u32).collect();
-    // A gang starts whole, once nothing of its last run is alive.
+    // All tasks of a gang start together, once none of its last run is alive.
     if spec.gang != Gang::No && free.len() < spec.count as usize {
         return Vec::new();
     }
@@ -280,10 +279,9 @@
     reports.iter().map(host).collect()
 }
 
-/// A run and where it goes.
+/// A run and the worker that it is placed on.
 type Placed = (RunId, WorkerLife);
 
-/// What a task of the step needs.
 fn need_of<'a>(owner: &Owner, job: &'a Job, spec: &'a Step, step: &StepId) -> Need<'a> {
     let name = spec.image.as_ref();
     let image = name.map(|name| owner.pressure.borrow_mut().image(name));
@@ -368,8 +366,8 @@
     }
 }
 
-/// The image of a step that uses best-effort processors. What is in the way of one such step is in the way
-/// of the next with its image, so a pass looks at every host once an image and not once a step.
+/// The image of a best-effort step, else none. Once a best-effort step does not fit, a pass skips the others of its
+/// image: the same hosts would refuse them, and checking every host once per image is enough.
 fn best_effort_image(owner: &Owner, step: &StepId) -> Option<String> {
     let ledger = owner.ledger.borrow();
     let spec = &ledger.jobs[&step.job].spec.steps[usize::from(step.step)];
@@ -378,7 +376,7 @@
         .filter(|_| load_of(spec) == Load::BestEffort)
 }
 
-/// The long-running tasks among these that have run before: their users are without them.
+/// How many of these tasks are long-running and have run before: their service is interrupted.
 fn interrupted(job: &Job, step: &StepId, spec: &Step, tasks: &[u32]) -> usize {
     if !spec.is_long_running {
         return 0;
@@ -388,7 +386,7 @@
     tasks.iter().filter(has_run).count()
 }
 
-/// Keeps hosts free for so many tasks, as far as that is allowed.
+/// Keeps hosts free for this many tasks, up to the limit of [`keep_for`].
 fn keep_for_all(need: &Need, tasks: usize, hosts: &mut [Host]) {
     for _ in 0..tasks {
         if !keep_for(need, hosts) {
@@ -397,7 +395,7 @@
     }
 }
 
-/// The number of a task's next run; all members of a gang share theirs.
+/// The number of a task's next run; all tasks of a gang have the same.
 fn next_run(job: &Job, step: &StepId, spec: &Step, index: u32) -> RunNumber {
     let Some(state) = job.step(step) else {
         return RunNumber::default().next();
@@ -411,7 +409,7 @@
     }
 }
 
-/// Counts the tasks of the step on each host, where that is limited.
+/// Sets how many tasks of the step each host runs, if the step limits that.
 fn count_step(job: &Job, step: &StepId, spec: &Step, hosts: &mut [Host]) {
     for host in hosts.iter_mut() {
         host.of_step = 0;
--- a/src/lapisdrum/sched/owner/headroom.rs
+++ b/src/lapisdrum/sched/owner/headroom.rs
@@ -1,5 +1,5 @@
-//! Counts what short tasks hold and wait for in the shard, and what that leaves to new long-running tasks
-//! ([`crate::policy::dispatch::short_work`]).
+//! Counts the processors that short tasks of the shard hold and wait for, and computes how many that leaves for new
+//! long-running tasks ([`crate::policy::dispatch::short_work`]).
 
 use super::{
     Owner,
@@ -22,13 +22,13 @@
     }
 }
 
-/// The class in which a step's tasks are counted as short work; none for long-running and best-effort ones.
+/// The class under which a step's short tasks are counted; none for long-running and best-effort tasks.
 pub fn short_class(terms: &QueueTerms, step: &Step) -> Option<Class> {
     let is_short = !step.is_long_running && load_of(step) != Load::BestEffort;
     is_short.then(|| class_of(terms))
 }
 
-/// Notes a run that takes room from now on.
+/// Adds a placed run to what short tasks hold.
 pub fn note_placed(owner: &Owner, record: &RunRecord) {
     if let Some(class) = &record.short_class {
         let mut short_work = owner.short_work.borrow_mut();
@@ -36,7 +36,7 @@
     }
 }
 
-/// Notes a run that takes none any more.
+/// Removes an ended run from what short tasks hold.
 pub fn note_over(owner: &Owner, record: &RunRecord) {
     if let Some(class) = &record.short_class {
         let mut short_work = owner.short_work.borrow_mut();
@@ -44,7 +44,7 @@
     }
 }
 
-/// Notes what short tasks wait for: a class and thousandths of a core for each step.
+/// Replaces what short tasks wait for: class and thousandths of a core of each waiting step.
 pub fn note_waiting<'a>(
     owner: &Owner,
     waiting: impl Iterator<Item = &'a (Class, u64)>,
@@ -57,7 +57,7 @@
     owner.short_work.borrow_mut().note_waiting(&by_class, now);
 }
 
-/// How much of what is free a new long-running task of a queue may take, in thousandths of a core.
+/// How many thousandths of a core new long-running tasks of a queue may take in its pool.
 pub fn free_for_long_running(owner: &Owner, terms: &QueueTerms, hosts: &[Host]) -> u64 {
     let class = class_of(terms);
     let in_pool = || hosts.iter().filter(|host| host.pool == class.pool);
--- a/src/lapisdrum/sched/owner/learned.rs
+++ b/src/lapisdrum/sched/owner/learned.rs
@@ -1,11 +1,11 @@
-//! Hands what was learned of pressure on: to the next owner by a row in the store, to the owners of other shards
-//! by calls.
+//! Shares the interference model of a shard: with its next owner through a row in the store, with the owners of other
+//! shards through calls.
 //!
-//! It is advice only: a row that is missing, old or malformed costs a successor some seconds of learning, an
-//! answer that doesn't come costs the asker the same for the pairs that only the other has seen.
+//! The estimates are advisory. Without a valid recent row, the next owner takes some seconds to measure them again;
+//! without a reply, another owner does so for the pairs that it has not measured itself.
 //!
-//! Load pattern: several shards, each with its part of the workers and all with the same images. Each would
-//! learn every pair by itself, and try it on tasks that serve users.
+//! Load pattern: several shards run the same images, each on its own workers. Without sharing, each shard would have to
+//! measure every pair of images itself, at the expense of tasks that serve users.
 
 use super::Owner;
 use crate::{
@@ -21,38 +21,39 @@
 use indexmap::IndexMap;
 use std::{rc::Rc, time::Duration};
 
-/// Table of the row.
+/// Store table of the row with the estimates.
 const LEARNED_TABLE: &str = "learned";
-/// Its key.
+/// Key of that row in the shard's partition.
 const PRESSURE_KEY: &str = "pressure";
-/// Time between two writes: what was learned since is lost with an owner that dies.
+/// Time between two writes; estimates newer than the last write are lost with an owner that crashes.
 const WRITE_EVERY: Duration = Duration::from_millis(2_500);
-/// Most bytes of the row; the store takes 64 KiB. Four hundred pairs have 40 KiB.
+/// Maximum size of the row; the store's limit is 64 KiB. Four hundred pairs take 40 KiB.
 const MOST_BYTES: usize = 60 * 1024;
-/// Time between two calls to other owners, each shard in turn: an answer has some 6 KB at most, and what is new
-/// within five shards is known to all after 2 s.
+/// Time between two calls to other owners, one shard after the other. A reply has about 6 KB at most, and with five
+/// shards an update reaches all owners within 2 s.
 const ASK_EVERY: Duration = Duration::from_millis(400);
 
 data! {
-    /// Up to when an owner has told what it learned, on its own clock.
+    /// Time up to which an owner's updates were received, on that owner's clock.
     #[derive(Copy)]
     pub struct HeardUpto {
-        /// Its fencing token: another owner's clock is another one.
+        /// Fencing token of the owner. Another owner has another clock, so its times cannot be compared.
         token: u64,
-        /// Everything before this was told.
+        /// Everything older was received.
         at: Millis,
     }
 
-    /// What an owner tells another.
+    /// Update that an owner sends to another.
     pub struct Told {
-        /// Up to when this tells.
+        /// Time up to which the update is complete; sent with the next call.
         pub upto: HeardUpto,
-        /// What is new.
+        /// Estimates that are new or changed since the last update.
         pub learned: Learned,
     }
 }
 
-/// What this owner has learned by itself since the asker was last told.
+/// Estimates that this owner measured itself since `upto`, or all of them if `upto` is from another owner. None before
+/// the shard is recovered.
 pub fn tell(cx: &Cx, owner: &Owner, upto: Option<HeardUpto>) -> Option<Told> {
     if !owner.is_recovered() {
         return None;
@@ -67,7 +68,7 @@
     Some(Told { upto, learned })
 }
 
-/// Asks the owners of other shards what they have learned, until the shard is lost.
+/// Requests updates from the owners of other shards until the shard is lost.
 pub async fn hear(cx: Cx, owner: Rc<Owner>) {
     let mut heard: IndexMap<ShardId, HeardUpto> = IndexMap::new();
     let mut turn = 0;
@@ -86,7 +87,7 @@
             .pressure
             .borrow_mut()
             .adopt(u32::from(shard.0), &told.learned);
-        log::debug!(shard:% = owner.handle.part, from:% = shard.part(), pairs = told.learned.pairs(); "learned pressure heard");
+        log::debug!(shard:% = owner.handle.part, from:% = shard.part(), pairs = told.learned.pairs(); "interference estimates received");
     }
 }
 
@@ -96,7 +97,7 @@
     (!others.is_empty()).then(|| others[turn % others.len()])
 }
 
-/// Takes over what the owner before learned.
+/// Loads the estimates that the previous owner stored.
 pub async fn resume(cx: &Cx, owner: &Owner) {
     let rows = cx
         .store
@@ -108,18 +109,18 @@
         Some(learned) => {
             let resumed = Pressure::resumed(&learned);
             *owner.pressure.borrow_mut() = resumed;
-            log::info!(shard:% = owner.handle.part; "learned pressure is taken over");
+            log::info!(shard:% = owner.handle.part; "interference estimates loaded");
         }
-        None => log::info!(shard:% = owner.handle.part; "nothing learned to take over"),
+        None => log::info!(shard:% = owner.handle.part; "no interference estimates to load"),
     }
 }
 
-/// Writes what is learned until the shard is lost.
+/// Writes the estimates to the store until the shard is lost.
 pub async fn hand_on(cx: Cx, owner: Rc<Owner>) {
     let mut written = Vec::new();
     while owner.is_serving() {
         tokio::time::sleep(WRITE_EVERY).await;
-        // On a slow store the journal needs the part's few transactions.
+        // On a slow store, the few transactions of the partition are left to the journal.
         if !owner.journal.is_quick() {
             continue;
         }
@@ -144,5 +145,5 @@
         delete: Vec::new(),
     };
     let end = cx.store.commit(&txn).await;
-    log::debug!(end:? = end; "learned pressure written");
+    log::debug!(end:? = end; "interference estimates written");
 }
--- a/src/lapisdrum/sched/owner/predecessor.rs
+++ b/src/lapisdrum/sched/owner/predecessor.rs
@@ -1,21 +1,21 @@
-//! Finds out whether the owner before is gone for good.
+//! Detects that the previous owner's process has ended.
 //!
-//! An owner that the store turns away goes on renewing workers' leases for its hold, so its successor waits
-//! that long, and a lease more, before it gives up runs on workers that don't answer. With an owner and a
-//! worker lost together, the worker's tasks that last stood still for 12 s after the owner's end. A daemon that
-//! was killed is started again within a second under its address: an answer from another run there proves
-//! that the old one sends nothing any more, and the tasks are back 3 s sooner. From silence nothing follows.
+//! An owner that the store rejects continues to renew workers' leases for `owner_hold`, so the next owner waits that
+//! long plus one lease before it gives up runs on workers that do not answer. When an owner and a worker were lost
+//! together, the worker's long-running tasks were interrupted for 12 s after the owner's end. A killed daemon is
+//! restarted under its address within a second: a reply from another incarnation proves that the previous one sends
+//! nothing more, and the tasks run again 3 s sooner. A missing reply proves nothing.
 
 use super::Owner;
 use crate::{core::time::Millis, sched::Cx};
 use std::{rc::Rc, time::Duration};
 
-/// Time between two questions; a daemon takes some half a second to start again.
+/// Time between two probes; a daemon takes about half a second to restart.
 const ASK_EVERY: Duration = Duration::from_millis(300);
-/// Longest wait for an answer: many round trips between data centres.
+/// Timeout of a probe: many round trips between data centres.
 const ASK_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Asks at the address of the owner before, for as long as the answer would tell anything.
+/// Probes the previous owner's address until that owner has ended, or its hold has passed and the result is irrelevant.
 pub async fn follow(cx: Cx, owner: Rc<Owner>) {
     let Some(before) = owner.predecessor.clone().filter(|before| *before != cx.me) else {
         return;
@@ -27,15 +27,15 @@
                 owner.note_predecessor_gone(&cx, cx.clock.now());
                 return;
             }
-            // It is still there, or nobody says anything.
+            // The same incarnation still runs, or there is no reply.
             Ok(_) | Err(_) => tokio::time::sleep(ASK_EVERY).await,
         }
     }
 }
 
 impl Owner {
-    /// Notes that the owner before was gone for good by `at`. The one before that may still be renewing within
-    /// its own hold, which began before its successor took the shard.
+    /// Notes that the previous owner had ended by `at`. The owner before that one may still renew leases within its own
+    /// hold, which started before its successor took the shard.
     pub fn note_predecessor_gone(&self, cx: &Cx, at: Millis) {
         let at = at.max(self.predecessor_took_at + cx.cfg.leases.owner_hold);
         let before = self.predecessor.as_ref().map(|before| &before.daemon);
--- a/src/lapisdrum/sched/owner/send.rs
+++ b/src/lapisdrum/sched/owner/send.rs
@@ -1,13 +1,12 @@
-//! Hands jobs that last to the shard that has more room for them.
+//! Sends new long-running jobs to the less loaded of two shards: their home shard and another one drawn at random.
 //!
-//! Load pattern: some fifty lasting jobs of ninety cores a shard, which reserve 84 hundredths of it on average and
-//! stay for a minute. Dealt by a hash alone, the fullest of three shards is over nine tenths full; when workers
-//! leave, its tasks find no place for fifteen seconds while the other shards have room for them. So a
-//! job that lasts goes to the emptier of two shards, its home and one drawn at random, which is nearly as good
-//! as the emptiest of all and costs one call.
+//! Load pattern: about fifty long-running jobs of ninety cores per shard, which reserve 84 % of it on average and run
+//! for a minute. Placed by a hash alone, the fullest of three shards is more than 90 % reserved; when workers leave,
+//! its tasks wait fifteen seconds while other shards have free capacity. Choosing between two shards balances nearly
+//! as well as choosing the least loaded of all, and costs one call.
 //!
-//! The home decides once and remembers it, durably and before anybody is told: a repeat of the submission, at any
-//! daemon and any owner, is sent to the same shard, so the job is accepted in one only.
+//! The home shard decides once and journals the decision before it replies. A repeated submission, at any daemon and
+//! any owner, is sent to the same shard, so only one shard accepts the job.
 
 use super::{Owner, jobs::ANSWER_WITHIN};
 use crate::sched::{
@@ -23,17 +22,18 @@
 use rand::Rng;
 use std::{rc::Rc, time::Duration};
 
-/// A shard is emptier if it has so many thousandths less taken: about a lasting job's share of a shard.
+/// A shard counts as less loaded if its load is lower by more than this many thousandths: about the share of one
+/// long-running job.
 const EMPTIER_BY: u32 = 25;
-/// Longest wait for the other shard's answer; without one the job stays. Many round trips.
+/// Timeout of the call for the other shard's load: many round trips. Without a reply the job stays in its home shard.
 const LOAD_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// Whether a shard with this load leaves a lasting job to one with that load, both in thousandths.
+/// Whether a shard with load `own` sends a long-running job to one with load `other`, both in thousandths.
 pub fn is_emptier(own: u32, other: u32) -> bool {
     other.saturating_add(EMPTIER_BY) < own
 }
 
-/// What to answer to a submission that is for another shard; none where it is for this one.
+/// The reply to a submission that another shard has to accept; none if this shard has to.
 pub async fn elsewhere(
     cx: &Cx,
     owner: &Rc<Owner>,
@@ -55,7 +55,7 @@
         }
     }
     let to = owner.ledger.borrow().sent.get(&job).map(|sent| sent.to)?;
-    // An empty append is durable once everything before it is, the decision included.
+    // An empty append is durable once all earlier ones are, including the decision.
     let settled = owner.journal.append(&[]).end();
     match tokio::time::timeout(ANSWER_WITHIN, settled).await {
         Ok(AppendEnd::Durable) => Some(SubmitReply::Elsewhere(to)),
@@ -77,7 +77,7 @@
     !ledger.jobs.contains_key(&job) && !ledger.sent.contains_key(&job)
 }
 
-/// Another shard that may take a new lasting job; none for any other job, or one that belongs near its data.
+/// Another shard, drawn at random, for a new long-running job; none for other jobs and for those bound to a data rack.
 fn candidate(cx: &Cx, owner: &Owner, job: JobId, spec: &JobSpec) -> Option<ShardId> {
     let layout = cx.layout.borrow().clone()?;
     let lasts = spec.steps.iter().any(|step| step.is_long_running);
@@ -96,7 +96,7 @@
     Some(others[rand::rng().random_range(0..others.len())])
 }
 
-/// What a job's long-running tasks reserve in this shard, in thousandths of a core.
+/// Processors that a job's long-running tasks reserve in this shard, in thousandths of a core.
 fn lasting_millicores(job: &Job) -> u64 {
     let steps = job.spec.steps.iter().enumerate();
     let lasting = steps.filter(|(_, step)| step.is_long_running);
@@ -106,7 +106,8 @@
 }
 
 impl Owner {
-    /// What lasting jobs ask for of the shard's processors, in thousandths; none before its workers are known.
+    /// Processors that active jobs' long-running tasks ask for, in thousandths of the shard's capacity. None before the
+    /// shard is recovered and while no worker is open for tasks.
     pub fn lasting_load(&self, cx: &Cx) -> Option<u32> {
         if !self.is_recovered() {
             return None;
--- a/src/lapisdrum/sched/owner/strain.rs
+++ b/src/lapisdrum/sched/owner/strain.rs
@@ -1,4 +1,5 @@
-//! Watches the tails of serving tasks, and has best-effort tasks beside them give way.
+//! Watches the tail latency of serving tasks, and throttles or stops best-effort tasks on their hosts that interfere
+//! with them.
 
 use super::{
     Owner,
@@ -25,25 +26,26 @@
 use indexmap::IndexMap;
 use std::{rc::Rc, time::Duration};
 
-/// A task's effect on a tail begins to show this long after the task began or ended, and shows wholly
-/// after [`SHOWN_WHOLLY`]: the figure covers half a second and is smoothed.
+/// Tail latency starts to reflect the start or end of a task after this time, and reflects it fully after
+/// [`SHOWN_WHOLLY`]: the reported value covers half a second and is smoothed.
 const SHOWN_FIRST: Duration = Duration::from_millis(200);
 /// See [`SHOWN_FIRST`].
 const SHOWN_WHOLLY: Duration = Duration::from_millis(900);
-/// A best-effort task takes so many times its estimate, as long as nothing else is known of it.
+/// Expected duration of a best-effort task as a multiple of its estimate, until it reports progress.
 const USUAL_LENGTH: f64 = 1.3;
-/// Progress that tells how long the rest takes, in hundredths.
+/// Least progress, in percent, from which the remaining time is extrapolated.
 const LEAST_PROGRESS: f64 = 5.0;
-/// The load of a serving task is taken for the greatest of so many moments where it decides what is left over.
+/// When a host's idle processors are computed, the load of a serving task is the maximum over this many forecast
+/// points.
 const LOAD_MOMENTS: usize = 3;
-/// Once something gave way on a host, no other best-effort task is sent there for this long: its tails still tell of
-/// before. A part of that time is enough, since a placement weighs what is expected and not the tail alone; longer
-/// keeps hosts empty that have room.
+/// After a best-effort task was throttled or stopped, its host gets no other one for this long, since tail latency
+/// still reflects the former state. Shorter than [`SHOWN_WHOLLY`], because placement also uses the forecast; longer
+/// leaves hosts with free capacity empty.
 const CLOSED_AFTER_RELIEF: Duration = Duration::from_millis(400);
-/// How long a host stays clear of best-effort tasks then.
+/// How long a host gets no best-effort tasks after all of them were stopped.
 const CLOSED_AFTER_CLEARING: Duration = Duration::from_millis(3_000);
 
-/// Learns from a worker's lists, and acts on them.
+/// Updates the interference model with a worker's poll response, and mitigates interference on that worker.
 pub fn note(cx: &Cx, owner: &Rc<Owner>, worker: &str, lists: &Lists, now: Millis) {
     note_tails(owner, worker, lists, now);
     let over_for = note_overload(owner, worker, now);
@@ -69,7 +71,7 @@
     }
 }
 
-/// For how long a serving task there has been over its target.
+/// For how long a serving task on the worker has been over its latency target.
 fn note_overload(owner: &Owner, worker: &str, now: Millis) -> Option<Duration> {
     let (mut sessions, runs) = (owner.sessions.borrow_mut(), owner.runs.borrow());
     let session = sessions.get_mut(worker)?;
@@ -78,7 +80,7 @@
     session.overload.note(tails, now)
 }
 
-/// Takes the newest tails in, and learns from them what disturbs what.
+/// Updates the interference model and the loads of serving tasks with the tail latencies of a poll response.
 fn note_tails(owner: &Owner, worker: &str, lists: &Lists, now: Millis) {
     let beside = shown_pressers(owner, worker, now);
     let mut runs = owner.runs.borrow_mut();
@@ -96,7 +98,7 @@
             continue;
         };
         let tail_ms = listed.gauge as f64;
-        // The same figure again tells nothing new.
+        // An unchanged value is taken for the same sample.
         let is_new = std::mem::replace(&mut record.tail_ms, tail_ms) != tail_ms;
         let step = by_step.entry(listed.run.task.step_id());
         let tails = step.or_insert_with(|| Tails::of(victim));
@@ -115,7 +117,7 @@
     }
 }
 
-/// What a worker says of the tails of one step's tasks.
+/// Tail latencies that a worker reports for the tasks of one step.
 struct Tails {
     victim: Victim,
     all_ms: Vec<f64>,
@@ -132,19 +134,19 @@
     }
 }
 
-/// How long a best-effort task runs, by its estimate.
+/// Expected duration of a best-effort task, from its estimate.
 pub fn usual_length(estimate_ms: u64) -> Duration {
     Duration::from_millis(estimate_ms).mul_f64(USUAL_LENGTH)
 }
 
-/// How much of something that changed at `since` shows in a tail at `now`.
+/// How far tail latency at `now` reflects a change made at `since`, from 0 to 1.
 fn shown(since: Millis, now: Millis) -> f64 {
     let age = now.since(since).saturating_sub(SHOWN_FIRST).as_secs_f64();
     let whole = (SHOWN_WHOLLY - SHOWN_FIRST).as_secs_f64();
     (age / whole).min(1.0)
 }
 
-/// What presses on a host as far as it shows in tails by now, those that left included.
+/// Aggressors on a host, including ended ones, each weighted by how far tail latency reflects it at `now`.
 fn shown_pressers(owner: &Owner, worker: &str, now: Millis) -> Vec<Presser> {
     let capacity = capacity_of(owner, worker);
     let mut sessions = owner.sessions.borrow_mut();
@@ -170,7 +172,7 @@
 }
 
 impl Owner {
-    /// A run as a serving task, if it is one.
+    /// The run as a victim of interference, if it is a serving task of a known image.
     fn victim(&self, run: &RunId, record: &RunRecord) -> Option<Victim> {
         let target_ms = f64::from(record.target_ms?);
         let load = self.loads.borrow().get(&run.task.step_id()).copied();
@@ -184,8 +186,8 @@
 }
 
 impl RunRecord {
-    /// Notes the processors that a best-effort task was last seen to use. Tasks use from two thirds of what they ask
-    /// for upwards, and press by what they use.
+    /// Notes the processors that a best-effort task uses, once it has run unthrottled long enough. Tasks use two thirds
+    /// or more of what they ask for, and interfere by what they use.
     fn note_use(&mut self, millicores: u64, now: Millis) {
         let is_settled = self.pace == 100 && now.since(self.since) >= SHOWN_WHOLLY;
         if self.load == Load::BestEffort && is_settled && millicores > 0 {
@@ -193,7 +195,7 @@
         }
     }
 
-    /// How much longer it works at full pace: by what it did so far, else by what is usual.
+    /// Estimated time until the run ends if it is not throttled: from its progress, else from its estimate.
     fn left(&self, now: Millis) -> Duration {
         let usual = usual_length(self.estimate_ms);
         let seen = self.first_progress.zip(self.progress);
@@ -210,12 +212,12 @@
         left.saturating_sub(now.since(at))
     }
 
-    /// The processors that it uses at full pace, as far as known.
+    /// The processors that it uses when not throttled, in thousandths; what it asks for until that is measured.
     fn full_use_millicores(&self) -> u64 {
         self.used_millicores.unwrap_or(self.size.millicores)
     }
 
-    /// The interference that the run causes on a host with this many processors, if it is best-effort.
+    /// The run as an aggressor on a host with this capacity, if it is best-effort and its start was sent.
     pub fn presser(&self, millicores: u64) -> Option<Presser> {
         self.presser_at(millicores, self.pace)
     }
@@ -232,7 +234,7 @@
 }
 
 impl RunRecord {
-    /// What the run presses with as far as tails tell of it by now.
+    /// Like [`RunRecord::presser`], weighted by how far tail latency reflects its start and its last CPU limit.
     fn shown_presser(&self, millicores: u64, now: Millis) -> Option<Presser> {
         let at_full = self.presser_at(millicores, 100)?;
         let (before, at) = self.paced_from;
@@ -245,7 +247,7 @@
     }
 }
 
-/// The best-effort runs on a host, and the serving ones by their steps.
+/// The best-effort runs on a host with what mitigation needs to know of them, and its serving tasks by step.
 fn on_host(
     owner: &Owner,
     worker: &str,
@@ -289,7 +291,7 @@
     (ids, leftover, serving.into_values().collect())
 }
 
-/// Serving tasks on a host with the strain expected of them, for the placing of further tasks.
+/// Serving tasks on a host, by step, with their utilisation forecast, for the placement of further tasks.
 pub fn strained(owner: &Owner, worker: &str, millicores: u64, now: Millis) -> Vec<Strained> {
     let (sessions, runs) = (owner.sessions.borrow(), owner.runs.borrow());
     let Some(session) = sessions.get(worker) else {
@@ -334,7 +336,7 @@
 }
 
 impl RunRecord {
-    /// Like [`RunRecord::presser`], for a run that is placed but not started too.
+    /// Like [`RunRecord::presser`] for a run that is not throttled, also before its start is sent.
     fn planned_presser(&self, millicores: u64) -> Option<Presser> {
         let image = self.image.filter(|_| self.load == Load::BestEffort)?;
         Some(Presser {
@@ -348,7 +350,7 @@
     match action {
         Action::Stop => {
             close(owner, worker, now + CLOSED_AFTER_RELIEF);
-            runs::order_stop(cx, owner, run, "presses on a serving task");
+            runs::order_stop(cx, owner, run, "interferes with a serving task");
         }
         Action::Pace(percent) => {
             let before = owner
@@ -370,7 +372,7 @@
     });
 }
 
-/// Notes a run's end for the tails that still tell of it.
+/// Notes a run's end, since tail latency reflects the run for some time after it.
 pub fn note_departure(owner: &Owner, worker: &str, record: &RunRecord, now: Millis) {
     let capacity = capacity_of(owner, worker);
     if let Some(presser) = record.presser(capacity) {
@@ -397,7 +399,7 @@
             .workers
             .pace(&address, &worker, run, percent, token)
             .await;
-        // Asked for again at the next look that finds it wanting.
+        // Without a confirmed order the old limit counts, so that a later poll response can order it again.
         if !matches!(end, OrderEnd::Done(_))
             && let Some(record) = owner.runs.borrow_mut().get_mut(&run)
         {
@@ -406,7 +408,7 @@
     });
 }
 
-/// Clears a host of best-effort tasks for a while.
+/// Stops all best-effort tasks on a host, and keeps new ones away for [`CLOSED_AFTER_CLEARING`].
 fn clear(
     cx: &Cx,
     owner: &Rc<Owner>,
@@ -415,7 +417,7 @@
     leftover: &[BestEffort],
     now: Millis,
 ) {
-    log::warn!(worker, leftover = leftover.len(); "a tail stays over its target; best-effort tasks are moved away");
+    log::warn!(worker, leftover = leftover.len(); "tail latency stays over its target; stopping best-effort tasks of the host");
     close(owner, worker, now + CLOSED_AFTER_CLEARING);
     for (run, left) in runs.iter().zip(leftover) {
         if !left.is_stopping {
