--- a/src/lapisdrum/sched/owner/backlog.rs
+++ b/src/lapisdrum/sched/owner/backlog.rs
@@ -16,9 +16,9 @@
 
 /// Minimum time between two checks of why a step waits. With hundreds of waiting steps, each logs a line at most twice
 /// per second, and only when its reason changes.
-const WHY_EVERY: Duration = Duration::from_millis(500);
+const REASON_INTERVAL: Duration = Duration::from_millis(500);
 /// Time between two lines with totals.
-const REPORT_EVERY: Duration = Duration::from_secs(1);
+const REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Totals over the tasks of one kind of load.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -68,7 +68,7 @@
 
     fn is_report_due(&self, now: Millis) -> bool {
         let waiting = self.serving.waiting + self.reserving.waiting + self.best_effort.waiting;
-        let is_due = |at| now.since(at) >= REPORT_EVERY;
+        let is_due = |at| now.since(at) >= REPORT_INTERVAL;
         waiting > 0 && self.reported_at.is_none_or(is_due)
     }
 
@@ -122,11 +122,11 @@
 }
 
 /// Whether it is time to check again why a step waits.
-pub fn is_why_due(owner: &Owner, step: &StepId, now: Millis) -> bool {
+pub fn is_reason_due(owner: &Owner, step: &StepId, now: Millis) -> bool {
     let waits = owner.waits.borrow();
     waits
         .get(step)
-        .is_none_or(|(_, said_at)| now.since(*said_at) >= WHY_EVERY)
+        .is_none_or(|(_, checked_at)| now.since(*checked_at) >= REASON_INTERVAL)
 }
 
 /// Logs why a step waits and how the hosts' capacity is used, if the reason has changed.
@@ -137,7 +137,7 @@
     room: impl FnOnce() -> Room,
     now: Millis,
 ) {
-    let (Some(why), true) = (shortage.main(), is_why_due(owner, &waiting.step, now)) else {
+    let (Some(why), true) = (shortage.main(), is_reason_due(owner, &waiting.step, now)) else {
         return;
     };
     let before = owner.waits.borrow_mut().insert(waiting.step, (why, now));
--- a/src/lapisdrum/sched/owner/delegate.rs
+++ b/src/lapisdrum/sched/owner/delegate.rs
@@ -28,15 +28,15 @@
 use std::{rc::Rc, time::Duration};
 
 /// Time between two rounds of delegation and confirmation.
-const ROUND: Duration = Duration::from_millis(200);
+const ROUND_INTERVAL: Duration = Duration::from_millis(200);
 /// A task is delegated after waiting this long: most are placed before, as short tasks end.
 const STRANDED_AFTER: Duration = Duration::from_millis(800);
 /// Timeout of a call that asks a shard for an offer: many round trips between data centres.
-const ROOM_TIMEOUT: Duration = Duration::from_millis(150);
+const OFFER_TIMEOUT: Duration = Duration::from_millis(150);
 /// A shard offers its free capacity divided by this at a time: its own tasks may need the rest.
-const ROOM_PART: u64 = 4;
+const OFFER_DIVISOR: u64 = 4;
 /// How long an offer counts as taken. On a healthy store the tasks are journaled and adopted within this time.
-const OFFER_HOLDS: Duration = Duration::from_millis(1_000);
+const OFFER_VALIDITY: Duration = Duration::from_millis(1_000);
 
 /// State of the tasks that an owner delegates.
 #[derive(Default)]
@@ -86,11 +86,11 @@
 pub async fn run(cx: Cx, owner: Rc<Owner>) {
     reopen(&owner);
     while owner.is_serving() {
-        tokio::time::sleep(ROUND).await;
+        tokio::time::sleep(ROUND_INTERVAL).await;
         if owner.may_place(&cx) {
             delegate_stranded(&cx, &owner).await;
         }
-        settle_open(&cx, &owner).await;
+        confirm_open(&cx, &owner).await;
     }
 }
 
@@ -106,7 +106,7 @@
 async fn delegate_stranded(cx: &Cx, owner: &Rc<Owner>) {
     let stranded = stranded(owner, cx.clock.now());
     let delegating = stranded.into_iter().map(async |(need, tasks)| {
-        if let Some((to, room)) = roomiest(cx, owner, &need, tasks.len()).await {
+        if let Some((to, room)) = best_offer(cx, owner, &need, tasks.len()).await {
             let count = tasks.len().min(room as usize);
             delegate(cx, owner, to, &tasks[..count]).await;
         }
@@ -178,20 +178,25 @@
 }
 
 /// The shard that offers capacity for most of these tasks, and for how many.
-async fn roomiest(cx: &Cx, owner: &Owner, need: &TaskNeed, tasks: usize) -> Option<(ShardId, u32)> {
+async fn best_offer(
+    cx: &Cx,
+    owner: &Owner,
+    need: &TaskNeed,
+    tasks: usize,
+) -> Option<(ShardId, u32)> {
     let layout = cx.layout.borrow().clone()?;
     let wanted = u32::try_from(tasks).unwrap_or(u32::MAX);
     let others = layout.all().filter(|shard| *shard != owner.handle.shard);
     let asked = others.map(async |shard| {
         let handle = cx.handle(shard);
         let offer = front::offer_of(cx, &handle, need, wanted);
-        let offered = tokio::time::timeout(ROOM_TIMEOUT, offer).await;
+        let offered = tokio::time::timeout(OFFER_TIMEOUT, offer).await;
         // A shard that does not answer in time offers nothing in this round.
         (shard, offered.ok().flatten().unwrap_or_default())
     });
     let offers = futures::future::join_all(asked).await;
-    let roomiest = offers.into_iter().max_by_key(|(_, room)| *room);
-    roomiest.filter(|(_, room)| *room > 0)
+    let best_offer = offers.into_iter().max_by_key(|(_, room)| *room);
+    best_offer.filter(|(_, room)| *room > 0)
 }
 
 async fn delegate(cx: &Cx, owner: &Rc<Owner>, to: ShardId, tasks: &[TaskId]) {
@@ -216,9 +221,9 @@
 }
 
 /// Sends other shards the tasks and ends that they have not confirmed yet.
-async fn settle_open(cx: &Cx, owner: &Rc<Owner>) {
+async fn confirm_open(cx: &Cx, owner: &Rc<Owner>) {
     let open: Vec<JobId> = owner.delegations.borrow().open.iter().copied().collect();
-    let settling = open.iter().map(|job| settle_job(cx, owner, *job));
+    let settling = open.iter().map(|job| confirm_job(cx, owner, *job));
     futures::future::join_all(settling).await;
     for job in open {
         // The job may have ended while its tasks were being adopted.
@@ -228,7 +233,7 @@
     }
 }
 
-async fn settle_job(cx: &Cx, owner: &Rc<Owner>, id: JobId) {
+async fn confirm_job(cx: &Cx, owner: &Rc<Owner>, id: JobId) {
     for (shard, tasks) in unconfirmed(owner, id) {
         let ids: Vec<TaskId> = tasks.tasks.iter().map(|(task, _)| *task).collect();
         let is_over = tasks.is_over;
@@ -307,18 +312,18 @@
     /// taken for a second, else several shards would delegate tasks to the same few hosts. None while the shard cannot
     /// place tasks.
     pub fn offer_room(&self, cx: &Cx, need: &TaskNeed, wanted: u32) -> Option<u32> {
-        let room = self.room_for(cx, need)?;
+        let room = self.capacity_for(cx, need)?;
         let now = cx.clock.now();
         let offered = &mut self.delegations.borrow_mut().offered;
-        offered.retain(|(_, at)| now.since(*at) < OFFER_HOLDS);
+        offered.retain(|(_, at)| now.since(*at) < OFFER_VALIDITY);
         let taken: u64 = offered.iter().map(|(count, _)| count).sum();
-        let offer = room.saturating_sub(taken).div_ceil(ROOM_PART);
+        let offer = room.saturating_sub(taken).div_ceil(OFFER_DIVISOR);
         let offer = offer.min(u64::from(wanted));
         offered.push((offer, now));
         Some(u32::try_from(offer).unwrap_or(u32::MAX))
     }
 
-    fn room_for(&self, cx: &Cx, need: &TaskNeed) -> Option<u64> {
+    fn capacity_for(&self, cx: &Cx, need: &TaskNeed) -> Option<u64> {
         if !self.may_place(cx) {
             return None;
         }
@@ -330,14 +335,14 @@
                 && !host.is_suspect
                 && label.is_none_or(|label| host.labels.contains(label))
         });
-        let room: u64 = fitting.map(|host| room_on(host, &need.size)).sum();
+        let room: u64 = fitting.map(|host| capacity_on(host, &need.size)).sum();
         Some(room.saturating_sub(self.interrupted_long_running()))
     }
 }
 
 /// How many tasks of this size fit on a host once its short tasks have ended: of its processors, only those that
 /// serving tasks reserve count as taken.
-fn room_on(host: &Host, size: &Size) -> u64 {
+fn capacity_on(host: &Host, size: &Size) -> u64 {
     let room = Size {
         millicores: host.unserving_millicores(),
         ..host.free()
--- a/src/lapisdrum/sched/owner/directory.rs
+++ b/src/lapisdrum/sched/owner/directory.rs
@@ -13,7 +13,7 @@
 use std::{rc::Rc, time::Duration};
 
 /// Time between two reads of the directory: a worker must get no new tasks from 2 s after it announces that it leaves.
-const POLL: Duration = Duration::from_millis(600);
+const POLL_INTERVAL: Duration = Duration::from_millis(600);
 
 /// Polls the directory until the shard is lost.
 pub async fn follow(cx: Cx, owner: Rc<Owner>) {
@@ -21,7 +21,7 @@
         let read = cx.directory.workers().await;
         cx.note_store(read.as_ref().map(|_| ()));
         let was_refused = read.as_ref().is_err_and(|e| e.is_rate_limited);
-        let pause = polling::urgent_pause(POLL, was_refused, &mut rand::rng());
+        let pause = polling::urgent_pause(POLL_INTERVAL, was_refused, &mut rand::rng());
         if let Ok(reports) = read {
             layout::extend(&cx, &reports, owner.handle.shard == ShardId(0)).await;
             let own = of_shard(&cx, owner.handle.shard, reports);
--- a/src/lapisdrum/sched/owner/dispatch.rs
+++ b/src/lapisdrum/sched/owner/dispatch.rs
@@ -31,12 +31,12 @@
 use std::{rc::Rc, time::Duration};
 
 /// Minimum time between two passes, so that capacity freed within it is used by one pass.
-const PASS_SPACING: Duration = Duration::from_millis(5);
+const MIN_PASS_INTERVAL: Duration = Duration::from_millis(5);
 /// Maximum time between two passes. Occurrences that fall due and objectives that pass do not wake the loop.
-const LONGEST_PAUSE: Duration = Duration::from_millis(100);
+const MAX_PASS_INTERVAL: Duration = Duration::from_millis(100);
 
 /// A step with tasks that may start.
-struct Waiting {
+struct StartableStep {
     rank: Rank,
     step: StepId,
     tasks: Vec<u32>,
@@ -46,7 +46,7 @@
     age_ms: u64,
 }
 
-impl Waiting {
+impl StartableStep {
     /// Logs why no host takes its tasks, if the pass determined that.
     fn note_wait(&self, owner: &Owner, shortage: Option<&Shortage>, hosts: &[Host], now: Millis) {
         let Some(shortage) = shortage else {
@@ -67,8 +67,8 @@
         if owner.may_place(&cx) {
             pass(&cx, &owner);
         }
-        let _ = tokio::time::timeout(LONGEST_PAUSE, owner.wake.notified()).await;
-        tokio::time::sleep(PASS_SPACING).await;
+        let _ = tokio::time::timeout(MAX_PASS_INTERVAL, owner.wake.notified()).await;
+        tokio::time::sleep(MIN_PASS_INTERVAL).await;
     }
 }
 
@@ -99,11 +99,11 @@
     }
 }
 
-enum PlaceEnd {
+enum PlaceOutcome {
     /// All tasks of the step are placed.
-    Whole,
+    All,
     /// Some tasks are not placed; why, if the pass determined that.
-    Short(Option<Shortage>),
+    Partial(Option<Shortage>),
 }
 
 fn pass(cx: &Cx, owner: &Rc<Owner>) {
@@ -128,28 +128,28 @@
 fn place_all(
     cx: &Cx,
     owner: &Owner,
-    waiting: &[Waiting],
+    waiting: &[StartableStep],
     reports: &[Rc<WorkerReport>],
     hosts: &mut Vec<Host>,
 ) -> Vec<Placed> {
     let now = cx.clock.now();
     let mut placed = Vec::new();
-    let mut without_room: IndexMap<String, Option<Shortage>> = IndexMap::new();
+    let mut unfit_images: IndexMap<String, Option<Shortage>> = IndexMap::new();
     owner.backlog.borrow_mut().begin();
     let short = waiting.iter().filter_map(|waiting| waiting.short.as_ref());
     headroom::note_waiting(owner, short, now);
     for waiting in waiting {
         let len_before = placed.len();
         let image = best_effort_image(owner, &waiting.step);
-        let known = image.as_ref().and_then(|image| without_room.get(image));
+        let known = image.as_ref().and_then(|image| unfit_images.get(image));
         if let Some(shortage) = known {
             waiting.note_wait(owner, shortage.as_ref(), hosts, now);
         } else {
-            let is_why_due = backlog::is_why_due(owner, &waiting.step, now);
-            let end = place_step(owner, waiting, reports, hosts, &mut placed, is_why_due);
-            if let PlaceEnd::Short(shortage) = end {
+            let is_reason_due = backlog::is_reason_due(owner, &waiting.step, now);
+            let end = place_step(owner, waiting, reports, hosts, &mut placed, is_reason_due);
+            if let PlaceOutcome::Partial(shortage) = end {
                 waiting.note_wait(owner, shortage.as_ref(), hosts, now);
-                without_room.extend(image.map(|image| (image, shortage)));
+                unfit_images.extend(image.map(|image| (image, shortage)));
             }
         }
         let done = placed.len() - len_before;
@@ -164,7 +164,7 @@
     placed
 }
 
-fn collect(cx: &Cx, owner: &Owner) -> Vec<Waiting> {
+fn collect(cx: &Cx, owner: &Owner) -> Vec<StartableStep> {
     let now_unix_ms = cx.unix_ms();
     let ledger = owner.ledger.borrow();
     let (active, forecast) = (owner.active.borrow(), owner.forecast.borrow());
@@ -186,7 +186,7 @@
     job: &Job,
     forecast: &Forecast,
     now_unix_ms: u64,
-    waiting: &mut Vec<Waiting>,
+    waiting: &mut Vec<StartableStep>,
 ) {
     let chains = job.spec.chains_ms();
     let chain_ms = chains.iter().copied().max().unwrap_or_default();
@@ -220,7 +220,7 @@
             };
             let millicores = spec.size.millicores * tasks.len() as u64;
             let class = headroom::short_class(&job.terms, spec);
-            waiting.push(Waiting {
+            waiting.push(StartableStep {
                 rank: standing.rank(),
                 step,
                 tasks,
@@ -267,7 +267,12 @@
             capacity: report.capacity,
             reserved: session.tally.reserved,
             best_effort_millicores: session.tally.best_effort_millicores,
-            serving: strain::strained(owner, &report.life.worker, report.capacity.millicores, now),
+            serving: strain::serving_tasks(
+                owner,
+                &report.life.worker,
+                report.capacity.millicores,
+                now,
+            ),
             is_open_for_best_effort: now >= session.best_effort_closed_until,
             of_step: 0,
             is_suspect: session.is_suspect(now),
@@ -293,7 +298,7 @@
         data_rack: spec.data_rack.as_deref(),
         max_per_worker: spec.max_per_worker,
         image,
-        duration: strain::usual_length(spec.estimate_ms),
+        duration: strain::expected_duration(spec.estimate_ms),
         victim: image
             .zip(spec.latency_target_ms)
             .map(|(image, target_ms)| Victim {
@@ -307,12 +312,12 @@
 
 fn place_step(
     owner: &Owner,
-    waiting: &Waiting,
+    waiting: &StartableStep,
     reports: &[Rc<WorkerReport>],
     hosts: &mut Vec<Host>,
     placed: &mut Vec<Placed>,
-    is_why_due: bool,
-) -> PlaceEnd {
+    is_reason_due: bool,
+) -> PlaceOutcome {
     let ledger = owner.ledger.borrow();
     let job = &ledger.jobs[&waiting.step.job];
     let spec = &job.spec.steps[usize::from(waiting.step.step)];
@@ -339,8 +344,8 @@
         let Some(at) = choose(&need, hosts, &pressure) else {
             let unplaced = &waiting.tasks[nth..];
             let interrupted = interrupted(job, &waiting.step, spec, unplaced);
-            keep_for_all(&need, interrupted, hosts);
-            if is_why_due {
+            keep_hosts(&need, interrupted, hosts);
+            if is_reason_due {
                 why = Shortage::of(&need, hosts, &pressure);
             }
             break;
@@ -361,8 +366,8 @@
         placed.truncate(len);
     }
     match placed.len() - len_before == waiting.tasks.len() {
-        true => PlaceEnd::Whole,
-        false => PlaceEnd::Short(why),
+        true => PlaceOutcome::All,
+        false => PlaceOutcome::Partial(why),
     }
 }
 
@@ -387,7 +392,7 @@
 }
 
 /// Keeps hosts free for this many tasks, up to the limit of [`keep_for`].
-fn keep_for_all(need: &Need, tasks: usize, hosts: &mut [Host]) {
+fn keep_hosts(need: &Need, tasks: usize, hosts: &mut [Host]) {
     for _ in 0..tasks {
         if !keep_for(need, hosts) {
             return;
--- a/src/lapisdrum/sched/owner/learned.rs
+++ b/src/lapisdrum/sched/owner/learned.rs
@@ -26,12 +26,12 @@
 /// Key of that row in the shard's partition.
 const PRESSURE_KEY: &str = "pressure";
 /// Time between two writes; estimates newer than the last write are lost with an owner that crashes.
-const WRITE_EVERY: Duration = Duration::from_millis(2_500);
+const WRITE_INTERVAL: Duration = Duration::from_millis(2_500);
 /// Maximum size of the row; the store's limit is 64 KiB. Four hundred pairs take 40 KiB.
-const MOST_BYTES: usize = 60 * 1024;
+const MAX_ROW_BYTES: usize = 60 * 1024;
 /// Time between two calls to other owners, one shard after the other. A reply has about 6 KB at most, and with five
 /// shards an update reaches all owners within 2 s.
-const ASK_EVERY: Duration = Duration::from_millis(400);
+const REQUEST_INTERVAL: Duration = Duration::from_millis(400);
 
 data! {
     /// Time up to which an owner's updates were received, on that owner's clock.
@@ -73,7 +73,7 @@
     let mut heard: IndexMap<ShardId, HeardUpto> = IndexMap::new();
     let mut turn = 0;
     while owner.is_serving() {
-        tokio::time::sleep(ASK_EVERY).await;
+        tokio::time::sleep(REQUEST_INTERVAL).await;
         let Some(shard) = other_shard(&cx, &owner, turn) else {
             continue;
         };
@@ -119,14 +119,14 @@
 pub async fn hand_on(cx: Cx, owner: Rc<Owner>) {
     let mut written = Vec::new();
     while owner.is_serving() {
-        tokio::time::sleep(WRITE_EVERY).await;
+        tokio::time::sleep(WRITE_INTERVAL).await;
         // On a slow store, the few transactions of the partition are left to the journal.
         if !owner.journal.is_quick() {
             continue;
         }
         let learned = Learned::from(&*owner.pressure.borrow());
         let value = serde_json::to_vec(&learned).unwrap_or_default();
-        if value != written && value.len() <= MOST_BYTES {
+        if value != written && value.len() <= MAX_ROW_BYTES {
             write(&cx, &owner, &value).await;
             written = value;
         }
--- a/src/lapisdrum/sched/owner/predecessor.rs
+++ b/src/lapisdrum/sched/owner/predecessor.rs
@@ -11,9 +11,9 @@
 use std::{rc::Rc, time::Duration};
 
 /// Time between two probes; a daemon takes about half a second to restart.
-const ASK_EVERY: Duration = Duration::from_millis(300);
+const PROBE_INTERVAL: Duration = Duration::from_millis(300);
 /// Timeout of a probe: many round trips between data centres.
-const ASK_TIMEOUT: Duration = Duration::from_millis(500);
+const PROBE_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Probes the previous owner's address until that owner has ended, or its hold has passed and the result is irrelevant.
 pub async fn follow(cx: Cx, owner: Rc<Owner>) {
@@ -22,13 +22,13 @@
     };
     let until = owner.predecessor_renewed_at + cx.cfg.leases.owner_hold;
     while owner.is_serving() && cx.clock.now() < until {
-        match cx.peers.who(&before.address, ASK_TIMEOUT).await {
+        match cx.peers.who(&before.address, PROBE_TIMEOUT).await {
             Ok(now) if now.run.incarnation != before.incarnation => {
                 owner.note_predecessor_gone(&cx, cx.clock.now());
                 return;
             }
             // The same incarnation still runs, or there is no reply.
-            Ok(_) | Err(_) => tokio::time::sleep(ASK_EVERY).await,
+            Ok(_) | Err(_) => tokio::time::sleep(PROBE_INTERVAL).await,
         }
     }
 }
--- a/src/lapisdrum/sched/owner/send.rs
+++ b/src/lapisdrum/sched/owner/send.rs
@@ -24,13 +24,13 @@
 
 /// A shard counts as less loaded if its load is lower by more than this many thousandths: about the share of one
 /// long-running job.
-const EMPTIER_BY: u32 = 25;
+const MIN_LOAD_DIFFERENCE_PERMILLE: u32 = 25;
 /// Timeout of the call for the other shard's load: many round trips. Without a reply the job stays in its home shard.
 const LOAD_TIMEOUT: Duration = Duration::from_millis(150);
 
 /// Whether a shard with load `own` sends a long-running job to one with load `other`, both in thousandths.
-pub fn is_emptier(own: u32, other: u32) -> bool {
-    other.saturating_add(EMPTIER_BY) < own
+pub fn is_less_loaded(own: u32, other: u32) -> bool {
+    other.saturating_add(MIN_LOAD_DIFFERENCE_PERMILLE) < own
 }
 
 /// The reply to a submission that another shard has to accept; none if this shard has to.
@@ -47,7 +47,7 @@
         let theirs = asked.ok().flatten();
         let is_decided = !is_new(owner, job);
         if let (false, Some(own), Some(theirs)) = (is_decided, own, theirs)
-            && is_emptier(own, theirs)
+            && is_less_loaded(own, theirs)
             && owner.journal.is_flowing(cx.clock.now())
         {
             log::info!(job:% = job, from:% = owner.handle.part, to:% = handle.part, own, theirs; "job is sent to another shard");
@@ -97,7 +97,7 @@
 }
 
 /// Processors that a job's long-running tasks reserve in this shard, in thousandths of a core.
-fn lasting_millicores(job: &Job) -> u64 {
+fn long_running_millicores(job: &Job) -> u64 {
     let steps = job.spec.steps.iter().enumerate();
     let lasting = steps.filter(|(_, step)| step.is_long_running);
     lasting
@@ -117,7 +117,7 @@
         let (ledger, active) = (self.ledger.borrow(), self.active.borrow());
         let jobs = active.iter().filter_map(|id| ledger.jobs.get(id));
         let jobs = jobs.filter(|job| job.phase == Phase::Active);
-        let asked: u64 = jobs.map(lasting_millicores).sum();
+        let asked: u64 = jobs.map(long_running_millicores).sum();
         (capacity > 0).then(|| u32::try_from(asked * 1_000 / capacity).unwrap_or(u32::MAX))
     }
 }
--- a/src/lapisdrum/sched/owner/strain.rs
+++ b/src/lapisdrum/sched/owner/strain.rs
@@ -27,21 +27,21 @@
 use std::{rc::Rc, time::Duration};
 
 /// Tail latency starts to reflect the start or end of a task after this time, and reflects it fully after
-/// [`SHOWN_WHOLLY`]: the reported value covers half a second and is smoothed.
-const SHOWN_FIRST: Duration = Duration::from_millis(200);
-/// See [`SHOWN_FIRST`].
-const SHOWN_WHOLLY: Duration = Duration::from_millis(900);
+/// [`EFFECT_FULL_AFTER`]: the reported value covers half a second and is smoothed.
+const EFFECT_STARTS_AFTER: Duration = Duration::from_millis(200);
+/// See [`EFFECT_STARTS_AFTER`].
+const EFFECT_FULL_AFTER: Duration = Duration::from_millis(900);
 /// Expected duration of a best-effort task as a multiple of its estimate, until it reports progress.
-const USUAL_LENGTH: f64 = 1.3;
+const DURATION_FACTOR: f64 = 1.3;
 /// Least progress, in percent, from which the remaining time is extrapolated.
-const LEAST_PROGRESS: f64 = 5.0;
+const MIN_PROGRESS_PERCENT: f64 = 5.0;
 /// When a host's idle processors are computed, the load of a serving task is the maximum over this many forecast
 /// points.
-const LOAD_MOMENTS: usize = 3;
+const LOAD_POINTS: usize = 3;
 /// After a best-effort task was throttled or stopped, its host gets no other one for this long, since tail latency
-/// still reflects the former state. Shorter than [`SHOWN_WHOLLY`], because placement also uses the forecast; longer
+/// still reflects the former state. Shorter than [`EFFECT_FULL_AFTER`], because placement also uses the forecast; longer
 /// leaves hosts with free capacity empty.
-const CLOSED_AFTER_RELIEF: Duration = Duration::from_millis(400);
+const CLOSED_AFTER_MITIGATION: Duration = Duration::from_millis(400);
 /// How long a host gets no best-effort tasks after all of them were stopped.
 const CLOSED_AFTER_CLEARING: Duration = Duration::from_millis(3_000);
 
@@ -82,7 +82,7 @@
 
 /// Updates the interference model and the loads of serving tasks with the tail latencies of a poll response.
 fn note_tails(owner: &Owner, worker: &str, lists: &Lists, now: Millis) {
-    let beside = shown_pressers(owner, worker, now);
+    let beside = visible_aggressors(owner, worker, now);
     let mut runs = owner.runs.borrow_mut();
     let mut pressure = owner.pressure.borrow_mut();
     if pressure.refit_if_due(now) {
@@ -135,25 +135,30 @@
 }
 
 /// Expected duration of a best-effort task, from its estimate.
-pub fn usual_length(estimate_ms: u64) -> Duration {
-    Duration::from_millis(estimate_ms).mul_f64(USUAL_LENGTH)
+pub fn expected_duration(estimate_ms: u64) -> Duration {
+    Duration::from_millis(estimate_ms).mul_f64(DURATION_FACTOR)
 }
 
 /// How far tail latency at `now` reflects a change made at `since`, from 0 to 1.
 fn shown(since: Millis, now: Millis) -> f64 {
-    let age = now.since(since).saturating_sub(SHOWN_FIRST).as_secs_f64();
-    let whole = (SHOWN_WHOLLY - SHOWN_FIRST).as_secs_f64();
+    let age = now
+        .since(since)
+        .saturating_sub(EFFECT_STARTS_AFTER)
+        .as_secs_f64();
+    let whole = (EFFECT_FULL_AFTER - EFFECT_STARTS_AFTER).as_secs_f64();
     (age / whole).min(1.0)
 }
 
 /// Aggressors on a host, including ended ones, each weighted by how far tail latency reflects it at `now`.
-fn shown_pressers(owner: &Owner, worker: &str, now: Millis) -> Vec<Presser> {
+fn visible_aggressors(owner: &Owner, worker: &str, now: Millis) -> Vec<Presser> {
     let capacity = capacity_of(owner, worker);
     let mut sessions = owner.sessions.borrow_mut();
     let Some(session) = sessions.get_mut(worker) else {
         return Vec::new();
     };
-    session.departed.retain(|d| now.since(d.at) < SHOWN_WHOLLY);
+    session
+        .departed
+        .retain(|d| now.since(d.at) < EFFECT_FULL_AFTER);
     let departed = session.departed.iter().map(|departed| Presser {
         share: departed.presser.share * (1.0 - shown(departed.at, now)),
         ..departed.presser
@@ -161,7 +166,7 @@
     let mut beside: Vec<Presser> = departed.collect();
     let runs = owner.runs.borrow();
     let here = session.runs.iter().filter_map(|run| runs.get(run));
-    beside.extend(here.filter_map(|record| record.shown_presser(capacity, now)));
+    beside.extend(here.filter_map(|record| record.visible_aggressor(capacity, now)));
     beside
 }
 
@@ -189,7 +194,7 @@
     /// Notes the processors that a best-effort task uses, once it has run unthrottled long enough. Tasks use two thirds
     /// or more of what they ask for, and interfere by what they use.
     fn note_use(&mut self, millicores: u64, now: Millis) {
-        let is_settled = self.pace == 100 && now.since(self.since) >= SHOWN_WHOLLY;
+        let is_settled = self.pace == 100 && now.since(self.since) >= EFFECT_FULL_AFTER;
         if self.load == Load::BestEffort && is_settled && millicores > 0 {
             self.used_millicores = Some(millicores);
         }
@@ -197,7 +202,7 @@
 
     /// Estimated time until the run ends if it is not throttled: from its progress, else from its estimate.
     fn left(&self, now: Millis) -> Duration {
-        let usual = usual_length(self.estimate_ms);
+        let usual = expected_duration(self.estimate_ms);
         let seen = self.first_progress.zip(self.progress);
         let Some(((first, began_at), (done, at))) = seen else {
             return usual.saturating_sub(now.since(self.since));
@@ -205,7 +210,7 @@
         let todo = f64::from(100_u32.saturating_sub(done));
         let worked = f64::from(done.saturating_sub(first));
         let took = at.since(began_at);
-        let left = match worked >= LEAST_PROGRESS {
+        let left = match worked >= MIN_PROGRESS_PERCENT {
             true => took.mul_f64(todo / worked),
             false => usual.mul_f64(todo / 100.0),
         };
@@ -213,19 +218,19 @@
     }
 
     /// The processors that it uses when not throttled, in thousandths; what it asks for until that is measured.
-    fn full_use_millicores(&self) -> u64 {
+    fn unthrottled_millicores(&self) -> u64 {
         self.used_millicores.unwrap_or(self.size.millicores)
     }
 
     /// The run as an aggressor on a host with this capacity, if it is best-effort and its start was sent.
     pub fn presser(&self, millicores: u64) -> Option<Presser> {
-        self.presser_at(millicores, self.pace)
+        self.aggressor_at(millicores, self.pace)
     }
 
-    fn presser_at(&self, millicores: u64, pace: u32) -> Option<Presser> {
+    fn aggressor_at(&self, millicores: u64, pace: u32) -> Option<Presser> {
         let image = self.image.filter(|_| self.load == Load::BestEffort)?;
         let is_there = !matches!(self.known.order, Order::NotSent);
-        let used = self.full_use_millicores() as f64 * f64::from(pace) / 100.0;
+        let used = self.unthrottled_millicores() as f64 * f64::from(pace) / 100.0;
         is_there.then(|| Presser {
             image,
             share: used / millicores.max(1) as f64,
@@ -235,8 +240,8 @@
 
 impl RunRecord {
     /// Like [`RunRecord::presser`], weighted by how far tail latency reflects its start and its last CPU limit.
-    fn shown_presser(&self, millicores: u64, now: Millis) -> Option<Presser> {
-        let at_full = self.presser_at(millicores, 100)?;
+    fn visible_aggressor(&self, millicores: u64, now: Millis) -> Option<Presser> {
+        let at_full = self.aggressor_at(millicores, 100)?;
         let (before, at) = self.paced_from;
         let changed = shown(at, now);
         let pace = f64::from(before) * (1.0 - changed) + f64::from(self.pace) * changed;
@@ -280,7 +285,7 @@
         ids.push(*run);
         leftover.push(BestEffort {
             image,
-            share: record.full_use_millicores() as f64 / capacity.max(1) as f64,
+            share: record.unthrottled_millicores() as f64 / capacity.max(1) as f64,
             pace: record.pace,
             is_checkpointing: record.is_checkpointing,
             is_stopping: record.known.stop != Stop::No,
@@ -292,7 +297,7 @@
 }
 
 /// Serving tasks on a host, by step, with their utilisation forecast, for the placement of further tasks.
-pub fn strained(owner: &Owner, worker: &str, millicores: u64, now: Millis) -> Vec<Strained> {
+pub fn serving_tasks(owner: &Owner, worker: &str, millicores: u64, now: Millis) -> Vec<Strained> {
     let (sessions, runs) = (owner.sessions.borrow(), owner.runs.borrow());
     let Some(session) = sessions.get(worker) else {
         return Vec::new();
@@ -305,7 +310,7 @@
     let mut serving: IndexMap<StepId, Strained> = IndexMap::new();
     let mut beside: Vec<(Presser, usize)> = Vec::new();
     for (run, record) in here {
-        if let Some(presser) = record.planned_presser(millicores) {
+        if let Some(presser) = record.planned_aggressor(millicores) {
             beside.push((presser, outlook::moments_within(record.left(now))));
         }
         let Some(victim) = owner.victim(run, record) else {
@@ -319,7 +324,7 @@
             Strained {
                 victim,
                 millicores: 0,
-                load: load[..LOAD_MOMENTS].iter().copied().fold(0.0, f64::max),
+                load: load[..LOAD_POINTS].iter().copied().fold(0.0, f64::max),
                 outlook: Outlook::unpressed(0, limit, load.map(|load| load + surprise)),
             }
         });
@@ -337,11 +342,11 @@
 
 impl RunRecord {
     /// Like [`RunRecord::presser`] for a run that is not throttled, also before its start is sent.
-    fn planned_presser(&self, millicores: u64) -> Option<Presser> {
+    fn planned_aggressor(&self, millicores: u64) -> Option<Presser> {
         let image = self.image.filter(|_| self.load == Load::BestEffort)?;
         Some(Presser {
             image,
-            share: self.full_use_millicores() as f64 / millicores.max(1) as f64,
+            share: self.unthrottled_millicores() as f64 / millicores.max(1) as f64,
         })
     }
 }
@@ -349,7 +354,7 @@
 fn act(cx: &Cx, owner: &Rc<Owner>, worker: &str, run: RunId, action: Action, now: Millis) {
     match action {
         Action::Stop => {
-            close(owner, worker, now + CLOSED_AFTER_RELIEF);
+            close(owner, worker, now + CLOSED_AFTER_MITIGATION);
             runs::order_stop(cx, owner, run, "interferes with a serving task");
         }
         Action::Pace(percent) => {
@@ -359,7 +364,7 @@
                 .get(&run)
                 .map_or(100, |record| record.pace);
             if percent < before {
-                close(owner, worker, now + CLOSED_AFTER_RELIEF);
+                close(owner, worker, now + CLOSED_AFTER_MITIGATION);
             }
             pace(cx, owner, worker, run, percent);
         }
