--- a/src/lapisdrum/sched/owner/backlog.rs
+++ b/src/lapisdrum/sched/owner/backlog.rs
@@ -1,7 +1,7 @@
-//! Reports what waits for room in the shard, who holds that room and who was placed meanwhile.
+//! Logs which tasks wait for capacity in the shard, how the capacity is used and how many tasks were placed meanwhile.
 //!
-//! A line for each waiting step says why that step waits, whenever that changes. Whether other tasks were placed past it
-//! shows only in sums over all of them: one line a second while anything waits.
+//! Each waiting step gets a line with its reason whenever that changes. Whether other tasks were placed before it shows
+//! only in totals: one line per second while tasks wait.
 
 use super::Owner;
 use crate::{
@@ -14,24 +14,23 @@
 };
 use std::time::Duration;
 
-/// Time between two looks at what keeps a step waiting: with hundreds of steps waiting a line for each is said
-/// at most twice a second, and only when it changes.
-const WHY_EVERY: Duration = Duration::from_millis(500);
-/// Time between two reports in sum.
-const REPORT_EVERY: Duration = Duration::from_secs(1);
+/// Minimum time between two checks of why a step waits. With hundreds of waiting steps, each logs a line at most twice
+/// per second, and only when its reason changes.
+const REASON_INTERVAL: Duration = Duration::from_millis(500);
+/// Time between two lines with totals.
+const REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Tasks of one kind of load.
+/// Totals over the tasks of one kind of load.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 struct Tasks {
-    /// How many wait.
     waiting: usize,
-    /// Since when the oldest of their jobs is due, in milliseconds.
+    /// Time since the oldest waiting step fell due.
     oldest_ms: u64,
-    /// How many were placed since the last report.
+    /// Placed since the last line with totals.
     placed: usize,
 }
 
-/// What waits, and what was placed since the last report.
+/// Waiting and placed tasks of a shard, by kind of load.
 #[derive(Clone, Debug, Default)]
 pub struct Backlog {
     serving: Tasks,
@@ -49,7 +48,7 @@
         }
     }
 
-    /// Begins a pass over everything that waits.
+    /// Resets the counts of waiting tasks at the start of a dispatch pass.
     pub fn begin(&mut self) {
         for load in [Load::Serving, Load::Reserving, Load::BestEffort] {
             let tasks = self.of(load);
@@ -57,7 +56,7 @@
         }
     }
 
-    /// Notes how many tasks of a step were placed in this pass, and how many go on waiting.
+    /// Counts the tasks of a step that this pass placed, and those that still wait.
     pub fn note(&mut self, load: Load, placed: usize, waiting: usize, age_ms: u64) {
         let tasks = self.of(load);
         tasks.placed += placed;
@@ -69,11 +68,11 @@
 
     fn is_report_due(&self, now: Millis) -> bool {
         let waiting = self.serving.waiting + self.reserving.waiting + self.best_effort.waiting;
-        let is_due = |at| now.since(at) >= REPORT_EVERY;
+        let is_due = |at| now.since(at) >= REPORT_INTERVAL;
         waiting > 0 && self.reported_at.is_none_or(is_due)
     }
 
-    /// Ends a pass; reports where that is due.
+    /// Ends a dispatch pass; logs the totals if that is due.
     pub fn end(&mut self, cx: &Cx, owner: &Owner, room: impl FnOnce() -> Room) {
         let now = cx.clock.now();
         if !self.is_report_due(now) {
@@ -112,25 +111,25 @@
     }
 }
 
-/// A step of which tasks have no place.
+/// A step with tasks that a dispatch pass did not place.
 pub struct WaitingStep {
-    /// The step.
+    /// Id of the step, under which its last reason is kept.
     pub step: StepId,
-    /// How many of its tasks wait.
+    /// Number of tasks that are not placed.
     pub tasks: usize,
-    /// Their kind of load.
+    /// Kind of load of the tasks.
     pub load: Load,
 }
 
-/// Whether it is time to say again what a step waits for.
-pub fn is_why_due(owner: &Owner, step: &StepId, now: Millis) -> bool {
+/// Whether it is time to check again why a step waits.
+pub fn is_reason_due(owner: &Owner, step: &StepId, now: Millis) -> bool {
     let waits = owner.waits.borrow();
     waits
         .get(step)
-        .is_none_or(|(_, said_at)| now.since(*said_at) >= WHY_EVERY)
+        .is_none_or(|(_, checked_at)| now.since(*checked_at) >= REASON_INTERVAL)
 }
 
-/// Logs what a step waits for, where that is new, and how full the hosts are.
+/// Logs why a step waits and how the hosts' capacity is used, if the reason has changed.
 pub fn note_wait(
     owner: &Owner,
     waiting: &WaitingStep,
@@ -138,7 +137,7 @@
     room: impl FnOnce() -> Room,
     now: Millis,
 ) {
-    let (Some(why), true) = (shortage.main(), is_why_due(owner, &waiting.step, now)) else {
+    let (Some(why), true) = (shortage.main(), is_reason_due(owner, &waiting.step, now)) else {
         return;
     };
     let before = owner.waits.borrow_mut().insert(waiting.step, (why, now));
--- a/src/lapisdrum/sched/owner/dispatch.rs
+++ b/src/lapisdrum/sched/owner/dispatch.rs
@@ -1,5 +1,5 @@
-//! Places startable tasks: collects them, has [`crate::policy::dispatch`] rank and place them, journals
-//! the placements and orders the starts once they are durable.
+//! Dispatch loop of a shard: collects startable tasks, ranks and places them with
+//! [`crate::policy::dispatch`], journals the placements and orders the starts once these are durable.
 
 use super::{
     Owner,
@@ -30,24 +30,24 @@
 use indexmap::IndexMap;
 use std::{rc::Rc, time::Duration};
 
-/// Least time between two passes: what frees room within it is placed together.
-const PASS_SPACING: Duration = Duration::from_millis(5);
-/// Longest time between two passes, for occurrences that fall due and objectives that pass.
-const LONGEST_PAUSE: Duration = Duration::from_millis(100);
+/// Minimum time between two passes, so that capacity freed within it is used by one pass.
+const MIN_PASS_INTERVAL: Duration = Duration::from_millis(5);
+/// Maximum time between two passes. Occurrences that fall due and objectives that pass do not wake the loop.
+const MAX_PASS_INTERVAL: Duration = Duration::from_millis(100);
 
 /// A step with tasks that may start.
-struct Waiting {
+struct StartableStep {
     rank: Rank,
     step: StepId,
     tasks: Vec<u32>,
     load: Load,
-    /// The class that its tasks are counted in and what they take, if they are short work.
+    /// For short tasks: their class, and the sum of what they ask for in thousandths of a core.
     short: Option<(Class, u64)>,
     age_ms: u64,
 }
 
-impl Waiting {
-    /// Reports what keeps the hosts from taking its tasks, where that was looked for.
+impl StartableStep {
+    /// Logs why no host takes its tasks, if the pass determined that.
     fn note_wait(&self, owner: &Owner, shortage: Option<&Shortage>, hosts: &[Host], now: Millis) {
         let Some(shortage) = shortage else {
             return;
@@ -61,19 +61,19 @@
     }
 }
 
-/// Places until the shard is lost.
+/// Runs dispatch passes until the shard is lost.
 pub async fn run(cx: Cx, owner: Rc<Owner>) {
     while owner.is_serving() {
         if owner.may_place(&cx) {
             pass(&cx, &owner);
         }
-        let _ = tokio::time::timeout(LONGEST_PAUSE, owner.wake.notified()).await;
-        tokio::time::sleep(PASS_SPACING).await;
+        let _ = tokio::time::timeout(MAX_PASS_INTERVAL, owner.wake.notified()).await;
+        tokio::time::sleep(MIN_PASS_INTERVAL).await;
     }
 }
 
 impl Owner {
-    /// Whether tasks may be placed: the journal takes what is decided.
+    /// Whether tasks may be placed: the shard is recovered and its journal keeps up with appends.
     pub fn may_place(&self, cx: &Cx) -> bool {
         self.is_recovered() && self.journal.is_flowing(cx.clock.now())
     }
@@ -99,12 +99,11 @@
     }
 }
 
-/// How the placing of a step's tasks ended.
-enum PlaceEnd {
-    /// All of them have a place.
-    Whole,
-    /// Some have none; what keeps hosts from taking them, where that was looked for.
-    Short(Option<Shortage>),
+enum PlaceOutcome {
+    /// All tasks of the step are placed.
+    All,
+    /// Some tasks are not placed; why, if the pass determined that.
+    Partial(Option<Shortage>),
 }
 
 fn pass(cx: &Cx, owner: &Rc<Owner>) {
@@ -125,32 +124,32 @@
     commit(cx, owner, placed);
 }
 
-/// Places what it can of the waiting steps, in their order.
+/// Places as many tasks of the waiting steps as fit, in the order of the steps.
 fn place_all(
     cx: &Cx,
     owner: &Owner,
-    waiting: &[Waiting],
+    waiting: &[StartableStep],
     reports: &[Rc<WorkerReport>],
     hosts: &mut Vec<Host>,
 ) -> Vec<Placed> {
     let now = cx.clock.now();
     let mut placed = Vec::new();
-    let mut without_room: IndexMap<String, Option<Shortage>> = IndexMap::new();
+    let mut unfit_images: IndexMap<String, Option<Shortage>> = IndexMap::new();
     owner.backlog.borrow_mut().begin();
     let short = waiting.iter().filter_map(|waiting| waiting.short.as_ref());
     headroom::note_waiting(owner, short, now);
     for waiting in waiting {
         let len_before = placed.len();
         let image = best_effort_image(owner, &waiting.step);
-        let known = image.as_ref().and_then(|image| without_room.get(image));
+        let known = image.as_ref().and_then(|image| unfit_images.get(image));
         if let Some(shortage) = known {
             waiting.note_wait(owner, shortage.as_ref(), hosts, now);
         } else {
-            let is_why_due = backlog::is_why_due(owner, &waiting.step, now);
-            let end = place_step(owner, waiting, reports, hosts, &mut placed, is_why_due);
-            if let PlaceEnd::Short(shortage) = end {
+            let is_reason_due = backlog::is_reason_due(owner, &waiting.step, now);
+            let end = place_step(owner, waiting, reports, hosts, &mut placed, is_reason_due);
+            if let PlaceOutcome::Partial(shortage) = end {
                 waiting.note_wait(owner, shortage.as_ref(), hosts, now);
-                without_room.extend(image.map(|image| (image, shortage)));
+                unfit_images.extend(image.map(|image| (image, shortage)));
             }
         }
         let done = placed.len() - len_before;
@@ -165,13 +164,13 @@
     placed
 }
 
-fn collect(cx: &Cx, owner: &Owner) -> Vec<Waiting> {
+fn collect(cx: &Cx, owner: &Owner) -> Vec<StartableStep> {
     let now_unix_ms = cx.unix_ms();
     let ledger = owner.ledger.borrow();
     let (active, forecast) = (owner.active.borrow(), owner.forecast.borrow());
     let mut waiting = Vec::new();
     for id in active.iter() {
-        // An acceptance that isn't durable must have no effect.
+        // A job must have no effect before its acceptance is durable.
         if owner.accepting.borrow().contains_key(id) {
             continue;
         }
@@ -187,7 +186,7 @@
     job: &Job,
     forecast: &Forecast,
     now_unix_ms: u64,
-    waiting: &mut Vec<Waiting>,
+    waiting: &mut Vec<StartableStep>,
 ) {
     let chains = job.spec.chains_ms();
     let chain_ms = chains.iter().copied().max().unwrap_or_default();
@@ -221,7 +220,7 @@
             };
             let millicores = spec.size.millicores * tasks.len() as u64;
             let class = headroom::short_class(&job.terms, spec);
-            waiting.push(Waiting {
+            waiting.push(StartableStep {
                 rank: standing.rank(),
                 step,
                 tasks,
@@ -233,7 +232,7 @@
     }
 }
 
-/// Tasks of a step that are not done and of which no run can be alive.
+/// Indices of the tasks that are not done, have no live run and are not delegated to another shard.
 fn startable(job: &Job, step: &StepId, spec: &Step) -> Vec<u32> {
     let Some(state) = job.step(step) else {
         return (0..spec.count).collect();
@@ -244,7 +243,7 @@
     let is_free = |task: &Task| !task.is_done && task.live.is_empty() && task.elsewhere.is_none();
     let free = state.tasks.iter().enumerate().filter(|(_, t)| is_free(t));
     let free: Vec<u32> = free.map(|(at, _)| at as u32).collect();
-    // A gang starts whole, once nothing of its last run is alive.
+    // All tasks of a gang start together, once none of its last run is alive.
     if spec.gang != Gang::No && free.len() < spec.count as usize {
         return Vec::new();
     }
@@ -268,7 +267,12 @@
             capacity: report.capacity,
             reserved: session.tally.reserved,
             best_effort_millicores: session.tally.best_effort_millicores,
-            serving: strain::strained(owner, &report.life.worker, report.capacity.millicores, now),
+            serving: strain::serving_tasks(
+                owner,
+                &report.life.worker,
+                report.capacity.millicores,
+                now,
+            ),
             is_open_for_best_effort: now >= session.best_effort_closed_until,
             of_step: 0,
             is_suspect: session.is_suspect(now),
@@ -280,10 +284,9 @@
     reports.iter().map(host).collect()
 }
 
-/// A run and where it goes.
+/// A run and the worker that it is placed on.
 type Placed = (RunId, WorkerLife);
 
-/// What a task of the step needs.
 fn need_of<'a>(owner: &Owner, job: &'a Job, spec: &'a Step, step: &StepId) -> Need<'a> {
     let name = spec.image.as_ref();
     let image = name.map(|name| owner.pressure.borrow_mut().image(name));
@@ -295,7 +298,7 @@
         data_rack: spec.data_rack.as_deref(),
         max_per_worker: spec.max_per_worker,
         image,
-        duration: strain::usual_length(spec.estimate_ms),
+        duration: strain::expected_duration(spec.estimate_ms),
         victim: image
             .zip(spec.latency_target_ms)
             .map(|(image, target_ms)| Victim {
@@ -309,12 +312,12 @@
 
 fn place_step(
     owner: &Owner,
-    waiting: &Waiting,
+    waiting: &StartableStep,
     reports: &[Rc<WorkerReport>],
     hosts: &mut Vec<Host>,
     placed: &mut Vec<Placed>,
-    is_why_due: bool,
-) -> PlaceEnd {
+    is_reason_due: bool,
+) -> PlaceOutcome {
     let ledger = owner.ledger.borrow();
     let job = &ledger.jobs[&waiting.step.job];
     let spec = &job.spec.steps[usize::from(waiting.step.step)];
@@ -341,8 +344,8 @@
         let Some(at) = choose(&need, hosts, &pressure) else {
             let unplaced = &waiting.tasks[nth..];
             let interrupted = interrupted(job, &waiting.step, spec, unplaced);
-            keep_for_all(&need, interrupted, hosts);
-            if is_why_due {
+            keep_hosts(&need, interrupted, hosts);
+            if is_reason_due {
                 why = Shortage::of(&need, hosts, &pressure);
             }
             break;
@@ -363,13 +366,13 @@
         placed.truncate(len);
     }
     match placed.len() - len_before == waiting.tasks.len() {
-        true => PlaceEnd::Whole,
-        false => PlaceEnd::Short(why),
+        true => PlaceOutcome::All,
+        false => PlaceOutcome::Partial(why),
     }
 }
 
-/// The image of a step that uses best-effort processors. What is in the way of one such step is in the way
-/// of the next with its image, so a pass looks at every host once an image and not once a step.
+/// The image of a best-effort step, else none. Once a best-effort step does not fit, a pass skips the others of its
+/// image: the same hosts would refuse them, and checking every host once per image is enough.
 fn best_effort_image(owner: &Owner, step: &StepId) -> Option<String> {
     let ledger = owner.ledger.borrow();
     let spec = &ledger.jobs[&step.job].spec.steps[usize::from(step.step)];
@@ -378,7 +381,7 @@
         .filter(|_| load_of(spec) == Load::BestEffort)
 }
 
-/// The long-running tasks among these that have run before: their users are without them.
+/// How many of these tasks are long-running and have run before: their service is interrupted.
 fn interrupted(job: &Job, step: &StepId, spec: &Step, tasks: &[u32]) -> usize {
     if !spec.is_long_running {
         return 0;
@@ -388,8 +391,8 @@
     tasks.iter().filter(has_run).count()
 }
 
-/// Keeps hosts free for so many tasks, as far as that is allowed.
-fn keep_for_all(need: &Need, tasks: usize, hosts: &mut [Host]) {
+/// Keeps hosts free for this many tasks, up to the limit of [`keep_for`].
+fn keep_hosts(need: &Need, tasks: usize, hosts: &mut [Host]) {
     for _ in 0..tasks {
         if !keep_for(need, hosts) {
             return;
@@ -397,7 +400,7 @@
     }
 }
 
-/// The number of a task's next run; all members of a gang share theirs.
+/// The number of a task's next run; all tasks of a gang have the same.
 fn next_run(job: &Job, step: &StepId, spec: &Step, index: u32) -> RunNumber {
     let Some(state) = job.step(step) else {
         return RunNumber::default().next();
@@ -411,7 +414,7 @@
     }
 }
 
-/// Counts the tasks of the step on each host, where that is limited.
+/// Sets how many tasks of the step each host runs, if the step limits that.
 fn count_step(job: &Job, step: &StepId, spec: &Step, hosts: &mut [Host]) {
     for host in hosts.iter_mut() {
         host.of_step = 0;
