--- a/src/lapisdrum/sched/owner/jobs.rs
+++ b/src/lapisdrum/sched/owner/jobs.rs
@@ -1,4 +1,4 @@
-//! What the owner answers about jobs: submission, state, cancel, and how many wait.
+//! Serves requests about jobs: submission, state, cancellation and the number of pending jobs.
 
 use super::{Owner, send};
 use crate::{
@@ -16,15 +16,15 @@
 use std::{rc::Rc, time::Duration};
 use tokio::sync::watch;
 
-/// Longest time until an answer: a caller takes an owner that is silent for longer for unreachable.
+/// Longest time until a reply; callers treat an owner that takes longer as unreachable.
 pub(super) const ANSWER_WITHIN: Duration = Duration::from_millis(700);
-/// When a caller should come back that is refused while the store doesn't take rows.
+/// Retry delay for callers that are refused while the store does not accept rows.
 const STORE_AWAY_RETRY: Duration = Duration::from_secs(1);
 
-/// The same while every data centre is evacuated: operators take one back within seconds at the soonest.
+/// Retry delay for callers while every data centre is evacuated; operators need at least seconds to restore one.
 const EVACUATED_RETRY: Duration = Duration::from_secs(5);
 
-/// Takes a job in. A repeat of an id finds the job that is there.
+/// Accepts a job. A repeated submission of the same id returns the state of the existing job.
 pub async fn submit(
     cx: &Cx,
     owner: &Rc<Owner>,
@@ -94,7 +94,7 @@
     log::info!(job:% = id, queue:% = job.terms.queue, shard:% = owner.handle.part, steps:% = Shape::from(&*job.spec), objective_ms; "job accepted");
 }
 
-/// Tells a job's state; only what is durable is told.
+/// Returns a job's state; an acceptance or end that is not durable yet is not shown.
 pub fn show(cx: &Cx, owner: &Owner, id: JobId) -> ShowReply {
     if !owner.is_recovered() {
         return ShowReply::NotOwner;
@@ -128,7 +128,7 @@
     job.map(|job| job.phase)
 }
 
-/// Cancels a job.
+/// Cancels a job; also succeeds for one that has already ended.
 pub async fn cancel(cx: &Cx, owner: &Rc<Owner>, job: JobId) -> CancelReply {
     if !owner.is_recovered() {
         return CancelReply::NotOwner;
@@ -143,7 +143,7 @@
             owner.note_if_over(cx, job);
             ticket
         }
-        // Durable once everything before is: an earlier cancel may not be yet.
+        // An empty append is durable once all earlier ones are; an earlier cancellation may not be durable yet.
         Some(_) => owner.journal.append(&[]),
     };
     match tokio::time::timeout(owner.journal.patience(), ticket.end()).await {
@@ -152,7 +152,7 @@
     }
 }
 
-/// Jobs of a queue of which nothing was started.
+/// Number of a queue's jobs that have not started; none unless this is certainly the only owner.
 pub fn pending(cx: &Cx, owner: &Owner, queue: &str) -> Option<u64> {
     if !owner.is_sole_owner(cx) {
         return None;
--- a/src/lapisdrum/sched/owner/mod.rs
+++ b/src/lapisdrum/sched/owner/mod.rs
@@ -1,9 +1,10 @@
-//! The owner of the shard: remembers its jobs, places their tasks, keeps the workers' leases.
+//! The owner of a shard: keeps the state of its jobs, places their tasks and renews the workers' leases.
 //!
-//! An owner begins by reading the journal, then *claims* each worker: it looks at it under its own
-//! fencing token, after which the worker does nothing for an earlier owner, and learns what runs there.
-//! It starts nothing on a worker before that. [`directory`] follows the list of workers, [`visit`] looks
-//! at each of them, [`runs`] sends and settles orders, [`dispatch`] places, [`jobs`] serves callers.
+//! An owner first reads the journal, then *claims* each worker: it polls the worker under its own fencing
+//! token, after which the worker refuses orders of earlier owners, and receives the list of runs there. It
+//! starts nothing on a worker before that. [`directory`] follows the list of workers, [`visit`] polls
+//! each of them, [`runs`] sends orders and resolves their outcome, [`dispatch`] places tasks, [`jobs`]
+//! serves callers.
 
 pub mod backlog;
 pub mod delegate;
@@ -52,10 +53,10 @@
 };
 use tokio::sync::{Mutex, Notify, watch};
 
-/// Wait before a recovery that failed is tried again.
+/// Delay before a failed recovery is retried.
 const RECOVERY_RETRY: Duration = Duration::from_millis(200);
 
-/// How long it is remembered that orders were carried out late: longer than the latest of them takes.
+/// How long late execution of an order is remembered: longer than such an execution can be delayed.
 const HABIT_REMEMBERED: Duration = Duration::from_secs(30);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -65,64 +66,64 @@
     Lost,
 }
 
-/// The shard under this owner.
+/// State of a shard that this daemon owns.
 pub struct Owner {
-    /// The shard.
+    /// This daemon's view of the shard: its partition and lease.
     pub handle: Rc<ShardHandle>,
     fence: (RowKey, u64),
-    /// When the take-over was sent.
+    /// When the take-over transaction was sent.
     pub taken_at: Millis,
-    /// The owner before, if there was one.
+    /// The previous owner; none for the first one.
     pub predecessor: Option<Holder>,
-    /// It renewed its lease no later than this.
+    /// Latest time at which the previous owner can have renewed its lease.
     pub predecessor_renewed_at: Millis,
-    /// It took the shard no later than this.
+    /// Latest time at which the previous owner can have taken the shard.
     pub predecessor_took_at: Millis,
-    /// From when on nobody before us can have sent a lease, once it was found to be gone for good.
+    /// No earlier owner sent a lease after this time; set once the previous owner is known to have ended.
     pub predecessor_gone_at: Cell<Option<Millis>>,
-    /// When a worker was last seen to leave an order unanswered and to answer a later call.
+    /// When a worker last left an order unanswered and answered a later call.
     late_habit_at: Cell<Option<Millis>>,
-    /// The version of the lease row as last written.
+    /// Version of the lease row that this owner last wrote.
     pub lease_version: Cell<u64>,
-    /// When the last renewal that took effect was sent.
+    /// When the last successful renewal of the shard's lease was sent.
     pub renewed_at: Cell<Millis>,
-    /// Held while the lease row is being written.
+    /// Locked while the lease row is written.
     pub renewing: Mutex<()>,
-    /// The journal.
+    /// Writes events to the store, conditional on the fence.
     pub journal: Journal,
-    /// What the shard remembers, with everything appended so far.
+    /// Jobs and tasks of the shard, including events that are not durable yet.
     pub ledger: RefCell<Ledger>,
-    /// What is known beyond that of runs that may be alive.
+    /// Runs that may be alive, with what the journal does not hold.
     pub runs: RefCell<IndexMap<RunId, RunRecord>>,
-    /// What is known of workers.
+    /// Workers by id.
     pub sessions: RefCell<IndexMap<String, Session>>,
-    /// Jobs that are not over.
+    /// Jobs that have not ended.
     pub active: RefCell<IndexSet<JobId>>,
-    /// Jobs of which the acceptance is not durable yet, with its outcome.
+    /// Jobs whose acceptance is not durable yet; the channel receives the outcome.
     pub accepting: RefCell<IndexMap<JobId, watch::Receiver<Option<AppendEnd>>>>,
-    /// Jobs of which the end is not durable, and so not shown.
+    /// Jobs whose end is not durable yet; callers still see them as active.
     pub ending: RefCell<IndexSet<JobId>>,
-    /// Workers on which a task has failed; it is tried elsewhere first.
+    /// Workers on which a task has failed; other workers are tried first.
     pub failed_on: RefCell<IndexMap<TaskId, Vec<String>>>,
-    /// What disturbs what, learned anew by each owner.
+    /// Interference model: starts from the previous owner's estimates, if they can be read.
     pub pressure: RefCell<Pressure>,
-    /// Loads of serving steps.
+    /// Load estimates of serving steps.
     pub loads: RefCell<IndexMap<StepId, ServingLoad>>,
-    /// How long jobs really take, learned anew by each owner.
+    /// Duration estimates of jobs; each owner starts without any.
     pub forecast: RefCell<Forecast>,
-    /// When the first task of each active job was placed, for the jobs that this owner began.
+    /// When the first task of each active job was placed, for jobs that this owner started.
     pub begun_at: RefCell<IndexMap<JobId, Millis>>,
-    /// What steps wait for, and when that was last looked at.
+    /// Why steps wait, and when that was last determined.
     pub waits: RefCell<IndexMap<StepId, (Unfit, Millis)>>,
-    /// What short tasks take.
+    /// Processors that short tasks hold and wait for.
     pub short_work: RefCell<ShortWork>,
-    /// What waits for room in sum.
+    /// Totals of the tasks that wait for free capacity, for the log.
     backlog: RefCell<Backlog>,
-    /// How many runs are left in each evacuated data centre.
+    /// Number of runs that are still in each evacuated data centre.
     left_in_evacuated: RefCell<IndexMap<String, usize>>,
-    /// Tasks that are handed to other shards.
+    /// Tasks delegated to other shards.
     delegations: RefCell<delegate::Delegations>,
-    /// Unknown runs that are being stopped.
+    /// Runs that a worker lists but the journal does not have there, while they are being stopped.
     pub stopping_unknown: RefCell<IndexSet<RunId>>,
     /// Wakes the dispatcher.
     pub wake: Notify,
@@ -130,7 +131,7 @@
 }
 
 impl Owner {
-    /// Takes the shard over; nothing is recovered yet.
+    /// Creates the owner after a successful take-over; its state is not recovered yet.
     pub fn take(
         handle: &Rc<ShardHandle>,
         seen: &LeaseView,
@@ -174,40 +175,41 @@
         })
     }
 
-    /// The fence row and the version that it must have.
+    /// The fence row and the version that each transaction expects it to have.
     pub fn fence(&self) -> (RowKey, u64) {
         self.fence.clone()
     }
 
-    /// The fencing token of every order.
+    /// The fencing token that each order carries.
     pub fn token(&self) -> u64 {
         self.fence.1
     }
 
-    /// Whether the shard is held, recovered or not.
+    /// Whether the shard is held, during recovery too.
     pub fn is_serving(&self) -> bool {
         self.standing.get() != Standing::Lost
     }
 
-    /// Whether the shard is held and its jobs are known.
+    /// Whether the shard is held and its jobs are recovered.
     pub fn is_recovered(&self) -> bool {
         self.standing.get() == Standing::Serving
     }
 
-    /// Whether nobody else can have taken the shard yet: what isn't known here is known nowhere. An owner that
-    /// the store turns away goes on being asked by callers cut off with it, while another accepts jobs.
+    /// Whether no other daemon can have taken the shard yet, so that a job unknown here is unknown everywhere.
+    /// An owner that is cut off from the store still receives requests from callers that are cut off with it,
+    /// while another owner accepts jobs.
     pub fn is_sole_owner(&self, cx: &Cx) -> bool {
         let unrenewed = cx.clock.now().since(self.renewed_at.get());
         self.is_recovered() && unrenewed < lease::LEASE
     }
 
-    /// Whether leases of workers may still be renewed: within the hold that a successor waits out.
+    /// Whether workers' leases may still be renewed: only within the hold time that the next owner waits out.
     pub fn may_renew(&self, cx: &Cx) -> bool {
         let unrenewed = cx.clock.now().since(self.renewed_at.get());
         self.is_serving() && unrenewed < cx.cfg.leases.owner_hold
     }
 
-    /// Until when anything may run on a worker of which nothing was heard.
+    /// Until when runs of earlier owners may be alive on a worker that has not answered this owner yet.
     fn inherited_bound(&self, cx: &Cx) -> LeaseBound {
         let mut bound = LeaseBound::inherited(self.predecessor_renewed_at, &cx.cfg.leases);
         if let Some(at) = self.predecessor_gone_at.get() {
@@ -216,7 +218,7 @@
         bound
     }
 
-    /// What workers do with orders that they don't answer.
+    /// Whether workers have recently carried out unanswered orders late.
     pub fn habit(&self, now: Millis) -> Habit {
         let is_recent = |at| now.since(at) < HABIT_REMEMBERED;
         match self.late_habit_at.get().is_some_and(is_recent) {
@@ -234,7 +236,7 @@
         self.late_habit_at.set(Some(now));
     }
 
-    /// Ends the ownership here.
+    /// Ends the ownership: stops journal writes and dispatch, and removes the owner from the shard.
     pub fn lose(&self, why: &str) {
         if self.standing.replace(Standing::Lost) == Standing::Lost {
             return;
@@ -251,22 +253,22 @@
         log::warn!(shard:% = self.handle.part, token = self.token(), why; "shard is lost");
     }
 
-    /// Applies events and appends those that fit; one that doesn't is a decision on stale knowledge, and
-    /// is left out with a line in the log.
+    /// Applies events to the ledger and appends the valid ones to the journal. An invalid event comes from a
+    /// decision on stale state; it is dropped and logged.
     pub fn propose(&self, cx: &Cx, events: Vec<Event>) -> Ticket {
         let mut fitting = Vec::with_capacity(events.len());
         for event in events {
             let applied = self.ledger.borrow_mut().apply(&event);
             match applied {
                 Ok(()) => fitting.push(event),
-                Err(e) => log::warn!(error:% = e; "event left out"),
+                Err(e) => log::warn!(error:% = e; "invalid event dropped"),
             }
         }
         cx.metrics.events.inc_by(fitting.len() as u64);
         self.journal.append(&fitting)
     }
 
-    /// Takes a job off the active ones once it is over, and has it shown so when that is durable.
+    /// Removes a job that has ended from the active ones; callers see its end once that is durable.
     pub fn note_if_over(self: &Rc<Self>, cx: &Cx, job: JobId) {
         let phase = self.ledger.borrow().jobs.get(&job).map(|job| job.phase);
         let is_over = phase.is_some_and(|phase| phase != Phase::Active);
@@ -291,7 +293,7 @@
         });
     }
 
-    /// Learns from a completed job how long its queue's jobs take.
+    /// Updates the duration estimates of a queue with a completed job.
     fn note_duration(&self, cx: &Cx, id: JobId) {
         let begun_at = self.begun_at.borrow_mut().swap_remove(&id);
         let ledger = self.ledger.borrow();
@@ -317,7 +319,7 @@
     }
 }
 
-/// Runs the parts of an owner until the shard is lost.
+/// Starts the components of an owner; they run until the shard is lost.
 pub fn start(cx: &Cx, owner: Rc<Owner>) {
     cx.metrics.takeovers.inc();
     let (renewing, held) = (Rc::clone(cx), Rc::clone(&owner));
@@ -345,7 +347,7 @@
     false
 }
 
-/// Takes what was read as the state: every live run may be on its worker.
+/// Installs the recovered ledger; every live run in it may still be on its worker.
 fn adopt(cx: &Cx, owner: &Rc<Owner>, ledger: Ledger) {
     let active = ledger.jobs.iter().filter(|(_, j)| j.phase == Phase::Active);
     owner.active.borrow_mut().extend(active.map(|(id, _)| *id));
@@ -366,7 +368,7 @@
     log::info!(shard:% = owner.handle.part, token = owner.token(), jobs, runs, took_ms; "shard recovered");
 }
 
-/// Stops runs of jobs that are over: the owner before may have ended between a job's end and its stops.
+/// Stops runs of ended jobs: the previous owner may have ended between a job's end and the stop orders.
 fn stop_left_over(cx: &Cx, owner: &Rc<Owner>) {
     let ledger = owner.ledger.borrow();
     let over = ledger
--- a/src/lapisdrum/sched/owner/runs.rs
+++ b/src/lapisdrum/sched/owner/runs.rs
@@ -1,4 +1,4 @@
-//! Runs on workers: orders to start and stop them, and what settles each.
+//! Runs on workers: sends the orders to start and stop them, and resolves each order's outcome.
 
 use super::{Owner, headroom, session::Session, visit};
 use crate::{
@@ -20,49 +20,49 @@
 };
 use std::{rc::Rc, time::Duration};
 
-/// Wait before a stop that settled nothing is sent again.
+/// Delay before an unconfirmed stop order is sent again.
 const STOP_RETRY: Duration = Duration::from_millis(250);
 
-/// What an owner knows of a run beyond the journal.
+/// State of a run that the journal does not hold.
 #[derive(Clone, Debug)]
 pub struct RunRecord {
-    /// Where.
+    /// The worker incarnation on which it was placed.
     pub on: WorkerLife,
-    /// What it takes.
+    /// Processors, memory and accelerators that its step asks for.
     pub size: Size,
-    /// Its kind of load.
+    /// Whether it reserves processors, serves users or is best-effort.
     pub load: Load,
-    /// The class that it is counted in, if it is a short task that reserves processors.
+    /// Class under which it counts as short work; none for long-running and best-effort tasks.
     pub short_class: Option<Class>,
-    /// How far its orders have got.
+    /// Progress of its start and stop orders.
     pub known: RunKnowledge,
-    /// When it was placed, or found.
+    /// When this owner placed it, or read it from the journal.
     pub since: Millis,
-    /// How much of its work was done when last seen, in hundredths, and since when it stands there.
+    /// Last reported progress in percent, and when that value was first reported.
     pub progress: Option<(u32, Millis)>,
-    /// The first that was seen of it, and when.
+    /// First reported progress in percent, and when.
     pub first_progress: Option<(u32, Millis)>,
-    /// Whether a stop saves its progress.
+    /// Whether its progress is saved when it is stopped.
     pub is_checkpointing: bool,
     /// Whether it runs until its job is cancelled.
     pub is_long_running: bool,
-    /// A rough estimate of its run time, in milliseconds.
+    /// Submitted estimate of its run time, in milliseconds.
     pub estimate_ms: u64,
-    /// What it runs, if its step says so.
+    /// Image of its step, if the step names one.
     pub image: Option<Image>,
-    /// For a serving task the tail to stay under, in milliseconds.
+    /// Target of a serving task's latency tail, in milliseconds.
     pub target_ms: Option<u32>,
-    /// Its newest tail, in milliseconds; 0 before there is one.
+    /// Latest latency tail, in milliseconds; 0 before the first report.
     pub tail_ms: f64,
-    /// The processors that it was last seen to use at full pace, in thousandths, if it uses best-effort ones.
+    /// Processors that a best-effort task last used while not throttled, in thousandths of a core.
     pub used_millicores: Option<u64>,
-    /// The share of its processors that it works at, in hundredths.
+    /// CPU limit, in percent of the processors that it asks for.
     pub pace: u32,
-    /// The same before it was changed last, and when that was.
+    /// CPU limit before the last change, and the time of that change.
     pub paced_from: (u32, Millis),
 }
 
-/// The kind of load that a step's tasks are.
+/// Kind of load of a step's tasks.
 pub fn load_of(step: &Step) -> Load {
     match (step.uses_leftover_cpu, step.latency_target_ms) {
         (true, _) => Load::BestEffort,
@@ -72,7 +72,7 @@
 }
 
 impl Owner {
-    /// Adds a run that the journal names.
+    /// Adds a live run that was read from the journal.
     pub fn add_inherited(&self, cx: &Cx, run: RunId, on: &WorkerLife) {
         let known = RunKnowledge {
             order: Order::Inherited,
@@ -81,7 +81,7 @@
         self.add_run(cx, run, on, known);
     }
 
-    /// Adds a run that was placed just now.
+    /// Adds a run that this owner has placed; its start order is not sent yet.
     pub fn add_placed(&self, cx: &Cx, run: RunId, on: &WorkerLife) {
         let known = RunKnowledge {
             order: Order::NotSent,
@@ -130,7 +130,7 @@
         self.runs.borrow_mut().insert(run, record);
     }
 
-    /// Takes a run off that is over; its room is free.
+    /// Removes a run that has ended and frees its capacity.
     pub fn remove_run(&self, run: &RunId) -> Option<RunRecord> {
         let record = self.runs.borrow_mut().swap_remove(run)?;
         if let Some(session) = self.sessions.borrow_mut().get_mut(&record.on.worker) {
@@ -142,7 +142,7 @@
         Some(record)
     }
 
-    /// Changes a session, if there is one.
+    /// Applies `change` to a worker's session; none if the worker is unknown.
     pub fn session<T>(&self, worker: &str, change: impl FnOnce(&mut Session) -> T) -> Option<T> {
         self.sessions.borrow_mut().get_mut(worker).map(change)
     }
@@ -155,7 +155,7 @@
         self.record(run, |record| record.known.order = order);
     }
 
-    /// Notes that a run is over without an end from its worker.
+    /// Removes a run that has ended, or never started, without an end reported by its worker, and journals it.
     pub fn note_lost(self: &Rc<Self>, cx: &Cx, run: RunId, why: Loss) {
         let Some(record) = self.remove_run(&run) else {
             return;
@@ -166,7 +166,7 @@
     }
 }
 
-/// Orders runs to be started once their placement is durable.
+/// Sends the start orders of runs once their placement is durable.
 pub fn start_when_durable(cx: &Cx, owner: &Rc<Owner>, runs: Vec<RunId>, ticket: Ticket) {
     let (cx, owner) = (Rc::clone(cx), Rc::clone(owner));
     supervisor::spawn("starts", async move {
@@ -210,7 +210,7 @@
         OrderEnd::Silent(_) => {
             cx.metrics.orders_silent.inc();
             owner.set_order(&run, Order::Silent);
-            // No further task goes there before the worker has answered something.
+            // No further task is placed on the worker until it has answered a call.
             owner.session(&worker, |s| s.silent_since = s.silent_since.or(Some(now)));
             if visit::look_once(cx, owner, &worker).await {
                 owner.note_late_habit(cx, &worker);
@@ -219,7 +219,7 @@
     }
 }
 
-/// Notes how a call that carried a lease ended.
+/// Updates the worker's lease bound by the outcome of a call that carried a lease.
 pub fn note_lease_call<T>(
     cx: &Cx,
     owner: &Owner,
@@ -233,7 +233,7 @@
             session.bound.answered(now);
             session.leased_at = session.leased_at.max(Some(sent_at));
         }
-        // Some refusals take the lease nevertheless.
+        // A worker may refuse an order and accept its lease all the same.
         OrderEnd::Refused(_) => session.bound.answered(now),
         OrderEnd::Unsent(_) => session.bound.void(),
         OrderEnd::Silent(_) => session.bound.silent(sent_at),
@@ -247,7 +247,7 @@
         Refusal::Unhealthy => {
             owner.session(worker, |session| session.failures = (u32::MAX, now));
         }
-        // The next look finds the new life and claims it.
+        // The next poll finds the new incarnation and claims it.
         Refusal::OtherLife => {
             owner.session(worker, |session| session.claimed_life = None);
         }
@@ -259,7 +259,7 @@
     }
 }
 
-/// The order for a run; none when it must not be sent any more.
+/// Builds the start order of a run; none if it must no longer be sent.
 fn prepare(cx: &Cx, owner: &Owner, run: RunId) -> Option<(String, String, StartOrder)> {
     let on = owner.runs.borrow().get(&run)?.on.clone();
     let now = cx.clock.now();
@@ -268,7 +268,7 @@
         let report = session.report.as_ref()?;
         let end = session.lease_end(now, cx.cfg.leases.sent())?;
         let is_heard = session.silent_since.is_none();
-        // Its data centre may have been evacuated since the run was placed.
+        // The data centre may have been evacuated after the run was placed.
         let is_open = cx.allows_starts_in(&report.data_centre);
         (is_same_life && is_heard && is_open).then(|| (report.address.clone(), end))
     })??;
@@ -296,12 +296,12 @@
     let of_job: Vec<RunId> = of_job.copied().collect();
     drop(runs);
     for run in of_job {
-        order_stop(cx, owner, run, "job is over");
+        order_stop(cx, owner, run, "its job has ended");
     }
 }
 
-/// Stops what still runs of a task that is done: copies, and runs started after one was given up that had
-/// done its work.
+/// Stops the remaining live runs of a completed task: speculative copies, and runs that replaced one that was
+/// given up but had completed the task.
 pub fn stop_copies(cx: &Cx, owner: &Rc<Owner>, task: &TaskId) {
     let ledger = owner.ledger.borrow();
     let done = ledger.task(task).filter(|task| task.is_done);
@@ -314,11 +314,11 @@
         .collect();
     drop(ledger);
     for run in runs {
-        order_stop(cx, owner, run, "the task is done");
+        order_stop(cx, owner, run, "its task is completed");
     }
 }
 
-/// Orders a run to be stopped, until the worker confirms it or the run is over.
+/// Sends stop orders for a run until its worker confirms one or the run has ended.
 pub fn order_stop(cx: &Cx, owner: &Rc<Owner>, run: RunId, why: &'static str) {
     let before = owner.record(&run, |record| {
         std::mem::replace(&mut record.known.stop, Stop::UnderWay)
@@ -365,24 +365,24 @@
     }
 }
 
-/// Stops a run that a worker lists and nobody placed there.
+/// Stops a run that a worker lists but this owner does not have on that worker.
 pub fn stop_unknown(cx: &Cx, owner: &Rc<Owner>, worker: &str, run: RunId) {
     if !owner.stopping_unknown.borrow_mut().insert(run) {
         return;
     }
-    log::warn!(task:% = run.task, run = run.run.0, worker; "unknown run is stopped");
+    log::warn!(task:% = run.task, run = run.run.0, worker; "stopping unknown run");
     let (cx, owner, worker) = (Rc::clone(cx), Rc::clone(owner), worker.to_owned());
     supervisor::spawn("stop-unknown", async move {
         if let Some(address) = owner.address_of(&worker) {
-            // One that fails is found and stopped again at the next look.
+            // If this fails, the next poll lists the run again and another stop is sent.
             let _ = cx.workers.stop(&address, &worker, run, owner.token()).await;
         }
         owner.stopping_unknown.borrow_mut().swap_remove(&run);
     });
 }
 
-/// Moves away what would be cut off when a worker leaves: what lasts, and what saves its progress. The rest
-/// is as likely done by then as it would be elsewhere.
+/// Stops long-running and checkpointing tasks on a worker that is leaving, so that they restart elsewhere.
+/// Other tasks are as likely to complete before the worker leaves as they would be elsewhere.
 pub fn leave_worker(cx: &Cx, owner: &Rc<Owner>, worker: &str) {
     let runs = owner.runs.borrow();
     let here = runs.iter().filter(|(_, record)| record.on.worker == worker);
@@ -395,8 +395,8 @@
 }
 
 impl Owner {
-    /// Notes that a task failed, stood still or crept on a worker: it is tried elsewhere first, and a worker
-    /// that does so again and again is suspect.
+    /// Notes that a task failed, stalled or overran its estimate on a worker: other workers are tried first, and
+    /// a worker with several such failures in a row is suspect.
     pub fn note_misbehaved(&self, worker: &str, task: &TaskId, now: Millis) {
         self.session(worker, |session| {
             session.failures = (session.failures.0.saturating_add(1), now);
@@ -405,7 +405,7 @@
         failed_on.entry(*task).or_default().push(worker.to_owned());
     }
 
-    /// Where a worker answers.
+    /// Address of a worker; none if the directory has not reported it.
     pub fn address_of(&self, worker: &str) -> Option<String> {
         let sessions = self.sessions.borrow();
         let report = sessions.get(worker)?.report.as_ref()?;
--- a/src/lapisdrum/sched/owner/session.rs
+++ b/src/lapisdrum/sched/owner/session.rs
@@ -1,4 +1,4 @@
-//! What an owner knows of one worker.
+//! State that an owner keeps for each worker.
 
 use crate::{
     core::{
@@ -16,41 +16,41 @@
 use std::{rc::Rc, time::Duration};
 use tokio::sync::Notify;
 
-/// A lease is renewed when this much of it is over. With looks that take up to 2 s, of the shortest lease of 6 s
-/// at least 2 s are left for a new owner to come.
+/// Age at which a lease is renewed. Polls take up to 2 s, so that at least 2 s of the shortest lease of 6 s
+/// are left for a new owner to take over.
 const RENEW_AFTER: Duration = Duration::from_millis(1_500);
-/// Failures in a row after which a worker is suspect: one is as likely the job's fault.
+/// Failures in a row after which a worker is suspect; a single one is as likely the job's fault.
 const SUSPECT_FAILURES: u32 = 2;
-/// A suspect worker is tried again after this long.
+/// How long a worker stays suspect after its last failure.
 const SUSPECT_FOR: Duration = Duration::from_secs(8);
 
-/// Part by which one measurement moves a surprise.
+/// Weight of a new measurement in the moving average of residuals.
 const SURPRISE_STEP: f64 = 0.5;
-/// A surprise beyond this is an outlier, in strain.
+/// Residuals of utilisation are clamped to this, so that outliers have little weight.
 const MOST_SURPRISE: f64 = 0.2;
 
-/// What runs on a worker, added up.
+/// Totals of the runs on a worker.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Tally {
-    /// Taken for good.
+    /// Capacity reserved by the runs.
     pub reserved: Size,
-    /// Processors of best-effort tasks, in thousandths.
+    /// Processors that best-effort tasks ask for, in thousandths of a core.
     pub best_effort_millicores: u64,
-    /// What serving tasks reserve of that, in thousandths of a core.
+    /// Processors reserved by serving tasks, in thousandths of a core.
     pub serving_millicores: u64,
 }
 
-/// A best-effort task that is no longer there but still shows in tails.
+/// A best-effort task that has ended but still affects the reported latency tails.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Departed {
-    /// What it pressed with.
+    /// The interference that it caused.
     pub presser: Presser,
-    /// When it left.
+    /// When it ended.
     pub at: Millis,
 }
 
 impl Tally {
-    /// Adds a run.
+    /// Adds a run of this size and load.
     pub fn add(&mut self, size: &Size, load: Load) {
         self.reserved = self.reserved.plus(&reserved_by(size, load));
         match load {
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Takes a run off.
+    /// Subtracts a run that was added with the same size and load.
     pub fn remove(&mut self, size: &Size, load: Load) {
         self.reserved = self.reserved.minus(&reserved_by(size, load));
         match load {
@@ -76,51 +76,51 @@
     }
 }
 
-/// One worker as an owner knows it.
+/// State of one worker, as known to the owner.
 #[derive(Clone, Debug)]
 pub struct Session {
-    /// What the directory says of it; none for a worker that only the journal names.
+    /// Latest report of the directory; none for a worker known only from the journal.
     pub report: Option<Rc<WorkerReport>>,
-    /// Whether the directory named it when last read.
+    /// Whether the last read of the directory listed it.
     pub is_registered: bool,
-    /// The life in which it answered under our token.
+    /// Incarnation, as its start in Unix milliseconds, that answered under this owner's token.
     pub claimed_life: Option<u64>,
-    /// Its clock, and when that was read.
+    /// Latest reading of its clock, and the local time of that reading.
     pub clock: Option<(WorkerMillis, Millis)>,
-    /// Its clock at the newest list that was acted on.
+    /// Its clock in the newest poll response that was handled.
     pub listed_at: WorkerMillis,
-    /// Its ends up to here are durable in the journal.
+    /// Its ends up to this number are durable in the journal.
     pub acked_upto: u64,
-    /// The same up to which the journal has them, durably or not yet.
+    /// Its ends up to this number are appended to the journal, durable or not.
     pub taken_upto: u64,
-    /// Told whenever ends become durable.
+    /// Notified whenever ends become durable.
     pub acked: Rc<Notify>,
-    /// Until when anything may run there.
+    /// Bounds the time until which runs may be alive on it.
     pub bound: LeaseBound,
-    /// When the last lease that it took was sent.
+    /// When the last lease that it accepted was sent.
     pub leased_at: Option<Millis>,
-    /// Since when it doesn't answer.
+    /// Since when it does not answer; none while it answers.
     pub silent_since: Option<Millis>,
-    /// What runs there.
+    /// Runs that may be alive on it.
     pub runs: IndexSet<RunId>,
-    /// The same, added up.
+    /// Totals of `runs`.
     pub tally: Tally,
-    /// Strain that the tails of each step here tell beyond what is believed.
+    /// Smoothed residual of each step's utilisation here: inferred from latency tails, less the predicted one.
     pub surprises: IndexMap<StepId, f64>,
-    /// What has left and still shows in tails.
+    /// Ended best-effort tasks that still affect the reported latency tails.
     pub departed: Vec<Departed>,
-    /// Until when no best-effort task is sent there.
+    /// No best-effort task is placed here before this time.
     pub best_effort_closed_until: Millis,
-    /// For how long serving tasks there are over their targets.
+    /// Tracks for how long serving tasks here have been over their latency targets.
     pub overload: Overload,
-    /// Failures in a row, and when the last was.
+    /// Failures in a row, and the time of the last one or of the reset.
     pub failures: (u32, Millis),
-    /// Whether it is being watched.
+    /// Whether a task that polls it is running.
     pub is_watched: bool,
 }
 
 impl Session {
-    /// A worker of which nothing is known.
+    /// A worker that has not been claimed, with `bound` on the leases of earlier owners.
     pub fn new(bound: LeaseBound) -> Self {
         Self {
             report: None,
@@ -145,24 +145,24 @@
         }
     }
 
-    /// Notes what the tails of a step's tasks told beyond what was believed.
+    /// Adds a measured residual of a step's utilisation to its moving average.
     pub fn note_surprise(&mut self, step: StepId, strain: f64) {
         let known = self.surprises.entry(step).or_default();
         *known += (strain.clamp(-MOST_SURPRISE, MOST_SURPRISE) - *known) * SURPRISE_STEP;
     }
 
-    /// Forgets the surprises of steps that no longer run here.
+    /// Removes the residuals of steps that no longer run here.
     pub fn forget_surprises(&mut self, is_here: impl Fn(&StepId) -> bool) {
         self.surprises.retain(|step, _| is_here(step));
     }
 
-    /// Strain of a step's tasks here beyond what is believed.
+    /// Smoothed residual of a step's utilisation here; 0 if none was measured.
     pub fn surprise(&self, step: &StepId) -> f64 {
         self.surprises.get(step).copied().unwrap_or_default()
     }
 
-    /// Up to which number the worker may forget ends. A worker that starts again under its id numbers its
-    /// ends from 1: after a silence it may be in a new life, and forget ends there that nobody has read.
+    /// Number up to which the worker may forget ends; 0 while it does not answer. A worker that restarts under
+    /// the same id numbers its ends from 1, so a new incarnation would forget ends that no owner has read.
     pub fn ackable(&self) -> u64 {
         match self.silent_since {
             Some(_) => 0,
@@ -170,19 +170,19 @@
         }
     }
 
-    /// The end of a lease of this length that is sent at `now`; none before the worker's clock was read.
+    /// End, on the worker's clock, of a lease of this length sent at `now`; none before the clock was read.
     pub fn lease_end(&self, now: Millis, lease: Duration) -> Option<WorkerMillis> {
         let (clock, read_at) = self.clock?;
         Some(clock + now.since(read_at) + lease)
     }
 
-    /// Whether its leases are due to be renewed.
+    /// Whether the last accepted lease is old enough to be renewed, or there is none.
     pub fn is_renewal_due(&self, now: Millis) -> bool {
         self.leased_at.is_none_or(|at| now.since(at) >= RENEW_AFTER)
     }
 
-    /// Notes a reading of its clock. An answer to an order ends no silence: a new life under the same id
-    /// answers it too.
+    /// Notes a reading of its clock. An answer to an order does not reset `silent_since`: a new incarnation
+    /// under the same id answers it too.
     pub fn note_clock(&mut self, clock: WorkerMillis, now: Millis) {
         let is_newer = self.clock.is_none_or(|(known, _)| clock > known);
         if is_newer {
@@ -190,13 +190,13 @@
         }
     }
 
-    /// Whether tasks have failed on it lately, and only there.
+    /// Whether it had several failures in a row, the last of them recently.
     pub fn is_suspect(&self, now: Millis) -> bool {
         let (failures, last) = self.failures;
         failures >= SUSPECT_FAILURES && now.since(last) < SUSPECT_FOR
     }
 
-    /// Whether new tasks may be sent to it, as described by the report returned.
+    /// The worker's report if new tasks may be placed on it.
     pub fn open_for_tasks(&self) -> Option<&Rc<WorkerReport>> {
         let report = self.report.as_ref()?;
         let is_claimed = self.claimed_life == Some(report.life.born);
@@ -205,7 +205,7 @@
         (is_open && self.silent_since.is_none()).then_some(report)
     }
 
-    /// Milliseconds since it last answered, for logs; 0 while it answers.
+    /// Milliseconds since it stopped answering, for logs; 0 while it answers.
     pub fn silent_ms(&self, now: Millis) -> u64 {
         self.silent_since
             .map_or(0, |since| millis(now.since(since)))
--- a/src/lapisdrum/sched/owner/upkeep.rs
+++ b/src/lapisdrum/sched/owner/upkeep.rs
@@ -1,5 +1,5 @@
-//! What an owner looks after by the clock: runs on silent workers whose leases are over, and jobs that
-//! were over long ago.
+//! Periodic maintenance: gives up runs on unresponsive workers whose leases have expired, stops stalled runs,
+//! removes jobs past their retention, and updates gauges.
 
 use super::{Owner, runs};
 use crate::sched::{
@@ -12,17 +12,17 @@
 use indexmap::IndexMap;
 use std::{rc::Rc, time::Duration};
 
-/// Time between two rounds.
+/// Interval between maintenance rounds.
 const ROUND: Duration = Duration::from_millis(300);
-/// A task of which the progress stands still this long is stalled: tasks take about 2 s, so one that works
-/// moves by a hundredth every 20 ms.
+/// A task without progress for this long is stalled: tasks take about 2 s, so one that works advances by 1 %
+/// every 20 ms.
 const STALLED_AFTER: Duration = Duration::from_millis(1_800);
-/// Slower paces than this, in hundredths, let a task seem stalled.
+/// Tasks with a CPU limit below this, in percent, are too slow to be distinguished from stalled ones.
 const LEAST_PACE_JUDGED: u32 = 20;
-/// Jobs forgotten in one round, so that their events fit one row.
+/// Most jobs removed in one round, so that their events fit into one row.
 const FORGET_A_ROUND: usize = 200;
 
-/// Goes round until the shard is lost.
+/// Runs maintenance rounds until the shard is lost.
 pub async fn run(cx: Cx, owner: Rc<Owner>) {
     while owner.is_serving() {
         give_up_lapsed(&cx, &owner);
@@ -34,7 +34,7 @@
     }
 }
 
-/// Gives up runs on workers that don't answer, once nothing can be running there any more.
+/// Gives up runs on unresponsive or unclaimed workers once every lease there has certainly expired.
 fn give_up_lapsed(cx: &Cx, owner: &Rc<Owner>) {
     let now = cx.clock.now();
     let habit = owner.habit(now);
@@ -55,7 +55,7 @@
     }
 }
 
-/// Stops runs that stand still: their worker answers and does nothing. They go on elsewhere.
+/// Stops runs without progress on workers that answer; their tasks are restarted elsewhere.
 fn stop_stalled(cx: &Cx, owner: &Rc<Owner>) {
     let now = cx.clock.now();
     let runs = owner.runs.borrow();
@@ -71,10 +71,10 @@
         .collect();
     drop(runs);
     for (run, worker) in stalled {
-        // Without a newer list than the last change nothing is known of the time since.
+        // While a worker does not answer, its runs may have progressed since its last poll response.
         if owner.session(&worker, |session| session.silent_since.is_none()) == Some(true) {
             owner.note_misbehaved(&worker, &run.task, now);
-            runs::order_stop(cx, owner, run, "it stands still");
+            runs::order_stop(cx, owner, run, "it makes no progress");
         }
     }
 }
@@ -99,7 +99,7 @@
     drop(owner.propose(cx, events.collect()));
 }
 
-/// Counts the runs that are left in each evacuated data centre, and says when the last of the shard's has ended.
+/// Counts the shard's runs in each evacuated data centre, and logs when the last of them has ended.
 fn note_evacuated(cx: &Cx, owner: &Owner) {
     let evacuations = cx.evacuations.borrow();
     let mut left: IndexMap<String, usize> = evacuations
@@ -121,7 +121,7 @@
     }
 }
 
-/// A process may own several shards; the gauges tell of all of them.
+/// Sets the gauges to the sums over all shards that this process owns.
 fn note_gauges(cx: &Cx) {
     let owners = cx.owners();
     let sum = |count: fn(&Owner) -> usize| owners.iter().map(|o| count(o)).sum::<usize>() as i64;
@@ -133,7 +133,7 @@
 }
 
 impl Owner {
-    /// Runs that are left in evacuated data centres, as of the last round.
+    /// Number of runs in evacuated data centres, as of the last round.
     fn runs_in_evacuated(&self) -> usize {
         self.left_in_evacuated.borrow().values().sum()
     }
--- a/src/lapisdrum/sched/owner/visit.rs
+++ b/src/lapisdrum/sched/owner/visit.rs
@@ -1,9 +1,9 @@
-//! Looks at a worker, again and again: its ends, what runs there, its clock; and its leases' renewal.
+//! Polls a worker continuously: ended runs, live runs and its clock; renews its leases.
 //!
-//! One look a worker is open nearly always and waits there for an end, so that an end is known a
-//! millisecond after it happens, for one call an end. Only a look that follows directly on an answer
-//! carries a lease: a renewal to a worker that has fallen silent may be carried out late and would keep
-//! its tasks from being started elsewhere for three times as long.
+//! Each worker nearly always has one open long poll that returns when a run ends, so the owner knows of
+//! an end within a millisecond, at one call per end. Only a poll that directly follows an answer carries
+//! a lease: a renewal sent to an unresponsive worker may be carried out late, and would triple the time
+//! before its tasks can be started elsewhere.
 
 use super::{
     Owner,
@@ -28,24 +28,25 @@
 use indexmap::{IndexMap, IndexSet};
 use std::{rc::Rc, time::Duration};
 
-/// How long a look waits at the worker for an end; the platform allows 2 s. A second keeps usage and
-/// progress fresh enough to see a stalled task within three looks.
+/// Wait of a long poll; the platform allows 2 s. With 1 s, usage and progress are fresh enough to detect
+/// a stalled task within three polls.
 const LOOK_WAIT: Duration = Duration::from_millis(1_000);
-/// The same where best-effort tasks run beside serving ones, whose tails are fresh every half second.
+/// Wait of a long poll where best-effort tasks share the host with serving ones, whose latency tails are
+/// updated every 500 ms.
 const LOOK_WAIT_SHARED: Duration = Duration::from_millis(350);
-/// Wait before a worker that didn't answer is looked at again.
+/// Delay before an unresponsive worker is polled again.
 const SILENT_WAIT: Duration = Duration::from_millis(200);
-/// Longest wait for ends to be durable before the next look; with the store away ends pile up at the
-/// worker, and looks go on to keep its leases.
+/// Longest wait for ends to become durable before the next poll. While the store is unavailable, ends
+/// accumulate at the worker and polls continue, to renew its leases.
 const ACK_WAIT: Duration = Duration::from_millis(250);
 
-/// A reserving task that takes so many times its estimate has crept: estimates are off by a fifth to a half,
-/// and slow workers are slower by four to six.
+/// A reserving task that takes this many times its estimate has overrun: estimates are off by 20 to 50 %,
+/// slow workers are 4 to 6 times slower.
 const CREEPING: u64 = 3;
-/// Added to that for short tasks, in milliseconds.
+/// Slack on top of that, in milliseconds, for short tasks.
 const CREEPING_SLACK_MS: u64 = 300;
 
-/// Watches a worker until the shard is lost or nothing speaks for the worker any more.
+/// Polls a worker until the shard is lost or the worker is no longer worth polling.
 pub fn watch(cx: &Cx, owner: &Rc<Owner>, worker: &str) {
     let was_watched = owner.session(worker, |s| std::mem::replace(&mut s.is_watched, true));
     if was_watched != Some(false) {
@@ -62,7 +63,8 @@
     });
 }
 
-/// A worker that the directory no longer names and that doesn't answer is not asked for ever.
+/// False for a worker without a known address, and for an unresponsive one without runs that is no longer
+/// in the directory.
 fn is_worth_watching(owner: &Owner, worker: &str) -> bool {
     let is_worth = owner.session(worker, |session| {
         let has_address = session.report.is_some();
@@ -72,7 +74,7 @@
     is_worth == Some(true)
 }
 
-/// One look; false when it had no answer.
+/// Sends one poll, with a lease renewal if that is due; false if the worker did not answer.
 async fn visit(cx: &Cx, owner: &Rc<Owner>, worker: &str) -> bool {
     let now = cx.clock.now();
     let may_renew = owner.may_renew(cx);
@@ -98,7 +100,7 @@
     look(cx, owner, worker, lease_until, wait).await
 }
 
-/// A look that doesn't wait, to learn what runs there now.
+/// Sends a poll that returns at once with the current runs; false if the worker did not answer.
 pub async fn look_once(cx: &Cx, owner: &Rc<Owner>, worker: &str) -> bool {
     look(cx, owner, worker, None, Duration::ZERO).await
 }
@@ -155,7 +157,7 @@
     }
 }
 
-/// Another worker answers at the address: the one that we knew is gone, and what ran there with it.
+/// Another worker answers at the address: the known one has ended, and its runs with it.
 fn note_replaced(cx: &Cx, owner: &Rc<Owner>, worker: &str) {
     note_silent(cx, owner, worker, "another worker answers at its address");
     for (run, record) in runs_on(owner, worker) {
@@ -177,9 +179,10 @@
     }
 }
 
-/// A worker has seen a greater token: another daemon has taken the shard, or is about to be found so.
+/// A worker has seen a greater token, so another daemon has probably taken the shard; reads the lease row to
+/// confirm it.
 pub fn note_newer_owner(cx: &Cx, owner: &Rc<Owner>, worker: &str) {
-    log::warn!(worker, token = owner.token(); "worker refuses our token");
+    log::warn!(worker, token = owner.token(); "worker refuses the fencing token of this owner");
     let (cx, owner) = (Rc::clone(cx), Rc::clone(owner));
     supervisor::spawn("check-lease", async move {
         let looked = lease::look(&cx, &owner.handle).await;
@@ -200,15 +203,15 @@
         strain::note(cx, owner, worker, &lists, now);
     }
     if let Some(acked) = acked {
-        // On a stall the ends are listed again at the next look and passed over.
+        // On a time-out the next poll lists the same ends again, and they are skipped.
         let _ = tokio::time::timeout(ACK_WAIT, acked).await;
     }
 }
 
-/// The life of a worker that lists belong to.
+/// The worker incarnation that sent a poll response.
 struct Life {
     born: u64,
-    /// Whether no list of a later moment was acted on.
+    /// False if a response with a later worker clock was handled before.
     is_newest: bool,
 }
 
@@ -249,7 +252,7 @@
     Some(life)
 }
 
-/// Takes ends into the journal; what is returned completes when they are durable and acknowledged.
+/// Appends ends to the journal; the future completes when they are durable and may be acknowledged.
 fn note_ends(
     cx: &Cx,
     owner: &Rc<Owner>,
@@ -258,7 +261,7 @@
     ended: &[ListedEnd],
     now: Millis,
 ) -> Option<LocalBoxFuture<'static, ()>> {
-    // A worker lists an end until it is acknowledged, which may be many looks later.
+    // A worker lists an end until it is acknowledged, which may take many polls.
     let upto = ended.iter().map(|end| end.number).max()?;
     let taken_upto = owner.session(worker, |session| session.taken_upto)?;
     let ended: Vec<&ListedEnd> = ended.iter().filter(|e| e.number > taken_upto).collect();
@@ -309,7 +312,7 @@
     Some(acked.boxed_local())
 }
 
-/// Completes when ends that were taken before are acknowledged. Looked at again at once, a worker would list them anew.
+/// Completes when ends appended earlier are durable. If polled at once, the worker would list them again.
 fn acknowledged(owner: &Owner, worker: &str, upto: u64) -> impl Future<Output = ()> + use<> {
     let pending = owner.session(worker, |session| {
         let is_pending = session.acked_upto < upto;
@@ -329,7 +332,7 @@
     }
 }
 
-/// What an end says of its worker and of where the task goes next.
+/// Updates the worker's failure count, and the workers to avoid for the task, by how a run ended.
 fn note_how(
     cx: &Cx,
     owner: &Owner,
@@ -357,7 +360,7 @@
     }
 }
 
-/// Settles what is known of the worker's runs by what it lists.
+/// Resolves the state of the worker's runs from those that it lists.
 fn note_running(
     cx: &Cx,
     owner: &Rc<Owner>,
@@ -382,7 +385,9 @@
         match judge_run(record.known, sight) {
             RunVerdict::Runs => note_progress(owner, &run, percent.unwrap_or_default(), now),
             RunVerdict::Wait => {}
-            RunVerdict::OrderStop => runs::order_stop(cx, owner, run, "its start had no answer"),
+            RunVerdict::OrderStop => {
+                runs::order_stop(cx, owner, run, "its start order was not answered")
+            }
             RunVerdict::Lost(why) => owner.note_lost(cx, run, why),
         }
     }
