--- a/src/lapisdrum/sched/journal.rs
+++ b/src/lapisdrum/sched/journal.rs
@@ -1,16 +1,16 @@
-//! The writer of a shard's journal: group commit into rows of one part of the store.
+//! Writer of a shard's journal: group commit into rows of one partition of the store.
 //!
-//! Load pattern: some 400 events a second from one shard (1,500 on the larger deployments) on a store
-//! that takes 200 transactions a second a part, 10 ms each, one after another. A row for each event would need
-//! more than the part gives; events that come while a transaction is under way share the next one. Spacing
-//! transactions by [`WRITE_SPACING`] bounds a shard to 50 calls a second and adds half of it to a start on average.
-//! A store that is slow by sixty times takes three transactions a second, so each carries as many rows as
-//! have gathered: with one row in each, starts stand still behind the ends that come meanwhile.
+//! Load pattern: about 400 events/s from one shard (1,500 events/s on the larger deployments) on a store that takes
+//! 200 transactions/s per partition, 10 ms each, one after another. One row per event would exceed the partition's
+//! limit, so events that arrive while a transaction is in flight share the next one. Spacing transactions by
+//! [`WRITE_SPACING`] limits a shard to 50 calls/s and adds half of the spacing to a start on average. A store that
+//! is 60 times slower takes 3 transactions/s, so each one carries all rows that have accumulated: with one row per
+//! transaction, starts would be blocked behind the run ends that arrive meanwhile.
 //!
-//! Rows are written under conditions in one transaction: the fence row has the version that it got
-//! when we took the shard, and no row stands at their sequence numbers. [`settle`](super::settle) judges
-//! the answers. Events change the owner's state when they are appended; whatever an event allows (an
-//! answer to a caller, an order to a worker) waits for its [`Ticket`].
+//! The rows of a transaction are written on two conditions: the fence row still has the version from this owner's
+//! take-over, and no rows exist at their sequence numbers. [`settle`](super::settle) interprets the replies. Events
+//! change the owner's state when they are appended; their external effects (a reply to a caller, an order to a
+//! worker) wait for the [`Ticket`].
 
 use super::{
     Cx,
@@ -27,68 +27,67 @@
 use std::{cell::RefCell, collections::VecDeque, time::Duration};
 use tokio::sync::{Notify, oneshot};
 
-/// Table of the journal's rows.
+/// Store table of the journal rows.
 pub const JOURNAL_TABLE: &str = "journal";
-/// Table of the pointers to snapshots.
+/// Store table of the pointers to the latest snapshots.
 pub const SNAPSHOT_TABLE: &str = "snapshots";
-/// Key of a shard's pointer.
 const SNAPSHOT_KEY: &str = "latest";
-/// Least time between the beginnings of two rows; see the module's head.
+/// Minimum time between the starts of two transactions; see the module documentation.
 const WRITE_SPACING: Duration = Duration::from_millis(20);
-/// Most bytes of one row: the store takes 64 KiB, and an event goes in whole, a job of 64 steps with its
-/// payload up to 20 KiB.
+/// Maximum size of a row with several events. The store takes 64 KiB, and events are not split: a job of 64 steps
+/// with its payload has up to 20 KiB.
 const ROW_BYTES: usize = 40 * 1024;
-/// Most rows of one transaction: with their text form they stay below the store's 1 MB.
+/// Maximum rows per transaction: encoded as text, they stay below the store's limit of 1 MB.
 const ROWS_A_TXN: usize = 16;
-/// A transaction that has been under way for this long means that the store is away, and new jobs are refused until
-/// it is settled, unless the last one took about as long. A store that is slow by sixty times its usual answer is
-/// not away, and a bound below that would have every submission refused that it would take.
+/// Minimum time that a transaction may be in flight before the store counts as unavailable and new jobs are refused.
+/// The limit grows with the duration of the last transaction: a store that is 60 times slower than usual is still
+/// available, and a lower limit would refuse submissions that it would accept.
 const STALL_AFTER: Duration = Duration::from_millis(800);
-/// However slow the last transaction was, callers are not kept waiting for the next one longer than this.
+/// Upper bound of that limit, however slow the last transaction was, so that callers do not wait longer.
 const LONGEST_PATIENCE: Duration = Duration::from_millis(2_000);
-/// First and longest wait before an unsettled row is sent again.
+/// First and longest delay before a transaction with an unknown outcome is sent again.
 const RETRY_WAITS: (Duration, Duration) = (Duration::from_millis(60), Duration::from_millis(500));
-/// Rows between two snapshots: a new owner then reads at most two pages of rows.
+/// Rows between two snapshots, so that a new owner reads at most two pages of rows.
 const SNAPSHOT_ROWS: u64 = 400;
-/// A store that takes longer than this for a transaction is slow, and snapshots wait: one costs the part seven
-/// transactions, which rows need then.
+/// A store that takes longer than this for a transaction is slow, and snapshots are postponed: each costs the
+/// partition seven transactions, which the journal rows need then.
 const QUICK_TXN: Duration = Duration::from_millis(100);
-/// Rows after which a snapshot is stored however slow the store is: reading more would cost the next owner longer.
+/// Rows after which a snapshot is stored even if the store is slow: reading more would delay the next owner longer.
 const MOST_ROWS: u64 = 4 * SNAPSHOT_ROWS;
-/// Rows deleted in one transaction; the store takes 100 entries.
+/// Maximum rows deleted per transaction; the store takes 100 entries.
 const DELETES_A_TXN: usize = 95;
 
-/// The head of a row.
+/// First line of a row.
 #[derive(Serialize, Deserialize)]
 struct RowHead {
-    /// Tells our own row from another's when an answer was lost.
+    /// Distinguishes this owner's row from another owner's after a lost reply.
     nonce: u64,
 }
 
 data! {
-    /// Where the state as of some row is kept.
+    /// Location of a snapshot.
     struct SnapshotPointer {
-        /// The last row that it covers.
+        /// Number of the last row that the snapshot covers.
         row: u64,
-        /// The object's name.
+        /// Name of the object in the store.
         object: String,
     }
 }
 
-/// How an append ended.
+/// Outcome of an append.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AppendEnd {
-    /// Durable.
+    /// The events are in the store.
     Durable,
-    /// Another owner has come; whether it is in is for that owner to say.
+    /// This owner has lost the shard. Whether the events are in the store is known to the next owner only.
     Lost,
 }
 
-/// Completes when an append is settled.
+/// Pending outcome of an append.
 pub struct Ticket(oneshot::Receiver<AppendEnd>);
 
 impl Ticket {
-    /// Waits for the end.
+    /// Waits for the outcome.
     pub async fn end(self) -> AppendEnd {
         self.0.await.unwrap_or(AppendEnd::Lost)
     }
@@ -96,46 +95,46 @@
 
 struct Open {
     lines: Vec<u8>,
-    /// Who waits for it; only the last part of an append has somebody.
+    /// Receives the outcome; `None` except in the last chunk of an append.
     tx: Option<oneshot::Sender<AppendEnd>>,
 }
 
-/// A row that changes in the same transaction as the next journal rows: the part of a slow store does three
-/// transactions a second, and a renewal of the lease of its own would take one of them from the journal.
+/// A row that is written in the same transaction as the next journal rows. A partition of a slow store takes
+/// 3 transactions/s, and a separate lease renewal would take one of them from the journal.
 pub struct Piggyback {
-    /// The row.
+    /// Key of the row.
     pub row: RowKey,
-    /// The version that it must have.
+    /// Version that the row must have for the transaction to commit.
     pub version: u64,
-    /// Its new value.
+    /// New value of the row.
     pub value: Bytes,
 }
 
-/// How the transaction with a piggyback ended.
+/// Result of the transaction that carried a piggyback.
 pub struct PiggybackEnd {
-    /// The end.
+    /// Reply of the store.
     pub end: TxnEnd,
-    /// When it was first sent.
+    /// Time at which the transaction was first sent.
     pub sent_at: Millis,
 }
 
-/// What came of a row that was to ride along.
+/// Outcome of [`Journal::carry`].
 pub enum PiggybackOutcome {
-    /// Its transaction ended.
+    /// The row was sent with journal rows.
     Ended(PiggybackEnd),
-    /// The shard is lost.
+    /// This owner has lost the shard.
     Lost,
-    /// No transaction took it; here it is back.
+    /// No transaction was started within the limit; returns the row unsent.
     NotTaken(Piggyback),
 }
 
-/// Rows that go in one transaction, and who waits for them.
+/// Rows of one transaction, with the senders of the appends that complete with it.
 struct Batch {
     waiting: Vec<oneshot::Sender<AppendEnd>>,
     rows: Vec<Bytes>,
 }
 
-/// A state to store, and the last row that it covers.
+/// Serialised state, with the number of the last row that it covers.
 struct Snapshot {
     row: u64,
     state: Bytes,
@@ -145,9 +144,9 @@
 struct Inner {
     open: VecDeque<Open>,
     under_way_since: Option<Millis>,
-    /// How long the last transaction took.
+    /// Duration of the last transaction.
     last_took: Duration,
-    /// A snapshot that waits to be stored, or is being stored.
+    /// The next snapshot to store.
     snapshot: Option<Snapshot>,
     is_storing_snapshot: bool,
     piggyback: Option<(Piggyback, oneshot::Sender<PiggybackEnd>)>,
@@ -157,7 +156,7 @@
     rows_since_snapshot: u64,
 }
 
-/// One shard's journal under one owner.
+/// A shard's journal, as written by one owner.
 pub struct Journal {
     part: String,
     fence: (RowKey, u64),
@@ -167,7 +166,7 @@
 }
 
 impl Journal {
-    /// The journal of `part`, each row of which is conditional on `fence`.
+    /// Creates the journal of partition `part`. Every write is conditional on `fence`, a key and its version.
     pub fn new(part: &str, fence: (RowKey, u64)) -> Self {
         Self {
             part: part.to_owned(),
@@ -178,8 +177,8 @@
         }
     }
 
-    /// Appends events that have been applied to the state, in their order; the ticket is for the last. They
-    /// share a row as far as it takes them: a pass that places a thousand tasks has more than one row holds.
+    /// Appends events in the order in which they were applied to the state; the ticket is for the last one. The events
+    /// share a row up to its maximum size, which a pass that places a thousand tasks exceeds.
     pub fn append(&self, events: &[Event]) -> Ticket {
         let (tx, rx) = oneshot::channel();
         let mut inner = self.inner.borrow_mut();
@@ -201,7 +200,7 @@
         Ticket(rx)
     }
 
-    /// Whether rows are settled without delay, so that new work may start.
+    /// Whether the journal accepts new work: the shard is not lost, and no transaction is in flight beyond the limit.
     pub fn is_flowing(&self, now: Millis) -> bool {
         let patience = self.patience();
         let inner = self.inner.borrow();
@@ -209,24 +208,25 @@
         !inner.is_lost && waited.is_none_or(|waited| waited < patience)
     }
 
-    /// How long an append may take before the store counts as away: longer where it has been slow and has answered.
+    /// Time that an append may take before the store counts as unavailable: twice the duration of the last
+    /// transaction, within bounds.
     pub fn patience(&self) -> Duration {
         let slow = self.inner.borrow().last_took * 2;
         slow.clamp(STALL_AFTER, LONGEST_PATIENCE)
     }
 
-    /// Notes how long another transaction in the same part took.
+    /// Records the duration of another transaction in the same partition.
     pub fn note_answer(&self, took: Duration) {
         self.inner.borrow_mut().last_took = took;
     }
 
-    /// Whether rows are under way or wait.
+    /// Whether rows are in flight or queued.
     pub fn is_busy(&self) -> bool {
         let inner = self.inner.borrow();
         inner.under_way_since.is_some() || !inner.open.is_empty()
     }
 
-    /// Has a row changed with the next journal rows, if there are any within `limit`.
+    /// Writes a row with the next journal rows, if there are any within `limit`.
     pub async fn carry(&self, piggyback: Piggyback, limit: Duration) -> PiggybackOutcome {
         let (tx, mut rx) = oneshot::channel();
         self.inner.borrow_mut().piggyback = Some((piggyback, tx));
@@ -237,17 +237,17 @@
         if let Some((piggyback, _)) = waiting {
             return PiggybackOutcome::NotTaken(piggyback);
         }
-        // Without its end the row's version would be unknown, and the next piggyback would be in vain.
+        // The row was sent. Without the outcome its version would be unknown and the next piggyback would conflict.
         rx.await
             .map_or(PiggybackOutcome::Lost, PiggybackOutcome::Ended)
     }
 
-    /// Whether the store took the last rows without delay, so that it can do more than the journal needs.
+    /// Whether the store was fast in the last transaction, so that it has capacity beyond the journal's needs.
     pub fn is_quick(&self) -> bool {
         self.inner.borrow().last_took < QUICK_TXN
     }
 
-    /// Ends the journal: nothing more is written by this owner.
+    /// Stops the journal and drops the queued events.
     pub fn lose(&self) {
         let mut inner = self.inner.borrow_mut();
         inner.is_lost = true;
@@ -256,18 +256,22 @@
         self.snapshot_work.notify_one();
     }
 
-    /// Reads what earlier owners have written. The fence has been raised before, so nobody adds to it.
+    /// Rebuilds the state from the snapshot and rows of earlier owners. The fence was raised before, so they cannot
+    /// add rows any more.
     pub async fn recover(&self, cx: &Cx) -> eyre::Result<Ledger> {
-        // Side by side: from a store whose answers take sixty times as long each read costs a third of a second,
-        // in which nothing is started.
+        // Concurrent, since nothing is started meanwhile: on a store that is 60 times slower, each read takes a third
+        // of a second.
         let rows = cx.store.rows(JOURNAL_TABLE, &self.part, "");
         let (snapshot, rows) = futures::join!(self.read_snapshot(cx), rows);
         let (mut ledger, covered) = snapshot?;
         let rows = rows.wrap_err("failed to read the journal")?;
         let mut last = covered;
         for row in &rows {
-            let number = row.key.parse().wrap_err("a journal row has no number")?;
-            // A snapshot covers rows that were not deleted yet.
+            let number = row
+                .key
+                .parse()
+                .wrap_err("a journal row key is not a number")?;
+            // Rows that the snapshot covers may not be deleted yet.
             if number <= covered {
                 continue;
             }
@@ -284,7 +288,7 @@
         Ok(ledger)
     }
 
-    /// The newest snapshot and the last row that it covers.
+    /// Reads the newest snapshot and the number of the last row that it covers.
     async fn read_snapshot(&self, cx: &Cx) -> eyre::Result<(Ledger, u64)> {
         match self.read_pointer(cx).await? {
             Some(pointer) => Ok((read_object(cx, &pointer.object).await?, pointer.row)),
@@ -294,19 +298,19 @@
 
     async fn read_pointer(&self, cx: &Cx) -> eyre::Result<Option<SnapshotPointer>> {
         let rows = cx.store.rows(SNAPSHOT_TABLE, &self.part, SNAPSHOT_KEY);
-        let rows = rows.await.wrap_err("failed to read the snapshot's place")?;
+        let rows = rows.await.wrap_err("failed to read the snapshot pointer")?;
         let parse = |row: &Row| serde_json::from_slice(&row.value);
         let pointer = rows.first().map(parse).transpose();
-        pointer.wrap_err("the snapshot's place is malformed")
+        pointer.wrap_err("the snapshot pointer is malformed")
     }
 
-    /// Writes what is appended until the shard is lost. `state` gives the state for snapshots, with
-    /// everything that was appended so far.
+    /// Writes appended events and snapshots until the shard is lost. `state` returns the serialised state after all
+    /// events that were appended so far.
     pub async fn write_all(&self, cx: &Cx, state: impl Fn() -> Vec<u8>) {
-        // Side by side: a snapshot takes as long as several transactions, in which nothing would be started.
+        // Concurrent: a snapshot takes as long as several transactions and would block starts meanwhile.
         let rows = self.write_rows(cx, state).boxed_local();
         let snapshots = self.store_snapshots(cx).boxed_local();
-        // Whatever ends first, the shard is lost; a snapshot that was not finished is nobody's.
+        // Either ends only if the shard is lost. A snapshot without a pointer is never read.
         futures::future::select(rows, snapshots).await;
     }
 
@@ -360,7 +364,8 @@
         Some(batch)
     }
 
-    /// Notes that the rows up to `last` are in; true when a snapshot is due and the state holds nothing that is not.
+    /// Records that the rows up to `last` are committed. Returns whether a snapshot is due, which requires that the
+    /// state has no events beyond these rows.
     fn note_written(&self, last: u64, took: Duration) -> bool {
         let mut inner = self.inner.borrow_mut();
         inner.under_way_since = None;
@@ -385,7 +390,7 @@
             let mut fences = rows.iter().filter(|row| row.table == fence.table);
             fences.any(|row| row.key == fence.key && row.version == *version)
         };
-        // All rows of a transaction are in or none, so one that is ours tells of all.
+        // A transaction is atomic: if one of its rows is in the store, all are.
         let is_own = |found: &[Row]| {
             let mut journal = found.iter().filter(|row| row.table == JOURNAL_TABLE);
             journal.any(|row| rows.contains(&row.value))
@@ -443,7 +448,7 @@
         self.snapshot_work.notify_one();
     }
 
-    /// Stores snapshots as they are planned, until the shard is lost.
+    /// Stores planned snapshots until the shard is lost.
     async fn store_snapshots(&self, cx: &Cx) {
         while !self.inner.borrow().is_lost {
             let planned = self.inner.borrow_mut().snapshot.take();
@@ -456,8 +461,8 @@
         }
     }
 
-    /// Stores the state as of row `number`, and deletes the rows that it covers. What fails here is
-    /// tried again with the next snapshot; rows that a snapshot covers are passed over at recovery.
+    /// Stores the state as of row `number` and deletes the rows that it covers. Failures are left to the next
+    /// snapshot; recovery skips covered rows that were not deleted.
     async fn store_snapshot(&self, cx: &Cx, number: u64, state: Bytes) {
         let before = self.read_pointer(cx).await;
         let pointer = SnapshotPointer {
@@ -475,20 +480,19 @@
             put: vec![(self.key(SNAPSHOT_TABLE, SNAPSHOT_KEY), value.into())],
             delete: Vec::new(),
         };
-        // Without a certain answer the rows stay; deleting them under a pointer that isn't in would
-        // lose them.
+        // Unless the commit is confirmed, the rows are kept: without the new pointer, deleting them would lose events.
         if !matches!(cx.store.commit(&txn).await, TxnEnd::Committed(_)) {
             return;
         }
         let first = {
             let mut inner = self.inner.borrow_mut();
-            // Rows may have been written since.
+            // Rows may have been written while the snapshot was stored.
             inner.rows_since_snapshot = inner.last_row - number;
             std::mem::replace(&mut inner.first_row, number + 1)
         };
         self.delete_rows(cx, first, number).await;
         if let Ok(Some(before)) = before {
-            // An object that stays costs room only.
+            // On failure, the old object only takes up space.
             let _ = cx.store.delete_object(&before.object).await;
         }
         log::info!(row = number; "snapshot stored");
@@ -517,7 +521,7 @@
     }
 }
 
-/// Takes as many appends as one row holds, and tells who waits for them.
+/// Removes as many appends as fit into one row, adds their senders to `waiting` and returns the encoded row.
 fn take_row(open: &mut VecDeque<Open>, waiting: &mut Vec<oneshot::Sender<AppendEnd>>) -> Bytes {
     let head = RowHead {
         nonce: rand::random(),
@@ -544,7 +548,7 @@
 fn line_of(event: &Event) -> Vec<u8> {
     let mut line = vec![b'\n'];
     serde_json::to_writer(&mut line, event)
-        .unwrap_or_else(|e| unreachable!("an event has a text form: {e}"));
+        .unwrap_or_else(|e| unreachable!("an event must serialise to JSON: {e}"));
     line
 }
 
--- a/src/lapisdrum/sched/ledger.rs
+++ b/src/lapisdrum/sched/ledger.rs
@@ -1,8 +1,8 @@
-//! What a shard remembers of its jobs, and how each event changes it. Pure.
+//! State of a shard's jobs and its transitions, without I/O.
 //!
-//! [`Ledger::apply`] is the only way in. It checks each event against the state, so that a decision made
-//! on stale knowledge is found when it is proposed and not when a task runs twice. A replay of the
-//! journal goes through the same checks.
+//! Events change the state through [`Ledger::apply`] only. It validates each event against the state, so that a
+//! decision based on stale state is rejected before it is journaled and not found when a task runs twice. A replay
+//! of the journal passes the same checks.
 
 use super::{
     event::{Event, Loss, RunEnd, RunId, WorkerLife},
@@ -13,155 +13,158 @@
 use std::{collections::BTreeMap, fmt, rc::Rc};
 
 data! {
-    /// How a job is over.
+    /// State of a job; every variant but [`Active`](Self::Active) is final.
     #[derive(Copy)]
     pub enum Phase {
-        /// It is not over.
+        /// Accepted and not ended.
         Active,
         /// Every task is done.
         Completed,
-        /// A task failed as often as its queue allows.
+        /// A task or gang used up the attempts that the queue allows.
         Failed,
-        /// Its caller cancelled it.
+        /// Cancelled on request.
         Cancelled,
     }
 
     /// A run that may be alive.
     pub struct LiveRun {
-        /// Its number.
+        /// Greater than the number of every earlier run of the task.
         pub number: RunNumber,
-        /// Where.
+        /// Incarnation of the worker that the run was placed on.
         pub on: WorkerLife,
     }
 
-    /// One task.
+    /// State of one task.
     #[derive(Default)]
     pub struct Task {
-        /// Whether a run of it has ended as done.
+        /// Whether a run of the task, or of any member of its gang, has completed it.
         pub is_done: bool,
-        /// Runs that may be alive; more than one only where copies are allowed.
+        /// Runs that may be alive; more than one only if the step is speculative.
         pub live: Vec<LiveRun>,
-        /// The number of its last run.
+        /// Number of the latest run, also of one in the shard that delegated the task; 0 if there was none.
         pub last_run: RunNumber,
-        /// Runs that have failed.
+        /// Number of failed runs; those of a gang are counted at its first member.
         pub failures: u32,
-        /// Its last saved progress.
+        /// Latest checkpoint that a run returned; the next run starts from it.
         pub checkpoint: Option<String>,
-        /// The shard that runs it, where that is another one.
+        /// The other shard that runs the task, if any.
         #[serde(default)]
         pub elsewhere: Option<ShardId>,
     }
 
-    /// A step of one occurrence.
+    /// State of a step in one occurrence.
     pub struct StepState {
-        /// Its tasks.
+        /// Indexed by [`TaskId::index`].
         pub tasks: Vec<Task>,
-        /// How many of them are done.
+        /// Number of tasks that are done.
         pub done: u32,
-        /// How many of them are not done and have a live run.
+        /// Number of tasks that are not done and have a live run.
         pub running: u32,
     }
 
-    /// One occurrence of a job.
+    /// State of one occurrence of a job.
     pub struct Occurrence {
-        /// Its steps.
+        /// Indexed by [`TaskId::step`].
         pub steps: Vec<StepState>,
-        /// Whether every task is done.
+        /// Whether every task of every step is done.
         pub is_done: bool,
     }
 
-    /// A job.
+    /// State of a job.
     pub struct Job {
-        /// What was submitted.
+        /// The specification as submitted.
         pub spec: Rc<JobSpec>,
-        /// What the catalogue said of its queue.
+        /// Settings of the queue, as the catalogue had them at submission.
         pub terms: QueueTerms,
-        /// When it was accepted, in Unix milliseconds.
+        /// Time of acceptance, in Unix milliseconds.
         pub accepted_unix_ms: u64,
-        /// Occurrences of which anything was started.
+        /// By number; an occurrence is added when one of its tasks is first placed or adopted.
         pub occurrences: BTreeMap<u32, Occurrence>,
-        /// Occurrences that are done.
+        /// Number of occurrences that are done.
         pub occurrences_done: u32,
-        /// Whether any task was ever placed.
+        /// Whether any task was ever placed; always true if `is_guest`.
         pub has_started: bool,
-        /// Whether it is over.
+        /// Whether and how the job has ended.
         pub phase: Phase,
-        /// When it was over, in Unix milliseconds.
+        /// Time of the end, in Unix milliseconds; 0 while the job is active.
         pub over_unix_ms: u64,
-        /// Whether another shard owns the job and only some of its tasks are run here.
+        /// Whether the job belongs to another shard, which delegated some of its tasks to this one.
         #[serde(default)]
         pub is_guest: bool,
     }
 }
 
 data! {
-    /// A job that was handed to another shard.
+    /// A job that was transferred to another shard.
     #[derive(Copy)]
     pub struct SentJob {
-        /// The shard that takes it.
+        /// The shard that receives the job.
         pub to: ShardId,
-        /// When it was decided, in Unix milliseconds.
+        /// Time of the decision, in Unix milliseconds.
         pub at_unix_ms: u64,
     }
 }
 
-/// An event that doesn't fit the state.
+/// An event that is not valid in the current state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Misplaced {
-    /// The job isn't known, or it is already.
+    /// The job is unknown, exists already, or does not allow the event.
     Job(JobId),
-    /// The task isn't one of the job's, or its step may not begin yet.
+    /// The task does not exist, its step may not start yet, or it may not be delegated.
     Task(TaskId),
-    /// The run's number isn't above the last, or the task may not have another run.
+    /// The run's number is not greater than the last one, or the task may not have another run.
     Run(RunId),
-    /// The job is not over.
+    /// The job has not ended, so it may not be forgotten.
     NotOver(JobId),
 }
 
 impl fmt::Display for Misplaced {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Job(job) => write!(f, "job {job} is unknown or known already"),
-            Self::Task(task) => write!(f, "task {task} is none, or may not begin"),
+            Self::Job(job) => write!(
+                f,
+                "job {job} is unknown, exists already or does not allow this event"
+            ),
+            Self::Task(task) => write!(f, "task {task} is unknown or does not allow this event"),
             Self::Run(run) => write!(
                 f,
                 "run {} of task {} may not be placed",
                 run.run.0, run.task
             ),
-            Self::NotOver(job) => write!(f, "job {job} is not over"),
+            Self::NotOver(job) => write!(f, "job {job} has not ended and cannot be forgotten"),
         }
     }
 }
 
 impl std::error::Error for Misplaced {}
 
-/// Everything that a shard remembers.
+/// All jobs that a shard knows.
 #[derive(Clone, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Ledger {
     /// Jobs by id, in the order of their acceptance.
     #[serde(with = "indexmap::map::serde_seq")]
     pub jobs: IndexMap<JobId, Job>,
-    /// Jobs at home here that were handed to another shard. A repeated submission is sent to the same shard:
-    /// chosen anew by load, it would be accepted in two.
+    /// Jobs whose home is this shard and that were transferred to another. A repeated submission goes to the same
+    /// shard: if it were chosen by load again, two shards could accept the job.
     #[serde(with = "indexmap::map::serde_seq", default)]
     pub sent: IndexMap<JobId, SentJob>,
 }
 
 impl Ledger {
-    /// A task, if it is known.
+    /// Returns a task, or `None` if no task of its occurrence was placed yet.
     pub fn task(&self, id: &TaskId) -> Option<&Task> {
         let occurrence = self.jobs.get(&id.job)?.occurrences.get(&id.occurrence)?;
         let step = occurrence.steps.get(usize::from(id.step))?;
         step.tasks.get(id.index as usize)
     }
 
-    /// A live run, if it is one.
+    /// Returns a run, or `None` if it is not live.
     pub fn live(&self, run: &RunId) -> Option<&LiveRun> {
         let live = &self.task(&run.task)?.live;
         live.iter().find(|live| live.number == run.run)
     }
 
-    /// Every run that may be alive.
+    /// Iterates over the runs of all jobs that may be alive.
     pub fn live_runs(&self) -> impl Iterator<Item = (RunId, &LiveRun)> {
         self.jobs.iter().flat_map(|(id, job)| job.live_runs(*id))
     }
@@ -219,7 +222,8 @@
         Ok(())
     }
 
-    /// Hands a task on that nothing of is alive. There is no way back: the other shard may take it at any later time.
+    /// Delegates a long-running task without a live run. This is not reversible: the other shard may adopt the task at
+    /// any later time.
     fn delegate(&mut self, id: &TaskId, to: ShardId) -> Result<(), Misplaced> {
         let job = self.job_mut(id.job)?;
         let step = job.spec.steps.get(usize::from(id.step));
@@ -298,8 +302,8 @@
         Ok(())
     }
 
-    /// An end of a run that isn't live is a repeat and changes nothing, but for one as done: a run that was
-    /// given up on a worker that was cut off may have done its work there, and it needn't be done again.
+    /// The end of a run that is not live is a repeat and has no effect, except [`RunEnd::Done`]: a run that was given
+    /// up because its worker was unreachable may have completed there, and the work need not be repeated.
     fn end(
         &mut self,
         run: &RunId,
@@ -379,7 +383,7 @@
         }
     }
 
-    /// Another shard's job, of which no task is run here yet.
+    /// Creates the state of another shard's job before any of its tasks is adopted.
     fn guest(spec: &Rc<JobSpec>, terms: &QueueTerms, from: ShardId, at_unix_ms: u64) -> Self {
         let mut job = Self::new(spec, terms, at_unix_ms);
         let tasks = |step: &Step| StepState {
@@ -402,7 +406,8 @@
         step.tasks.get_mut(id.index as usize)
     }
 
-    /// The tasks of a job of this shard that other shards run, with the numbers of their last runs here, by shard.
+    /// Tasks that are delegated to other shards, by shard, with the numbers of their last runs in this one. Empty for a
+    /// guest.
     pub fn delegated(&self, id: JobId) -> IndexMap<ShardId, Vec<(TaskId, RunNumber)>> {
         let mut by_shard: IndexMap<ShardId, Vec<(TaskId, RunNumber)>> = IndexMap::new();
         if self.is_guest {
@@ -429,13 +434,13 @@
         by_shard
     }
 
-    /// How many tasks of a step this shard is to run, in the first occurrence.
+    /// Number of tasks of a step in the first occurrence that this shard runs itself.
     pub fn tasks_here(&self, step: usize) -> u64 {
         self.tasks_but(step, |task| task.elsewhere.is_some())
     }
 
-    /// How many of its long-running tasks this shard is to run again and doesn't, in the first occurrence. New ones are
-    /// not counted: they wait for interrupted ones of any shard.
+    /// Number of long-running tasks in the first occurrence that have run before, have no live run and are not
+    /// delegated. Tasks that have never run are not counted: they wait for interrupted ones of any shard.
     pub fn interrupted_long_running(&self) -> u64 {
         let steps = self.spec.steps.iter().enumerate();
         let long_running = steps.filter(|(_, step)| step.is_long_running);
@@ -449,7 +454,7 @@
             .sum()
     }
 
-    /// The tasks of a step in the first occurrence, but those that are left out.
+    /// Number of tasks of a step in the first occurrence that `is_left_out` does not match.
     fn tasks_but(&self, step: usize, is_left_out: impl Fn(&Task) -> bool) -> u64 {
         let state = self.occurrences.get(&0).and_then(|o| o.steps.get(step));
         let left_out = |state: &StepState| {
@@ -460,13 +465,13 @@
         u64::from(count) - state.map_or(0, left_out)
     }
 
-    /// A step's state, if anything of its occurrence was started.
+    /// Returns a step's state, or `None` if no task of its occurrence was placed yet.
     pub fn step(&self, id: &StepId) -> Option<&StepState> {
         let occurrence = self.occurrences.get(&id.occurrence)?;
         occurrence.steps.get(usize::from(id.step))
     }
 
-    /// Whether every step before `step` is done in this occurrence.
+    /// Whether every step that `step` depends on is done in this occurrence.
     pub fn may_begin(&self, occurrence: u32, step: usize) -> bool {
         let Some(spec) = self.spec.steps.get(step) else {
             return false;
@@ -479,7 +484,7 @@
         spec.after.iter().all(is_done)
     }
 
-    /// Runs that may be alive.
+    /// Iterates over the runs of this job that may be alive; `id` is the job's own id.
     pub fn live_runs(&self, id: JobId) -> impl Iterator<Item = (RunId, &LiveRun)> {
         self.occurrences
             .iter()
@@ -515,14 +520,14 @@
         occurrence.steps.get_mut(usize::from(id.step))
     }
 
-    /// Whether the task of a run that was placed is still to be done.
+    /// Whether the run was placed and its task is not done.
     fn is_open(&self, run: &RunId) -> bool {
         let step = self.step(&run.task.step_id());
         let task = step.and_then(|step| step.tasks.get(run.task.index as usize));
         task.is_some_and(|task| !task.is_done && run.run <= task.last_run)
     }
 
-    /// Takes a run off the live ones; false when it was none.
+    /// Removes a run from the live runs; returns whether it was live.
     fn take_live(&mut self, run: &RunId) -> bool {
         let Some(step) = self.step_mut(&run.task.step_id()) else {
             return false;
@@ -539,7 +544,7 @@
         was_live
     }
 
-    /// One member's progress is valid for its whole gang, and all members must start from the same.
+    /// A checkpoint of one gang member applies to the whole gang, since all members must start from the same one.
     fn note_checkpoint(&mut self, run: &RunId, gang: Gang, checkpoint: &str) {
         let Some(step) = self.step_mut(&run.task.step_id()) else {
             return;
@@ -551,7 +556,7 @@
         }
     }
 
-    /// One member's end stands for its whole gang.
+    /// The completion of one gang member completes the whole gang.
     fn note_done(&mut self, run: &RunId, gang: Gang, at_unix_ms: u64) {
         let number = run.task.occurrence;
         let Some(step) = self.step_mut(&run.task.step_id()) else {
@@ -586,7 +591,7 @@
         let Some(step) = self.step_mut(&run.task.step_id()) else {
             return;
         };
-        // A gang fails as one: its failures are counted with its first member.
+        // A gang fails as a whole, so its failures are counted at its first member.
         let index = match gang {
             Gang::No => run.task.index as usize,
             Gang::AnyRack | Gang::SameRack => 0,
