--- a/src/lapisdrum/sched/lease.rs
+++ b/src/lapisdrum/sched/lease.rs
@@ -1,12 +1,12 @@
-//! Who owns a shard: a lease row in the store, and a fence row beside it that only a take-over writes.
+//! Ownership of a shard: a lease row in the store, and a fence row that only a take-over writes.
 //!
-//! Every daemon reads both rows now and then; an owner renews the lease row. A row that stays unchanged
-//! for [`LEASE`] on the reader's own clock has lapsed, and any daemon may take the shard by a conditional
-//! write. The fence row's version is the new owner's fencing token: versions come from one counter for
-//! the whole store, so it is greater than any token ever given out.
+//! Every daemon polls both rows; the owner renews the lease row. A lease whose row stays unchanged for [`LEASE`] on
+//! the reader's own clock has lapsed, and any daemon may take the shard over by a conditional write. The version of
+//! the fence row is the new owner's fencing token: versions come from one counter for the whole store, so it is
+//! greater than every earlier token.
 //!
-//! The lease decides only when somebody else may try. What an owner may still do is decided by the fence
-//! at the store and by the token at the workers, so a daemon that was frozen and wakes can do no harm.
+//! The lease only decides when another daemon may try to take over. What an owner may still do is decided by the
+//! fence at the store and the token at the workers, so a daemon that resumes after a freeze can do no harm.
 
 use super::{
     Cx, ShardHandle,
@@ -19,116 +19,114 @@
 use rand::Rng;
 use std::{rc::Rc, time::Duration};
 
-/// Table of both rows.
+/// Store table of the lease and fence rows.
 pub const OWNERS_TABLE: &str = "owners";
 const LEASE_KEY: &str = "lease";
 const FENCE_KEY: &str = "fence";
-/// Time between two looks at the rows: with [`LEASE`], how soon a dead owner is replaced.
+/// Time between two polls of the rows. Together with [`LEASE`] it determines how soon a failed owner is replaced.
 const POLL: Duration = Duration::from_millis(300);
-/// Least pause between two looks where there are several shards.
+/// Minimum pause between two polls if there are several shards.
 const LEAST_PAUSE: Duration = Duration::from_millis(150);
-/// Shards that a daemon looks at in every round: with [`LEAST_PAUSE`], and one other, each is seen again after
-/// 1.35 s, within a [`LEASE`].
+/// Maximum number of shards that a daemon polls in every round. With [`LEAST_PAUSE`] and one further shard per round,
+/// each is polled every 1.35 s, which is within a [`LEASE`].
 const MOST_WATCHED: usize = 8;
-/// Head start that a daemon gives to others for each shard that it owns. Less than that of a host with half of
-/// [`ENOUGH_CPU`]: two shards on half a core go better than one on an eighth.
+/// Delay of a take-over for each shard that the daemon owns already. Less than the delay of a host with half of
+/// [`ENOUGH_CPU`], since two shards on half a core perform better than one on an eighth.
 const ANOTHER_SHARD: Duration = Duration::from_millis(400);
-/// Time between two renewals: two may be lost before the lease lapses, or one be as slow as the store is
-/// when its answers take sixty times as long.
+/// Time between two renewals. The lease survives two lost renewals, or one on a store that is 60 times slower.
 const RENEW: Duration = Duration::from_millis(400);
-/// Life of the lease. It is the larger part of the time without an owner, in which nothing starts; a lapse
-/// under a live owner costs a recovery of 0.15 s. Workers' leases run for 6 s, so tasks live through both.
+/// Duration of the lease. It is the larger part of the time without an owner, in which nothing starts. A lapse under
+/// a live owner costs a recovery of 0.15 s. Workers' leases last 6 s, so tasks survive both.
 pub const LEASE: Duration = Duration::from_millis(1_500);
-/// A host with this part of a core leaves no shard to others.
+/// Share of a core from which a host does not delay a take-over.
 const ENOUGH_CPU: f64 = 0.25;
-/// Head start that a host without any processor would give: several looks of the larger ones.
+/// Take-over delay for a CPU share of 0: several polls of the larger hosts.
 const LONGEST_HEAD_START: Duration = Duration::from_millis(1_500);
-/// Rows that were not read for this long tell nothing of a lapse: two looks, and a call's time limit.
+/// Age from which rows are too old to infer a lapse from: two polls plus the time limit of a call.
 const BLIND_AFTER: Duration = Duration::from_millis(1_900);
-/// A row that stood still for this long is suspected: one renewal is missing. Its holder is then asked whether
-/// it is still there, since a killed owner would else be waited for during the rest of its lease, of which
-/// this is less than half.
+/// Time without a change from which the holder is suspected, since one renewal is missing. The holder is then probed,
+/// so that a killed owner is replaced without waiting for the rest of its lease, of which this is less than half.
 const SUSPECTED_AFTER: Duration = Duration::from_millis(600);
-/// Longest wait for a suspected holder's answer: many round trips between data centres.
+/// Time limit of a probe of a suspected holder: many round trips between data centres.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(250);
-/// A daemon that started this much after the one that gave a shard up was started since.
+/// A daemon whose uptime is shorter by more than this than that of the daemon that released a shard started later.
 const STARTED_SINCE: Duration = Duration::from_secs(1);
-/// Head start that those give which run for as long as the one that gave the shard up: an end that was asked for
-/// is often one of a series, and who hasn't had its turn would give the shard up again. Longer than a look and its
-/// pause take the others.
+/// Take-over delay of a daemon that has run at least as long as the one that released the shard. Releases often come
+/// from a rolling restart, and a daemon that is still to be restarted would release the shard again. Longer than a
+/// poll and its pause.
 const SERIES_HEAD_START: Duration = Duration::from_millis(350);
-/// Spread of the daemons' tries after a lapse, so that most find it taken when they look.
+/// Random delay of take-over attempts, so that most daemons see that the shard is taken before they try.
 const TAKE_SPREAD: Duration = Duration::from_millis(150);
-/// A renewal on a slow store takes up to so many times as long as a read: it waits for a transaction with journal
-/// rows and goes with the next.
+/// Upper bound of a renewal's duration on a slow store, in durations of a read: the renewal waits for a transaction
+/// with journal rows and is sent with the next one.
 const ANSWERS_A_RENEWAL: u32 = 5;
-/// Tries to take over are spread over so many times an answer: each shows to the others after two.
+/// Range of the random take-over delay, in durations of a read: others see an attempt after two.
 const ANSWERS_A_SPREAD: u32 = 10;
-/// Most that is allowed for a slow store.
+/// Maximum extension of a time limit for a slow store.
 const MOST_ALLOWANCE: Duration = Duration::from_millis(3_000);
-/// A renewal that the journal hasn't carried within this time is sent by itself.
+/// Time after which a renewal that no journal transaction has carried is sent in its own transaction.
 const PIGGYBACK_LIMIT: Duration = Duration::from_millis(1_200);
-/// Tries to give a lease up.
+/// Maximum attempts to release a lease.
 const RELEASE_TRIES: usize = 3;
-/// Daemons of which the lease was last released are given this head start over the one that gave it up.
+/// Time for which a daemon does not take a shard again that it released itself, so that others come first.
 const RELEASED_GRACE: Duration = Duration::from_secs(3);
 
 data! {
-    /// A run of a daemon.
+    /// Identity of a daemon process.
     pub struct Holder {
         /// The daemon's name.
         pub daemon: String,
-        /// Where other daemons reach it.
+        /// Address for calls from other daemons: IP number and port.
         pub address: String,
-        /// Drawn at its start.
+        /// Random number that the process draws at its start.
         pub incarnation: u64,
     }
 
-    /// The lease row.
+    /// Content of the lease row.
     pub struct LeaseRow {
-        /// Who holds it, or held it last.
+        /// The current or last holder.
         pub holder: Holder,
-        /// Whether it was given up.
+        /// Whether the holder released the lease.
         pub is_released: bool,
-        /// Raised by each renewal.
+        /// Number of the renewal; `u64::MAX` for a release.
         pub renewals: u64,
-        /// For how long the holder had been running when it wrote the row, in milliseconds.
+        /// Uptime of the holder when it wrote the row, in milliseconds.
         #[serde(default)]
         pub up_ms: u64,
     }
 }
 
 impl Holder {
-    /// Whether this is another run of the same daemon at the same address. Only one process at a time can
-    /// listen there, so a process that finds this of itself knows that the other run is over.
+    /// Whether this is another process at the address of `me`. Only one process can listen there at a time, so the
+    /// process `me` can conclude that the other one has ended.
     pub fn is_other_run_of(&self, me: &Self) -> bool {
         self.address == me.address && self.incarnation != me.incarnation
     }
 }
 
-/// The lease as last read.
+/// The lease and fence rows as last read.
 #[derive(Clone, Debug, Default)]
 pub struct LeaseView {
-    /// The row; none before the first owner.
+    /// The lease row; `None` before the first owner.
     pub row: Option<LeaseRow>,
-    /// Its version; 0 when there is none.
+    /// Version of the lease row; 0 if there is none.
     pub version: u64,
-    /// The fence row's version.
+    /// Version of the fence row; 0 if there is none.
     pub fence: u64,
-    /// Since when it is known to have this version: the shard's owner took it no later.
+    /// Time of the first read with this fence version; the owner took the shard no later.
     pub fence_since: Millis,
-    /// Since when the row is known with this version.
+    /// Time of the first read with this version of the lease row.
     pub since: Millis,
-    /// When the rows were last read.
+    /// Time of the last read; `None` before the first.
     pub read_at: Option<Millis>,
-    /// How long the answer took then.
+    /// Duration of the last read.
     pub answer_took: Duration,
-    /// The lease row's version whose holder was found to be gone.
+    /// Version of the lease row whose holder a probe found to have ended.
     pub gone_version: Option<u64>,
 }
 
 impl LeaseView {
-    /// Notes the rows as read at `now`.
+    /// Records the rows as read at `now`. Returns an error if the lease row is malformed.
     pub fn note(&mut self, rows: &[Row], now: Millis) -> Result<(), serde_json::Error> {
         let lease = rows.iter().find(|row| row.key == LEASE_KEY);
         let version = lease.map_or(0, |row| row.version);
@@ -149,8 +147,9 @@
         Ok(())
     }
 
-    /// The holder, unless the lease was given up or has lapsed at `now`. A daemon that can't read the rows goes by
-    /// the last holder: the store may turn this host away alone, and a holder that is none says so itself.
+    /// Returns the holder, unless the lease was released or has lapsed at `now`. A daemon that cannot read the rows
+    /// uses the last known holder: the store may be unavailable to this host only, and a daemon that no longer holds
+    /// the lease says so when it is called.
     pub fn holder(&self, now: Millis) -> Option<&Holder> {
         let row = self.row.as_ref().filter(|row| !row.is_released)?;
         let is_blind = self.read_at.is_none_or(|at| now.since(at) > BLIND_AFTER);
@@ -158,14 +157,14 @@
         (is_held || is_blind).then_some(&row.holder)
     }
 
-    /// How long the row may stand still. A store that answers late does renewals late too, and a lapse under a live
-    /// owner has every daemon try to take over in the same part, which holds up the renewals still more.
+    /// Time without a change after which the lease lapses. On a slow store renewals are late too, and after a lapse
+    /// under a live owner every daemon tries to take over in the same partition, which delays the renewals further.
     fn lapses_after(&self) -> Duration {
         LEASE + (self.answer_took * ANSWERS_A_RENEWAL).min(MOST_ALLOWANCE)
     }
 
-    /// Over what time the daemons' tries are spread: on a slow store others' tries show late. What was given up is
-    /// free for certain, and is taken sooner.
+    /// Range of the random take-over delay. It is longer on a slow store, where other daemons' attempts become visible
+    /// late, and shorter after a release, since the shard is certainly free.
     fn take_spread(&self, is_first_in_line: bool) -> Duration {
         let (least, answers) = match (is_first_in_line, self.is_released()) {
             (true, _) => (Duration::ZERO, 1),
@@ -179,12 +178,12 @@
         self.row.as_ref().is_some_and(|row| row.is_released)
     }
 
-    /// Whether the holder was found to be gone.
+    /// Whether a probe found that the holder has ended.
     fn is_gone(&self) -> bool {
         self.gone_version == Some(self.version)
     }
 
-    /// The holder, if its lease runs at `now` and is overdue to be renewed, so that it is to be asked.
+    /// Returns the holder to be probed: its renewal is overdue at `now`, but its lease has not lapsed.
     pub fn suspected(&self, now: Millis) -> Option<&Holder> {
         let row = self.row.as_ref().filter(|row| !row.is_released)?;
         let unchanged = now.since(self.since);
@@ -194,7 +193,7 @@
         is_suspected.then_some(&row.holder)
     }
 
-    /// How long a daemon that has run for `up` leaves a shard to others that was given up.
+    /// Take-over delay for a released shard of a daemon with the uptime `up`.
     fn series_head_start(&self, up: Duration) -> Duration {
         let released = self.row.as_ref().filter(|row| row.is_released);
         let is_older = |row: &LeaseRow| up + STARTED_SINCE >= Duration::from_millis(row.up_ms);
@@ -204,7 +203,7 @@
         }
     }
 
-    /// Whether `me` may try to take the shard at `now`.
+    /// Whether `me` may try to take over the shard at `now`.
     pub fn is_free_for(&self, me: &Holder, now: Millis) -> bool {
         match &self.row {
             None => true,
@@ -212,7 +211,7 @@
                 now.since(self.since) >= RELEASED_GRACE
             }
             Some(row) if row.is_released => true,
-            // A take-over of our own whose answer was lost: nobody has acted under it.
+            // An earlier take-over by this process whose reply was lost; it has not acted under it.
             Some(row) if row.holder == *me => true,
             Some(row) if row.holder.is_other_run_of(me) => true,
             Some(_) => self.is_gone() || now.since(self.since) >= self.lapses_after(),
@@ -228,8 +227,8 @@
     }
 }
 
-/// Looks at the leases in turn, and takes a shard that is free, until the process ends. A daemon looks at one
-/// shard at a time, so that its calls don't grow with their number.
+/// Polls the leases in turn and takes over free shards, until the process ends. A daemon polls one shard at a time,
+/// so that its call rate does not grow with the number of shards.
 pub async fn run(cx: Cx) -> eyre::Result<()> {
     super::layout::learn(&cx).await;
     let shards: Vec<_> = cx.layout.borrow().iter().flat_map(|l| l.all()).collect();
@@ -241,9 +240,9 @@
     Ok(())
 }
 
-/// In which order a run of a daemon looks at shards. To see a lapse it must see the same row twice within
-/// about a lease, so with many shards it keeps to a few that its run draws, and each of them has several daemons
-/// that do; the others come in between, for a shard that too few have drawn.
+/// Order in which a daemon process polls shards. To detect a lapse it must read the same row twice within about a
+/// lease, so with many shards each process polls a few in every round, selected by its incarnation; several daemons
+/// select the same shard. The other shards are polled one per round, in case too few daemons have selected one.
 pub fn rota(shards: &[ShardId], incarnation: u64) -> Vec<ShardId> {
     let mut drawn = shards.to_vec();
     drawn.sort_by_cached_key(|shard| {
@@ -278,7 +277,7 @@
     let waits = [spread, burden, series, head_start(cx.cfg.cpu_share)];
     let wait: Duration = waits.into_iter().sum();
     tokio::time::sleep(wait).await;
-    // Another may have taken it meanwhile; a try in vain would hold its first rows up.
+    // Another daemon may have taken the shard over meanwhile; a failing attempt would delay its first journal rows.
     if wait >= POLL && look(cx, handle).await.is_err() {
         return;
     }
@@ -287,9 +286,9 @@
     }
 }
 
-/// Asks a holder that is overdue whether it is there. One that isn't, or is another run, has no use of the rest
-/// of its lease. A refused connection may also come from a network that is cut, while the holder goes on: then
-/// the take-over is one too many and does no harm, since the fence and the tokens don't go by what is found here.
+/// Probes a suspected holder. If its process has ended or was restarted, the rest of its lease need not be awaited. A
+/// connection may also be refused in a network partition while the holder is alive: the take-over is then
+/// unnecessary but safe, since fence and tokens do not depend on the probe.
 async fn probe_suspected(cx: &Cx, handle: &ShardHandle) {
     let (suspected, version) = {
         let lease = handle.lease.borrow();
@@ -309,8 +308,8 @@
     }
 }
 
-/// How long a host leaves a free shard to larger ones: an owner on one with a small part of a core falls behind in
-/// every burst.
+/// Take-over delay of a host with a small CPU share, so that larger hosts come first: an owner with a small part of a
+/// core falls behind in every burst.
 fn head_start(cpu_share: f64) -> Duration {
     let missing = (ENOUGH_CPU - cpu_share).max(0.0) / ENOUGH_CPU;
     LONGEST_HEAD_START.mul_f64(missing)
@@ -320,7 +319,7 @@
     handle.lease.borrow().is_free_for(&cx.me, cx.clock.now())
 }
 
-/// Reads the rows.
+/// Reads the lease and fence rows of a shard into [`ShardHandle::lease`].
 pub async fn look(cx: &Cx, handle: &ShardHandle) -> Result<(), CallError> {
     let asked_at = cx.clock.now();
     let rows = cx.store.rows(OWNERS_TABLE, &handle.part, "").await?;
@@ -339,7 +338,7 @@
 }
 
 async fn try_take(cx: &Cx, handle: &Rc<ShardHandle>) -> eyre::Result<()> {
-    // What was read a moment ago is good enough: the write is conditional on it.
+    // The last read may be outdated; the write is conditional on its versions.
     if !is_free(cx, handle) {
         return Ok(());
     }
@@ -367,7 +366,7 @@
     if matches!(end, TxnEnd::Conflict(_) | TxnEnd::NotDone(_)) {
         return Ok(());
     }
-    // Read back, whether the answer was lost or not: the token is the fence row's own version.
+    // Read the rows back even after a confirmed commit: the token is the version of the fence row.
     look(cx, handle).await?;
     let view = handle.lease.borrow().clone();
     let is_ours = view.row.as_ref() == Some(&row) && view.fence > seen.fence;
@@ -386,7 +385,7 @@
     while owner.is_serving() {
         renewals += 1;
         let renewing = owner.renewing.lock().await;
-        // It may have been given up meanwhile.
+        // The lease may have been released while this waited for the lock.
         if owner.is_serving() {
             renew_once(cx, owner, renewals, false).await;
         }
@@ -395,8 +394,8 @@
     }
 }
 
-/// Gives the lease up, so that another daemon takes over at its next look. A renewal that is under way would have it
-/// fail and the lease left to lapse, so none is sent any more, and after a lost answer it is tried again.
+/// Releases the lease, so that another daemon takes over at its next poll. A concurrent renewal would make the release
+/// fail and leave the lease to lapse, so renewals are locked out; a failed attempt is repeated.
 pub async fn release(cx: &Cx, owner: &Rc<Owner>) {
     let _renewing = owner.renewing.lock().await;
     for _ in 0..RELEASE_TRIES {
@@ -406,7 +405,7 @@
     }
 }
 
-/// Writes the lease row; true once it is in.
+/// Writes the lease row; returns whether the write is known to be committed.
 async fn renew_once(cx: &Cx, owner: &Rc<Owner>, renewals: u64, is_released: bool) -> bool {
     let row = LeaseRow {
         holder: cx.me.clone(),
@@ -455,7 +454,8 @@
     PiggybackEnd { end, sent_at }
 }
 
-/// After a conflict: an earlier renewal whose answer was lost, or another owner?
+/// Resolves a conflict: adopts the version of an earlier renewal whose reply was lost, or gives the shard up if another
+/// daemon owns it.
 fn adopt_or_lose(cx: &Cx, owner: &Rc<Owner>, rows: &[Row]) {
     let mut view = LeaseView::default();
     let is_read = view.note(rows, cx.clock.now()).is_ok();
--- a/src/lapisdrum/sched/metrics.rs
+++ b/src/lapisdrum/sched/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and histograms of the scheduler, in the text form that is served on the metrics address.
+//! Metrics of the scheduler, in the text format that is served on the metrics address.
 
 use super::{event::RunEnd, front::Outcome, ledger::Phase};
 use prometheus_client::{
@@ -12,53 +12,53 @@
     registry::Registry,
 };
 
-/// Least upper bound of a row's histogram, in seconds; doubled eleven times up to 8 s.
+/// Upper bound of the first bucket of `row_seconds`, in seconds; doubled eleven times up to 8 s.
 const FIRST_ROW_BUCKET: f64 = 0.004;
-/// Least upper bound of a job's histogram, in seconds; doubled eleven times up to 102 s.
+/// Upper bound of the first bucket of `job_seconds`, in seconds; doubled eleven times up to 102 s.
 const FIRST_JOB_BUCKET: f64 = 0.05;
 const BUCKETS: u16 = 12;
 
-/// Labels of what is counted by queue and outcome.
+/// Labels of metrics by queue and outcome.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct OutcomeLabels {
     queue: String,
     outcome: String,
 }
 
-/// Label of what is counted by outcome alone.
+/// Label of metrics by outcome.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct EndLabel {
     outcome: String,
 }
 
-/// All of them.
+/// Metrics of one daemon.
 pub struct Metrics {
     registry: Registry,
     /// Journal rows written.
     pub rows_written: Counter,
     /// Events journaled.
     pub events: Counter,
-    /// Time from a row's first sending until it is settled.
+    /// Time from the first attempt to write a journal transaction until its outcome is known, in seconds.
     pub row_seconds: Histogram,
-    /// Store calls that failed or had no answer.
+    /// Store calls that failed or got no reply.
     pub store_errors: Counter,
-    /// Orders to start that were sent.
+    /// Orders to start a run that were sent to workers.
     pub starts: Counter,
-    /// Orders without an answer.
+    /// Orders to start a run that got no reply.
     pub orders_silent: Counter,
-    /// Orders to work at another pace.
+    /// Orders to change a task's CPU limit.
     pub paces: Counter,
-    /// Runs over without an end from their worker.
+    /// Runs that ended without a report from their worker, or never started.
     pub runs_lost: Counter,
-    /// Looks at workers.
+    /// Polls of workers.
     pub looks: Counter,
-    /// Shards taken over by this process.
+    /// Take-overs of shards by this process.
     pub takeovers: Counter,
-    /// Jobs that are not over.
+    /// Jobs that have not ended.
     pub jobs_active: Gauge,
     /// Runs that may be alive.
     pub runs_live: Gauge,
-    /// Runs that are left in evacuated data centres.
+    /// Live runs in evacuated data centres.
     pub runs_in_evacuated: Gauge,
     submits: Family<OutcomeLabels, Counter>,
     jobs: Family<OutcomeLabels, Counter>,
@@ -67,7 +67,7 @@
 }
 
 impl Metrics {
-    /// All at zero.
+    /// Creates and registers all metrics with value 0.
     pub fn new() -> Self {
         let mut new = Self {
             registry: Registry::with_prefix("lapisdrum_sched"),
@@ -101,50 +101,62 @@
         let row_seconds = self.row_seconds.clone();
         r.register(
             "row_seconds",
-            "Time until a journal row is settled",
+            "Time until the outcome of a journal write is known, in seconds",
             row_seconds,
         );
         let errors = self.store_errors.clone();
         r.register(
             "store_errors",
-            "Store calls without a useful answer",
+            "Store calls that failed or got no reply",
             errors,
         );
-        r.register("starts", "Orders to start", self.starts.clone());
+        r.register(
+            "starts",
+            "Orders to start a run that were sent to workers",
+            self.starts.clone(),
+        );
         let silent = self.orders_silent.clone();
-        r.register("orders_silent", "Orders without an answer", silent);
+        r.register(
+            "orders_silent",
+            "Orders to start a run that got no reply",
+            silent,
+        );
         let paces = self.paces.clone();
-        r.register("paces", "Orders to work at another pace", paces);
+        r.register("paces", "Orders to change the CPU limit of a task", paces);
         let lost = self.runs_lost.clone();
         r.register(
             "runs_lost",
-            "Runs over without an end from their worker",
+            "Runs that ended without a report from their worker, or never started",
             lost,
         );
-        r.register("looks", "Looks at workers", self.looks.clone());
+        r.register("looks", "Polls of workers", self.looks.clone());
         r.register("takeovers", "Shards taken over", self.takeovers.clone());
         let active = self.jobs_active.clone();
-        r.register("jobs_active", "Jobs that are not over", active);
+        r.register("jobs_active", "Jobs that have not ended", active);
         let live = self.runs_live.clone();
         r.register("runs_live", "Runs that may be alive", live);
         let evacuated = self.runs_in_evacuated.clone();
         r.register(
             "runs_in_evacuated",
-            "Runs left in evacuated data centres",
+            "Live runs in evacuated data centres",
             evacuated,
         );
         r.register("submits", "Jobs submitted", self.submits.clone());
-        r.register("jobs", "Jobs over", self.jobs.clone());
+        r.register("jobs", "Jobs that have ended", self.jobs.clone());
         let seconds = self.job_seconds.clone();
         r.register(
             "job_seconds",
             "Time from acceptance to the job's end",
             seconds,
         );
-        r.register("run_ends", "Ends of runs", self.ends.clone());
+        r.register(
+            "run_ends",
+            "Runs that have ended, as reported by their worker",
+            self.ends.clone(),
+        );
     }
 
-    /// Counts a submission.
+    /// Counts a submission by its outcome.
     pub fn note_submit(&self, queue: &str, outcome: &Outcome<()>) {
         let outcome = match outcome {
             Outcome::Done(()) => "accepted",
@@ -154,7 +166,7 @@
         self.submits.get_or_create(&labels(queue, outcome)).inc();
     }
 
-    /// Counts a job that is over.
+    /// Counts a job that has ended; `took_ms` is the time since acceptance and is recorded for completed jobs.
     pub fn note_job(&self, queue: &str, phase: Phase, took_ms: u64) {
         let outcome = format!("{phase:?}").to_lowercase();
         self.jobs.get_or_create(&labels(queue, &outcome)).inc();
@@ -163,16 +175,16 @@
         }
     }
 
-    /// Counts a run's end.
+    /// Counts the end of a run by its outcome.
     pub fn note_end(&self, how: RunEnd) {
         let outcome = format!("{how:?}").to_lowercase();
         self.ends.get_or_create(&EndLabel { outcome }).inc();
     }
 
-    /// All metrics in the text form.
+    /// Encodes all metrics in the text format.
     pub fn text(&self) -> String {
         let mut text = String::new();
-        // Writing to a string does not fail.
+        // Writing to a `String` cannot fail.
         let _ = encode(&mut text, &self.registry);
         text
     }
--- a/src/lapisdrum/sched/peer.rs
+++ b/src/lapisdrum/sched/peer.rs
@@ -23,89 +23,89 @@
     tokio_util::codec::{Decoder, LengthDelimitedCodec},
 };
 
-/// Largest frame, in bytes: a job with its payload and steps is far smaller.
+/// Maximum frame size; a job with its payload and steps is far smaller.
 const MAX_FRAME_BYTES: usize = 1024 * 1024;
-/// Wait after a failed accept.
+/// Delay after a failed accept.
 const ACCEPT_RETRY: Duration = Duration::from_millis(10);
 
 data! {
-    /// What one process asks of the owner.
+    /// Request to the owner of a shard.
     pub enum Ask {
-        /// Take a job in.
+        /// Accept a job.
         Submit {
-            /// The job.
+            /// Id of the job.
             job: JobId,
-            /// What was submitted.
+            /// Specification as submitted.
             spec: JobSpec,
-            /// What the asker's catalogue says of its queue.
+            /// Settings of the job's queue in the sender's catalogue.
             terms: QueueTerms,
-            /// Whether the job's home has handed it to this shard.
+            /// Whether the job's home shard has transferred the job to this one.
             is_sent: bool,
         },
-        /// Tell a job's state.
+        /// Return a job's state.
         Show(JobId),
         /// Cancel a job.
         Cancel(JobId),
-        /// Count a queue's jobs of which nothing was started.
+        /// Count the jobs of a queue that have not started.
         Pending(String),
-        /// Tell how much of the shard is taken by what lasts.
+        /// Return the share of the shard's processors that long-running tasks request.
         Load,
-        /// Tell what was learned of pressure since the last answer.
+        /// Return what the interference model has estimated since the versions received, or all of it.
         Learned(Option<HeardUpto>),
-        /// Offer room for so many such tasks.
+        /// Offer free capacity for up to this number of tasks of a kind.
         Room(TaskNeed, u32),
-        /// Run tasks of another shard's job.
+        /// Run tasks that another shard delegates.
         Adopt(GuestTasks),
     }
 
-    /// What the owner answers.
+    /// Reply to an [`Ask`].
     pub enum Answer {
-        /// To [`Ask::Submit`].
+        /// Reply to [`Ask::Submit`].
         Submitted(SubmitReply),
-        /// To [`Ask::Show`].
+        /// Reply to [`Ask::Show`].
         Shown(ShowReply),
-        /// To [`Ask::Cancel`].
+        /// Reply to [`Ask::Cancel`].
         Cancelled(CancelReply),
-        /// To [`Ask::Pending`]; none where the one asked isn't the owner.
+        /// Reply to [`Ask::Pending`]; `None` if the callee is not certain to own the shard.
         Pending(Option<u64>),
-        /// To [`Ask::Load`], in thousandths; none where the one asked isn't the owner.
+        /// Reply to [`Ask::Load`], in thousandths; `None` if the callee does not own the shard or has no workers yet.
         Load(Option<u32>),
-        /// To [`Ask::Learned`]; none where the one asked isn't the owner.
+        /// Reply to [`Ask::Learned`]; `None` if the callee does not own the shard or has not recovered it yet.
         Learned(Option<Told>),
-        /// To [`Ask::Room`]; none where the one asked isn't the owner or places nothing.
+        /// Reply to [`Ask::Room`], the number of tasks; `None` if the callee does not own the shard or places no tasks.
         Room(Option<u32>),
-        /// To [`Ask::Adopt`].
+        /// Reply to [`Ask::Adopt`].
         Adopted(AdoptReply),
     }
 
-    /// How a request to run another shard's tasks ended.
+    /// Outcome of [`Ask::Adopt`].
     #[derive(Copy)]
     pub enum AdoptReply {
-        /// It is durable that they are run here.
+        /// The adoption is durable.
         Adopted,
-        /// The one asked doesn't own the shard, or no longer does.
+        /// The callee does not own the shard, or lost it during the call.
         NotOwner,
     }
 
-    /// How a submission ended.
+    /// Outcome of [`Ask::Submit`].
     pub enum SubmitReply {
-        /// It is durable.
+        /// The acceptance is durable.
         Accepted,
-        /// It is for another shard, which must be asked instead.
+        /// The job was transferred to this shard, to which the submission must be sent instead.
         Elsewhere(ShardId),
-        /// It was not taken and never will be; come back after this time.
+        /// The job was not accepted and will not be; the caller may submit it again after this time.
         Busy(Duration),
-        /// The one asked doesn't own the shard; nothing was done.
+        /// The callee does not own the shard; the call had no effect.
         NotOwner,
-        /// It is being made durable on a store that is slow; asked again, the owner goes on waiting for it.
+        /// The acceptance is being written to a slow store; if asked again, the owner continues to wait for it.
         UnderWay,
-        /// It may have been taken.
+        /// The job may have been accepted.
         Unknown,
     }
 
-    /// How a question for a state ended.
+    /// Outcome of [`Ask::Show`].
     pub enum ShowReply {
-        /// The state.
+        /// The job's current state.
         State(JobState),
         /// There is no such job.
         Unknown,
@@ -113,49 +113,49 @@
         NotOwner,
     }
 
-    /// How a cancel ended.
+    /// Outcome of [`Ask::Cancel`].
     pub enum CancelReply {
-        /// The job is over.
+        /// The job has ended.
         Done,
         /// There is no such job.
         UnknownJob,
         /// The one asked doesn't own the shard.
         NotOwner,
-        /// It may have been cancelled.
+        /// The job may have been cancelled.
         Unknown,
     }
 
-    /// Which process answers at an address.
+    /// Identity of the process at an address.
     pub struct Identity {
-        /// The run of the daemon.
+        /// Daemon, address and incarnation.
         pub run: Holder,
-        /// Its data centre.
+        /// Data centre of the daemon.
         pub data_centre: String,
     }
 
-    /// A job's state as callers see it.
+    /// State of a job as reported to callers.
     #[derive(Copy)]
     pub enum JobState {
-        /// Nothing of it was started.
+        /// No task was started.
         Queued,
-        /// Some of it was started.
+        /// At least one task was started.
         Running,
         /// Every task is done.
         Completed,
-        /// A task failed as often as its queue allows.
+        /// A task or gang used up the attempts that the queue allows.
         Failed,
-        /// Its caller cancelled it.
+        /// Cancelled on request.
         Cancelled,
     }
 }
 
-/// A call without an answer.
+/// A call to another daemon that failed or got no reply.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PeerError {
     what: String,
     /// Whether no connection was made, so that the call certainly had no effect.
     pub is_unsent: bool,
-    /// Whether nothing listens at the address.
+    /// Whether the connection was refused, so that no process listens at the address.
     pub is_refused: bool,
 }
 
@@ -165,12 +165,12 @@
     }
 }
 
-/// The service between processes.
+/// RPC service that daemons offer to each other.
 #[tarpc::service]
 pub trait OwnerService {
-    /// Asks one thing of a shard's owner.
+    /// Sends a request to the owner of a shard.
     async fn ask(shard: ShardId, ask: Ask) -> Answer;
-    /// Tells which run of which daemon this is, and where.
+    /// Returns the identity of this process.
     async fn who() -> Identity;
 }
 
@@ -192,7 +192,7 @@
     }
 }
 
-/// Answers as far as this process owns the shard.
+/// Executes a request if this process owns the shard; otherwise the reply says that it does not.
 pub async fn answer(cx: &Cx, shard: ShardId, ask: Ask) -> Answer {
     let owner = cx.handle(shard).owner.borrow().clone();
     match (ask, owner) {
@@ -228,14 +228,14 @@
     }
 }
 
-/// Serves other processes for as long as the returned future is polled.
+/// Accepts connections of other daemons for as long as the returned future is polled.
 pub async fn serve(cx: Cx, listener: TcpListener) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
             tokio::time::sleep(ACCEPT_RETRY).await;
             continue;
         };
-        // Without it a reply waits for the next packet's acknowledgement; the call works either way.
+        // Avoids that a reply waits for the acknowledgement of the previous packet. On failure calls are only slower.
         let _ = stream.set_nodelay(true);
         let mut codec = LengthDelimitedCodec::new();
         codec.set_max_frame_length(MAX_FRAME_BYTES);
@@ -248,14 +248,14 @@
     }
 }
 
-/// Connections to other processes, kept and reopened.
+/// Pool of connections to other daemons, by address.
 #[derive(Default)]
 pub struct Peers {
     open: RefCell<IndexMap<String, OwnerServiceClient>>,
 }
 
 impl Peers {
-    /// Asks the process at `address` about a shard and waits no longer than `limit`.
+    /// Sends a request about a shard to the process at `address`; `limit` bounds connection and call.
     pub async fn ask(
         &self,
         address: &str,
@@ -267,13 +267,13 @@
         self.exchange(address, limit, call).await
     }
 
-    /// Asks the process at `address` which run of which daemon it is.
+    /// Returns the identity of the process at `address`; `limit` bounds connection and call.
     pub async fn who(&self, address: &str, limit: Duration) -> Result<Identity, PeerError> {
         let call = async |client: OwnerServiceClient, cx| client.who(cx).await;
         self.exchange(address, limit, call).await
     }
 
-    /// One call. A connection on which an answer failed to come is given up: it may have gone silent for good.
+    /// Makes one call. A connection on which a call failed is dropped, since it may never deliver a reply again.
     async fn exchange<T>(
         &self,
         address: &str,
@@ -315,7 +315,7 @@
         };
         let target: SocketAddr = address
             .parse()
-            .map_err(|_| unsent(format!("`{address}` is no IP number and port"), false))?;
+            .map_err(|_| unsent(format!("`{address}` is not an IP number and port"), false))?;
         let mut connect = tarpc::serde_transport::tcp::connect(target, Bincode::default);
         connect.config_mut().max_frame_length(MAX_FRAME_BYTES);
         let transport = connect.await.map_err(|e| {
@@ -324,7 +324,7 @@
         })?;
         let new = OwnerServiceClient::new(client::Config::default(), transport);
         actix_rt::spawn(async move {
-            // The calls under way are told of the connection's end themselves.
+            // Pending calls get the connection's error themselves.
             let _ = new.dispatch.await;
         });
         self.open
--- a/src/lapisdrum/sched/settle.rs
+++ b/src/lapisdrum/sched/settle.rs
@@ -1,9 +1,9 @@
-//! Settling what nobody answered: writes to the journal, and runs on workers. Pure.
+//! Resolves the outcome of calls without a reply, for journal writes and runs on workers. Without I/O.
 //!
-//! Failure: an answer is lost, or an order is carried out seconds after it was sent. A daemon that takes
-//! silence for "it did not happen" starts a task a second time while the first order is still on its
-//! way, and a livestream is doubled. So nothing is concluded from silence: each function here names the
-//! evidence that settles a question, and answers "wait" or "ask" without it.
+//! A reply may be lost, or an order carried out seconds after it was sent. If a daemon took a missing reply to mean
+//! that the call had no effect, it would start a task a second time while the first order is still in flight, and a
+//! livestream would run twice. Each function here therefore concludes only from positive evidence, and otherwise has
+//! the caller wait or ask.
 
 use super::{
     edge::{Row, TxnEnd},
@@ -12,23 +12,23 @@
 use crate::core::time::Millis;
 use std::time::Duration;
 
-/// What is to be done about a journal row that was sent.
+/// Outcome of sending a transaction with journal rows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteVerdict {
-    /// The row is in.
+    /// The rows are in the store.
     Committed,
-    /// Another owner has come; the row is not in and never will be.
+    /// Another owner has taken over. The rows are not in the store and never will be.
     Fenced,
-    /// Send the same row again. Whether an earlier try is still under way doesn't matter: the row's key
-    /// must not exist, so at most one of them takes effect.
+    /// Send the same rows again. This is safe even if an earlier attempt is still in flight: the write requires that
+    /// the keys do not exist, so at most one attempt takes effect.
     SendAgain,
 }
 
-/// Judges an answer to a journal write. `own` tells our row from another's by its nonce, `is_fence` is
-/// given the rows found and tells whether the fence is still ours.
+/// Resolves the reply to a journal write. Both predicates get the rows that were found: `holds_fence` returns whether
+/// the fence still has this owner's version, `is_own` whether a journal row is this owner's, which its nonce shows.
 ///
-/// Without the nonce, a row of the next owner at our place would be taken for our own write, and callers
-/// would be told that jobs are accepted which nobody remembers.
+/// Without the nonce, a row of the next owner at the same key would be taken for this owner's write, and callers would
+/// get confirmations of jobs that are not stored.
 pub fn judge_write(
     end: &TxnEnd,
     holds_fence: impl Fn(&[Row]) -> bool,
@@ -38,15 +38,16 @@
         TxnEnd::Committed(_) => WriteVerdict::Committed,
         TxnEnd::Conflict(rows) if is_own(rows) => WriteVerdict::Committed,
         TxnEnd::Conflict(rows) if !holds_fence(rows) => WriteVerdict::Fenced,
-        // Our fence and yet another's row at our place: a second process with our fence.
+        // The fence is held, but another writer's row is at the key: a second process uses the same fence.
         TxnEnd::Conflict(_) => WriteVerdict::Fenced,
         TxnEnd::NotDone(_) | TxnEnd::Unknown(_) => WriteVerdict::SendAgain,
     }
 }
 
-/// Whether a conflict is only about a row that rode along: the fence is ours and nothing stands at our place, so the
-/// journal rows are not in and may be sent again without it. That row was changed by an earlier try of ours whose
-/// answer was lost; taken for another owner's work, it would end an ownership that holds.
+/// Whether a conflict is caused by the piggybacked row only: the fence is held and no row exists at the journal keys,
+/// so the journal rows are not in the store and may be sent again without the piggyback. The piggybacked row was
+/// changed by an earlier attempt of this owner whose reply was lost; to treat that as another owner's write would end
+/// a valid ownership.
 pub fn is_piggyback_stale(
     end: &TxnEnd,
     holds_fence: impl Fn(&[Row]) -> bool,
@@ -58,66 +59,66 @@
     }
 }
 
-/// How far an order to start a run has got.
+/// State of an order to start a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Order {
-    /// Not sent: its placement is not durable yet.
+    /// Not sent, since the placement is not durable yet.
     NotSent,
-    /// Sent, no answer yet.
+    /// Sent and still waiting for a reply.
     UnderWay,
-    /// The worker said at this time that it has the run.
+    /// The worker confirmed at this time that it has the run.
     Answered(Millis),
-    /// No answer came; it may be carried out yet.
+    /// The call ended without a reply; the order may still be carried out.
     Silent,
-    /// Sent by an earlier owner, whose token the worker refuses once it has seen ours.
+    /// Sent by an earlier owner, whose token the worker refuses once it has seen this owner's.
     Inherited,
 }
 
-/// How far an order to stop a run has got.
+/// State of an order to stop a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Stop {
-    /// None was sent.
+    /// No stop was ordered.
     No,
-    /// Sent, no answer yet, or one that settles nothing.
+    /// Sent, without a conclusive reply so far.
     UnderWay,
-    /// The worker confirmed it at this time: what isn't there by then will never run there.
+    /// The worker confirmed the stop at this time: a run that has not started by then will never start there.
     Confirmed(Millis),
 }
 
-/// What is known of a run that a shard remembers as possibly alive.
+/// State of the orders for a run that may be alive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct RunKnowledge {
-    /// The order to start it.
+    /// Order to start the run.
     pub order: Order,
-    /// The order to stop it.
+    /// Order to stop the run.
     pub stop: Stop,
 }
 
-/// What a look at a worker says of a run.
+/// What a poll response of a worker shows about a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Sight {
-    /// When the look was sent.
+    /// Time at which the poll was sent.
     pub sent_at: Millis,
     /// Whether the worker lists the run as running.
     pub is_listed: bool,
-    /// Whether the worker is in the life in which the run was placed.
+    /// Whether the worker still has the incarnation that the run was placed on.
     pub is_same_life: bool,
 }
 
-/// What is to be done about a run after a look.
+/// What a poll response implies for a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum RunVerdict {
-    /// It runs.
+    /// The run is alive.
     Runs,
-    /// Nothing is settled; wait.
+    /// Inconclusive; wait for a later poll or reply.
     Wait,
-    /// Order a stop, whose confirmation settles it.
+    /// Inconclusive; order a stop, whose confirmation resolves the run.
     OrderStop,
-    /// It is over, or never was.
+    /// The run has ended or never started.
     Lost(Loss),
 }
 
-/// Judges a run by a look at its worker.
+/// Resolves a run by a poll response of its worker.
 pub fn judge_run(known: RunKnowledge, sight: Sight) -> RunVerdict {
     if sight.is_listed {
         return RunVerdict::Runs;
@@ -126,8 +127,8 @@
         true => Loss::NotThere,
         false => Loss::Reborn,
     };
-    // A look that was under way when the worker took the order may have been answered before it; so may
-    // one that was sent within the same millisecond.
+    // The response to a poll that was in flight when the worker confirmed the order may be older than the order; so may
+    // that to a poll that was sent in the same millisecond.
     if let Stop::Confirmed(at) = known.stop
         && sight.sent_at > at
     {
@@ -137,10 +138,10 @@
         Order::NotSent | Order::UnderWay => RunVerdict::Wait,
         Order::Answered(at) if sight.sent_at > at => RunVerdict::Lost(gone),
         Order::Answered(_) => RunVerdict::Wait,
-        // The look carried our token, so the worker refuses whatever the earlier owner has under way.
+        // The poll carried this owner's token, so the worker refuses orders of earlier owners that are in flight.
         Order::Inherited => RunVerdict::Lost(gone),
-        // A worker that starts again under its id knows no token and no stopped run: an order that is
-        // still on its way would be carried out in the new life too.
+        // A worker that restarts under the same id has lost all tokens and stopped runs: an order still in flight would
+        // be carried out by the new incarnation too.
         Order::Silent => match known.stop {
             Stop::No => RunVerdict::OrderStop,
             Stop::UnderWay | Stop::Confirmed(_) => RunVerdict::Wait,
@@ -148,38 +149,38 @@
     }
 }
 
-/// Bounds within which a worker can hold a lease, as its platform promises.
+/// Bounds on how long a worker can hold a lease, as guaranteed by its platform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaseLimits {
-    /// Longest lease on the worker's clock; a longer one is cut to it.
+    /// Longest lease on the worker's clock; the worker shortens a longer one to it.
     pub longest: Duration,
-    /// The worker's clock may be slower than ours by one part in this many.
+    /// The worker's clock may be slower than the owner's by one part in this many.
     pub drift_parts: u32,
-    /// An order without an answer may be carried out this late, where workers do such things.
+    /// Latest time after sending at which an unanswered order may be carried out, if workers execute late.
     pub latest_effect: Duration,
-    /// How long an order may be on its way to a worker that carries out at once what reaches it.
+    /// Longest time in flight of an order to a worker that carries out orders on arrival.
     pub transit: Duration,
-    /// How long an owner goes on renewing after its last renewal in the store that took effect.
+    /// Time for which an owner continues to renew workers' leases after its last successful renewal in the store.
     pub owner_hold: Duration,
 }
 
-/// A lease that is sent is this much shorter than the longest: one that reaches a worker whose clock was read a
-/// moment ago would else be cut.
+/// Difference of a sent lease from the longest. Without it, a worker whose clock was read shortly before would shorten
+/// the lease on arrival.
 const LEASE_MARGIN: Duration = Duration::from_millis(100);
 
 impl LeaseLimits {
-    /// The lease that owners send: as long as workers take it, since nothing is started elsewhere before the longest lease
-    /// is over. With a shorter one, tasks of a worker behind a cut would end early and be down for the rest.
+    /// Lease that owners send: as long as workers accept, since nothing is started elsewhere before the longest lease
+    /// has ended. With a shorter one, tasks of a partitioned worker would end early and be down for the rest.
     pub fn sent(&self) -> Duration {
         self.longest.saturating_sub(LEASE_MARGIN)
     }
 
-    /// Longest lease on our clock.
+    /// Longest lease on the owner's clock.
     fn longest_here(&self) -> Duration {
         self.longest + self.longest / self.drift_parts
     }
 
-    /// How late an order without an answer may take effect.
+    /// Longest time after sending at which an unanswered order may take effect.
     fn lateness(&self, habit: Habit) -> Duration {
         match habit {
             Habit::Prompt => self.transit,
@@ -188,34 +189,35 @@
     }
 }
 
-/// What workers have been seen to do with orders that they don't answer.
+/// Whether workers were observed to carry out unanswered orders late.
 ///
-/// A worker that falls silent altogether has crashed or is cut off; what was on its way to it is lost with
-/// the connection. One that leaves an order unanswered and answers the next call carries orders out late.
-/// Waiting for that after every crash would keep its tasks down for 18 s in place of 7.
+/// A worker that answers no call has crashed or is partitioned; orders in flight are lost with the connection. A worker
+/// that leaves an order unanswered and answers the next call may carry the order out late. To wait for that after every
+/// crash would keep tasks down for 18 s instead of 7 s.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Habit {
-    /// None was seen to leave an order unanswered and to answer a later call.
+    /// No worker left an order unanswered and answered a later call.
     Prompt,
-    /// One was.
+    /// A worker left an order unanswered and answered a later call.
     Late,
 }
 
-/// The latest time at which anything may still run on a worker under the leases that were sent to it.
+/// Bound on the time until which runs may be alive on a worker under the leases that were sent to it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseBound {
-    /// An earlier owner may have sent it a lease until then; none once the worker answered under our token.
+    /// Time until which an earlier owner may have sent leases; `None` once the worker has answered under this owner's
+    /// token.
     inherited_until: Option<Millis>,
-    /// When a lease that we sent was last answered.
+    /// Time of the last reply to a lease of this owner.
     answered_at: Option<Millis>,
-    /// When the last one was sent that had no answer.
+    /// Time at which the last lease without a reply was sent.
     silent_at: Option<Millis>,
     under_way: u32,
 }
 
 impl LeaseBound {
-    /// The bound on a worker that an owner has not heard of yet. The owner before renewed its lease in the
-    /// store last at `renewed_at` or earlier, and may have renewed the workers' for its hold from then.
+    /// Bound for a worker without contact to this owner so far. The previous owner last renewed its lease in the store
+    /// at `renewed_at` or earlier, and may have renewed the workers' leases for [`LeaseLimits::owner_hold`] after that.
     pub fn inherited(renewed_at: Millis, limits: &LeaseLimits) -> Self {
         Self {
             inherited_until: Some(renewed_at + limits.owner_hold),
@@ -225,41 +227,41 @@
         }
     }
 
-    /// Notes that the owner before was gone for good by `at`, so that it sent nothing later.
+    /// Records that the previous owner had ended by `at`, so that it sent no lease later.
     pub fn predecessor_gone(&mut self, at: Millis) {
         self.inherited_until = self.inherited_until.map(|until| until.min(at));
     }
 
-    /// Notes that a call with a lease is sent.
+    /// Records that a call with a lease is sent.
     pub fn sent(&mut self) {
         self.under_way += 1;
     }
 
-    /// Notes that such a call was answered at `at`, so that it will not take effect later.
+    /// Records that a call with a lease was answered at `at`, so that it does not take effect later.
     pub fn answered(&mut self, at: Millis) {
         self.void();
         self.answered_at = self.answered_at.max(Some(at));
     }
 
-    /// Notes that such a call certainly had no effect.
+    /// Records that a call with a lease certainly had no effect.
     pub fn void(&mut self) {
         self.under_way = self.under_way.saturating_sub(1);
     }
 
-    /// Notes that such a call, sent at `sent_at`, got no answer.
+    /// Records that a call with a lease, sent at `sent_at`, got no reply.
     pub fn silent(&mut self, sent_at: Millis) {
         self.void();
         self.silent_at = self.silent_at.max(Some(sent_at));
     }
 
-    /// Notes a first answer under our own token at `at`: what the owner before sent is refused from now
-    /// on, and what it sent earlier lasts no longer than a lease from now.
+    /// Records the first reply under this owner's token, at `at`: from then on the worker refuses calls of the previous
+    /// owner, and leases that it sent earlier end at most one lease after `at`.
     pub fn claimed(&mut self, at: Millis) {
         self.inherited_until = None;
         self.answered_at = self.answered_at.max(Some(at));
     }
 
-    /// Whether nothing can run there any more.
+    /// Whether no run can be alive on the worker any more.
     pub fn is_over(&self, now: Millis, habit: Habit, limits: &LeaseLimits) -> bool {
         let lateness = limits.lateness(habit);
         let late = [self.inherited_until, self.silent_at];
