--- a/src/lapisdrum/sched/journal.rs
+++ b/src/lapisdrum/sched/journal.rs
@@ -3,7 +3,7 @@
 //! Load pattern: about 400 events/s from one shard (1,500 events/s on the larger deployments) on a store that takes
 //! 200 transactions/s per partition, 10 ms each, one after another. One row per event would exceed the partition's
 //! limit, so events that arrive while a transaction is in flight share the next one. Spacing transactions by
-//! [`WRITE_SPACING`] limits a shard to 50 calls/s and adds half of the spacing to a start on average. A store that
+//! [`MIN_WRITE_INTERVAL`] limits a shard to 50 calls/s and adds half of the spacing to a start on average. A store that
 //! is 60 times slower takes 3 transactions/s, so each one carries all rows that have accumulated: with one row per
 //! transaction, starts would be blocked behind the run ends that arrive meanwhile.
 //!
@@ -33,29 +33,29 @@
 pub const SNAPSHOT_TABLE: &str = "snapshots";
 const SNAPSHOT_KEY: &str = "latest";
 /// Minimum time between the starts of two transactions; see the module documentation.
-const WRITE_SPACING: Duration = Duration::from_millis(20);
+const MIN_WRITE_INTERVAL: Duration = Duration::from_millis(20);
 /// Maximum size of a row with several events. The store takes 64 KiB, and events are not split: a job of 64 steps
 /// with its payload has up to 20 KiB.
-const ROW_BYTES: usize = 40 * 1024;
+const MAX_ROW_BYTES: usize = 40 * 1024;
 /// Maximum rows per transaction: encoded as text, they stay below the store's limit of 1 MB.
-const ROWS_A_TXN: usize = 16;
+const MAX_ROWS_PER_TXN: usize = 16;
 /// Minimum time that a transaction may be in flight before the store counts as unavailable and new jobs are refused.
 /// The limit grows with the duration of the last transaction: a store that is 60 times slower than usual is still
 /// available, and a lower limit would refuse submissions that it would accept.
-const STALL_AFTER: Duration = Duration::from_millis(800);
+const MIN_STALL_TIMEOUT: Duration = Duration::from_millis(800);
 /// Upper bound of that limit, however slow the last transaction was, so that callers do not wait longer.
-const LONGEST_PATIENCE: Duration = Duration::from_millis(2_000);
+const MAX_STALL_TIMEOUT: Duration = Duration::from_millis(2_000);
 /// First and longest delay before a transaction with an unknown outcome is sent again.
-const RETRY_WAITS: (Duration, Duration) = (Duration::from_millis(60), Duration::from_millis(500));
+const RETRY_DELAYS: (Duration, Duration) = (Duration::from_millis(60), Duration::from_millis(500));
 /// Rows between two snapshots, so that a new owner reads at most two pages of rows.
-const SNAPSHOT_ROWS: u64 = 400;
+const SNAPSHOT_INTERVAL_ROWS: u64 = 400;
 /// A store that takes longer than this for a transaction is slow, and snapshots are postponed: each costs the
 /// partition seven transactions, which the journal rows need then.
-const QUICK_TXN: Duration = Duration::from_millis(100);
+const FAST_TXN: Duration = Duration::from_millis(100);
 /// Rows after which a snapshot is stored even if the store is slow: reading more would delay the next owner longer.
-const MOST_ROWS: u64 = 4 * SNAPSHOT_ROWS;
+const MAX_ROWS_SINCE_SNAPSHOT: u64 = 4 * SNAPSHOT_INTERVAL_ROWS;
 /// Maximum rows deleted per transaction; the store takes 100 entries.
-const DELETES_A_TXN: usize = 95;
+const MAX_DELETES_PER_TXN: usize = 95;
 
 /// First line of a row.
 #[derive(Serialize, Deserialize)]
@@ -93,7 +93,7 @@
     }
 }
 
-struct Open {
+struct PendingAppend {
     lines: Vec<u8>,
     /// Receives the outcome; `None` except in the last chunk of an append.
     tx: Option<oneshot::Sender<AppendEnd>>,
@@ -142,10 +142,10 @@
 
 #[derive(Default)]
 struct Inner {
-    open: VecDeque<Open>,
-    under_way_since: Option<Millis>,
+    pending: VecDeque<PendingAppend>,
+    in_flight_since: Option<Millis>,
     /// Duration of the last transaction.
-    last_took: Duration,
+    last_duration: Duration,
     /// The next snapshot to store.
     snapshot: Option<Snapshot>,
     is_storing_snapshot: bool,
@@ -188,14 +188,14 @@
         let mut lines = Vec::new();
         for event in events {
             let line = line_of(event);
-            if !lines.is_empty() && lines.len() + line.len() > ROW_BYTES {
+            if !lines.is_empty() && lines.len() + line.len() > MAX_ROW_BYTES {
                 let lines = std::mem::take(&mut lines);
-                inner.open.push_back(Open { lines, tx: None });
+                inner.pending.push_back(PendingAppend { lines, tx: None });
             }
             lines.extend_from_slice(&line);
         }
         let tx = Some(tx);
-        inner.open.push_back(Open { lines, tx });
+        inner.pending.push_back(PendingAppend { lines, tx });
         self.work.notify_one();
         Ticket(rx)
     }
@@ -204,26 +204,26 @@
     pub fn is_flowing(&self, now: Millis) -> bool {
         let patience = self.patience();
         let inner = self.inner.borrow();
-        let waited = inner.under_way_since.map(|since| now.since(since));
+        let waited = inner.in_flight_since.map(|since| now.since(since));
         !inner.is_lost && waited.is_none_or(|waited| waited < patience)
     }
 
     /// Time that an append may take before the store counts as unavailable: twice the duration of the last
     /// transaction, within bounds.
     pub fn patience(&self) -> Duration {
-        let slow = self.inner.borrow().last_took * 2;
-        slow.clamp(STALL_AFTER, LONGEST_PATIENCE)
+        let slow = self.inner.borrow().last_duration * 2;
+        slow.clamp(MIN_STALL_TIMEOUT, MAX_STALL_TIMEOUT)
     }
 
     /// Records the duration of another transaction in the same partition.
     pub fn note_answer(&self, took: Duration) {
-        self.inner.borrow_mut().last_took = took;
+        self.inner.borrow_mut().last_duration = took;
     }
 
     /// Whether rows are in flight or queued.
     pub fn is_busy(&self) -> bool {
         let inner = self.inner.borrow();
-        inner.under_way_since.is_some() || !inner.open.is_empty()
+        inner.in_flight_since.is_some() || !inner.pending.is_empty()
     }
 
     /// Writes a row with the next journal rows, if there are any within `limit`.
@@ -244,14 +244,14 @@
 
     /// Whether the store was fast in the last transaction, so that it has capacity beyond the journal's needs.
     pub fn is_quick(&self) -> bool {
-        self.inner.borrow().last_took < QUICK_TXN
+        self.inner.borrow().last_duration < FAST_TXN
     }
 
     /// Stops the journal and drops the queued events.
     pub fn lose(&self) {
         let mut inner = self.inner.borrow_mut();
         inner.is_lost = true;
-        inner.open.clear();
+        inner.pending.clear();
         self.work.notify_one();
         self.snapshot_work.notify_one();
     }
@@ -317,7 +317,7 @@
     async fn write_rows(&self, cx: &Cx, state: impl Fn() -> Vec<u8>) {
         while let Some(batch) = self.next_batch().await {
             let began = cx.clock.now();
-            self.inner.borrow_mut().under_way_since = Some(began);
+            self.inner.borrow_mut().in_flight_since = Some(began);
             let first = self.inner.borrow().last_row + 1;
             if self.write_batch(cx, first, &batch.rows).await == WriteVerdict::Fenced {
                 self.lose();
@@ -334,7 +334,7 @@
             if is_snapshot_due {
                 self.plan_snapshot(last, state().into());
             }
-            tokio::time::sleep(WRITE_SPACING.saturating_sub(took)).await;
+            tokio::time::sleep(MIN_WRITE_INTERVAL.saturating_sub(took)).await;
         }
     }
 
@@ -352,13 +352,13 @@
 
     fn take_batch(&self) -> Option<Batch> {
         let mut inner = self.inner.borrow_mut();
-        inner.open.front()?;
+        inner.pending.front()?;
         let mut batch = Batch {
             waiting: Vec::new(),
             rows: Vec::new(),
         };
-        while batch.rows.len() < ROWS_A_TXN && !inner.open.is_empty() {
-            let row = take_row(&mut inner.open, &mut batch.waiting);
+        while batch.rows.len() < MAX_ROWS_PER_TXN && !inner.pending.is_empty() {
+            let row = take_row(&mut inner.pending, &mut batch.waiting);
             batch.rows.push(row);
         }
         Some(batch)
@@ -368,13 +368,14 @@
     /// state has no events beyond these rows.
     fn note_written(&self, last: u64, took: Duration) -> bool {
         let mut inner = self.inner.borrow_mut();
-        inner.under_way_since = None;
-        inner.last_took = took;
+        inner.in_flight_since = None;
+        inner.last_duration = took;
         inner.rows_since_snapshot += last - inner.last_row;
         inner.last_row = last;
         let rows = inner.rows_since_snapshot;
-        let is_due = rows >= MOST_ROWS || (rows >= SNAPSHOT_ROWS && took < QUICK_TXN);
-        is_due && inner.open.is_empty() && !inner.is_storing_snapshot
+        let is_due =
+            rows >= MAX_ROWS_SINCE_SNAPSHOT || (rows >= SNAPSHOT_INTERVAL_ROWS && took < FAST_TXN);
+        is_due && inner.pending.is_empty() && !inner.is_storing_snapshot
     }
 
     async fn write_batch(&self, cx: &Cx, first: u64, rows: &[Bytes]) -> WriteVerdict {
@@ -395,11 +396,11 @@
             let mut journal = found.iter().filter(|row| row.table == JOURNAL_TABLE);
             journal.any(|row| rows.contains(&row.value))
         };
-        let is_place_free = |found: &[Row]| found.iter().all(|row| row.table != JOURNAL_TABLE);
-        let mut backoff = Backoff::new(RETRY_WAITS.0, RETRY_WAITS.1);
+        let are_keys_free = |found: &[Row]| found.iter().all(|row| row.table != JOURNAL_TABLE);
+        let mut backoff = Backoff::new(RETRY_DELAYS.0, RETRY_DELAYS.1);
         loop {
             let end = cx.store.commit(&txn).await;
-            if is_piggyback_stale(&end, holds_fence, is_place_free)
+            if is_piggyback_stale(&end, holds_fence, are_keys_free)
                 && let Some((_, tx)) = piggyback.take()
             {
                 // The receiver may have timed out and dropped its half.
@@ -500,7 +501,7 @@
 
     async fn delete_rows(&self, cx: &Cx, first: u64, last: u64) {
         let numbers: Vec<u64> = (first..=last).collect();
-        for some in numbers.chunks(DELETES_A_TXN) {
+        for some in numbers.chunks(MAX_DELETES_PER_TXN) {
             let delete = some.iter().map(|n| self.key(JOURNAL_TABLE, &row_key(*n)));
             let txn = Txn {
                 expect: vec![self.fence.clone()],
@@ -522,19 +523,22 @@
 }
 
 /// Removes as many appends as fit into one row, adds their senders to `waiting` and returns the encoded row.
-fn take_row(open: &mut VecDeque<Open>, waiting: &mut Vec<oneshot::Sender<AppendEnd>>) -> Bytes {
+fn take_row(
+    pending: &mut VecDeque<PendingAppend>,
+    waiting: &mut Vec<oneshot::Sender<AppendEnd>>,
+) -> Bytes {
     let head = RowHead {
         nonce: rand::random(),
     };
     let mut body = serde_json::to_vec(&head).unwrap_or_default();
     let mut is_first = true;
-    while let Some(next) = open.front() {
-        if !is_first && body.len() + next.lines.len() > ROW_BYTES {
+    while let Some(next) = pending.front() {
+        if !is_first && body.len() + next.lines.len() > MAX_ROW_BYTES {
             break;
         }
         is_first = false;
         body.extend_from_slice(&next.lines);
-        waiting.extend(open.pop_front().and_then(|open| open.tx));
+        waiting.extend(pending.pop_front().and_then(|pending| pending.tx));
     }
     body.into()
 }
--- a/src/lapisdrum/sched/lease.rs
+++ b/src/lapisdrum/sched/lease.rs
@@ -26,50 +26,50 @@
 /// Time between two polls of the rows. Together with [`LEASE`] it determines how soon a failed owner is replaced.
 const POLL: Duration = Duration::from_millis(300);
 /// Minimum pause between two polls if there are several shards.
-const LEAST_PAUSE: Duration = Duration::from_millis(150);
-/// Maximum number of shards that a daemon polls in every round. With [`LEAST_PAUSE`] and one further shard per round,
+const MIN_PAUSE: Duration = Duration::from_millis(150);
+/// Maximum number of shards that a daemon polls in every round. With [`MIN_PAUSE`] and one further shard per round,
 /// each is polled every 1.35 s, which is within a [`LEASE`].
-const MOST_WATCHED: usize = 8;
+const MAX_POLLED_PER_ROUND: usize = 8;
 /// Delay of a take-over for each shard that the daemon owns already. Less than the delay of a host with half of
-/// [`ENOUGH_CPU`], since two shards on half a core perform better than one on an eighth.
-const ANOTHER_SHARD: Duration = Duration::from_millis(400);
+/// [`SUFFICIENT_CPU_SHARE`], since two shards on half a core perform better than one on an eighth.
+const DELAY_PER_OWNED_SHARD: Duration = Duration::from_millis(400);
 /// Time between two renewals. The lease survives two lost renewals, or one on a store that is 60 times slower.
 const RENEW: Duration = Duration::from_millis(400);
 /// Duration of the lease. It is the larger part of the time without an owner, in which nothing starts. A lapse under
 /// a live owner costs a recovery of 0.15 s. Workers' leases last 6 s, so tasks survive both.
 pub const LEASE: Duration = Duration::from_millis(1_500);
 /// Share of a core from which a host does not delay a take-over.
-const ENOUGH_CPU: f64 = 0.25;
+const SUFFICIENT_CPU_SHARE: f64 = 0.25;
 /// Take-over delay for a CPU share of 0: several polls of the larger hosts.
-const LONGEST_HEAD_START: Duration = Duration::from_millis(1_500);
+const MAX_CPU_DELAY: Duration = Duration::from_millis(1_500);
 /// Age from which rows are too old to infer a lapse from: two polls plus the time limit of a call.
-const BLIND_AFTER: Duration = Duration::from_millis(1_900);
+const STALE_AFTER: Duration = Duration::from_millis(1_900);
 /// Time without a change from which the holder is suspected, since one renewal is missing. The holder is then probed,
 /// so that a killed owner is replaced without waiting for the rest of its lease, of which this is less than half.
 const SUSPECTED_AFTER: Duration = Duration::from_millis(600);
 /// Time limit of a probe of a suspected holder: many round trips between data centres.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(250);
 /// A daemon whose uptime is shorter by more than this than that of the daemon that released a shard started later.
-const STARTED_SINCE: Duration = Duration::from_secs(1);
+const UPTIME_TOLERANCE: Duration = Duration::from_secs(1);
 /// Take-over delay of a daemon that has run at least as long as the one that released the shard. Releases often come
 /// from a rolling restart, and a daemon that is still to be restarted would release the shard again. Longer than a
 /// poll and its pause.
-const SERIES_HEAD_START: Duration = Duration::from_millis(350);
+const ROLLING_RESTART_DELAY: Duration = Duration::from_millis(350);
 /// Random delay of take-over attempts, so that most daemons see that the shard is taken before they try.
-const TAKE_SPREAD: Duration = Duration::from_millis(150);
+const TAKEOVER_JITTER: Duration = Duration::from_millis(150);
 /// Upper bound of a renewal's duration on a slow store, in durations of a read: the renewal waits for a transaction
 /// with journal rows and is sent with the next one.
-const ANSWERS_A_RENEWAL: u32 = 5;
+const RENEWAL_READ_TIMES: u32 = 5;
 /// Range of the random take-over delay, in durations of a read: others see an attempt after two.
-const ANSWERS_A_SPREAD: u32 = 10;
+const JITTER_READ_TIMES: u32 = 10;
 /// Maximum extension of a time limit for a slow store.
-const MOST_ALLOWANCE: Duration = Duration::from_millis(3_000);
+const MAX_SLOW_STORE_ALLOWANCE: Duration = Duration::from_millis(3_000);
 /// Time after which a renewal that no journal transaction has carried is sent in its own transaction.
-const PIGGYBACK_LIMIT: Duration = Duration::from_millis(1_200);
+const PIGGYBACK_TIMEOUT: Duration = Duration::from_millis(1_200);
 /// Maximum attempts to release a lease.
-const RELEASE_TRIES: usize = 3;
+const RELEASE_ATTEMPTS: usize = 3;
 /// Time for which a daemon does not take a shard again that it released itself, so that others come first.
-const RELEASED_GRACE: Duration = Duration::from_secs(3);
+const RETAKE_DELAY: Duration = Duration::from_secs(3);
 
 data! {
     /// Identity of a daemon process.
@@ -122,7 +122,7 @@
     /// Duration of the last read.
     pub answer_took: Duration,
     /// Version of the lease row whose holder a probe found to have ended.
-    pub gone_version: Option<u64>,
+    pub ended_version: Option<u64>,
 }
 
 impl LeaseView {
@@ -152,26 +152,26 @@
     /// the lease says so when it is called.
     pub fn holder(&self, now: Millis) -> Option<&Holder> {
         let row = self.row.as_ref().filter(|row| !row.is_released)?;
-        let is_blind = self.read_at.is_none_or(|at| now.since(at) > BLIND_AFTER);
-        let is_held = now.since(self.since) < self.lapses_after() && !self.is_gone();
-        (is_held || is_blind).then_some(&row.holder)
+        let is_stale = self.read_at.is_none_or(|at| now.since(at) > STALE_AFTER);
+        let is_held = now.since(self.since) < self.lapses_after() && !self.has_holder_ended();
+        (is_held || is_stale).then_some(&row.holder)
     }
 
     /// Time without a change after which the lease lapses. On a slow store renewals are late too, and after a lapse
     /// under a live owner every daemon tries to take over in the same partition, which delays the renewals further.
     fn lapses_after(&self) -> Duration {
-        LEASE + (self.answer_took * ANSWERS_A_RENEWAL).min(MOST_ALLOWANCE)
+        LEASE + (self.answer_took * RENEWAL_READ_TIMES).min(MAX_SLOW_STORE_ALLOWANCE)
     }
 
     /// Range of the random take-over delay. It is longer on a slow store, where other daemons' attempts become visible
     /// late, and shorter after a release, since the shard is certainly free.
-    fn take_spread(&self, is_first_in_line: bool) -> Duration {
+    fn takeover_jitter(&self, is_first_in_line: bool) -> Duration {
         let (least, answers) = match (is_first_in_line, self.is_released()) {
             (true, _) => (Duration::ZERO, 1),
-            (false, true) => (TAKE_SPREAD, 2),
-            (false, false) => (TAKE_SPREAD, ANSWERS_A_SPREAD),
+            (false, true) => (TAKEOVER_JITTER, 2),
+            (false, false) => (TAKEOVER_JITTER, JITTER_READ_TIMES),
         };
-        least + (self.answer_took * answers).min(MOST_ALLOWANCE)
+        least + (self.answer_took * answers).min(MAX_SLOW_STORE_ALLOWANCE)
     }
 
     fn is_released(&self) -> bool {
@@ -179,8 +179,8 @@
     }
 
     /// Whether a probe found that the holder has ended.
-    fn is_gone(&self) -> bool {
-        self.gone_version == Some(self.version)
+    fn has_holder_ended(&self) -> bool {
+        self.ended_version == Some(self.version)
     }
 
     /// Returns the holder to be probed: its renewal is overdue at `now`, but its lease has not lapsed.
@@ -189,16 +189,16 @@
         let unchanged = now.since(self.since);
         let suspected_after = SUSPECTED_AFTER + self.answer_took * 2;
         let is_overdue = unchanged >= suspected_after && unchanged < self.lapses_after();
-        let is_suspected = is_overdue && !self.is_gone();
+        let is_suspected = is_overdue && !self.has_holder_ended();
         is_suspected.then_some(&row.holder)
     }
 
     /// Take-over delay for a released shard of a daemon with the uptime `up`.
-    fn series_head_start(&self, up: Duration) -> Duration {
+    fn rolling_restart_delay(&self, up: Duration) -> Duration {
         let released = self.row.as_ref().filter(|row| row.is_released);
-        let is_older = |row: &LeaseRow| up + STARTED_SINCE >= Duration::from_millis(row.up_ms);
+        let is_older = |row: &LeaseRow| up + UPTIME_TOLERANCE >= Duration::from_millis(row.up_ms);
         match released.is_some_and(is_older) {
-            true => SERIES_HEAD_START,
+            true => ROLLING_RESTART_DELAY,
             false => Duration::ZERO,
         }
     }
@@ -208,13 +208,13 @@
         match &self.row {
             None => true,
             Some(row) if row.is_released && row.holder == *me => {
-                now.since(self.since) >= RELEASED_GRACE
+                now.since(self.since) >= RETAKE_DELAY
             }
             Some(row) if row.is_released => true,
             // An earlier take-over by this process whose reply was lost; it has not acted under it.
             Some(row) if row.holder == *me => true,
             Some(row) if row.holder.is_other_run_of(me) => true,
-            Some(_) => self.is_gone() || now.since(self.since) >= self.lapses_after(),
+            Some(_) => self.has_holder_ended() || now.since(self.since) >= self.lapses_after(),
         }
     }
 }
@@ -232,9 +232,9 @@
 pub async fn run(cx: Cx) -> eyre::Result<()> {
     super::layout::learn(&cx).await;
     let shards: Vec<_> = cx.layout.borrow().iter().flat_map(|l| l.all()).collect();
-    let pause = (POLL / shards.len().max(1) as u32).max(LEAST_PAUSE);
-    for shard in rota(&shards, cx.me.incarnation).into_iter().cycle() {
-        watch(&cx, &cx.handle(shard)).await;
+    let pause = (POLL / shards.len().max(1) as u32).max(MIN_PAUSE);
+    for shard in poll_order(&shards, cx.me.incarnation).into_iter().cycle() {
+        poll_shard(&cx, &cx.handle(shard)).await;
         tokio::time::sleep(cx.read_pace.get().pause(pause)).await;
     }
     Ok(())
@@ -243,12 +243,12 @@
 /// Order in which a daemon process polls shards. To detect a lapse it must read the same row twice within about a
 /// lease, so with many shards each process polls a few in every round, selected by its incarnation; several daemons
 /// select the same shard. The other shards are polled one per round, in case too few daemons have selected one.
-pub fn rota(shards: &[ShardId], incarnation: u64) -> Vec<ShardId> {
+pub fn poll_order(shards: &[ShardId], incarnation: u64) -> Vec<ShardId> {
     let mut drawn = shards.to_vec();
     drawn.sort_by_cached_key(|shard| {
         xxhash_rust::xxh3::xxh3_64_with_seed(&shard.0.to_be_bytes(), incarnation)
     });
-    let (own, others) = drawn.split_at(drawn.len().min(MOST_WATCHED));
+    let (own, others) = drawn.split_at(drawn.len().min(MAX_POLLED_PER_ROUND));
     if others.is_empty() {
         return own.to_vec();
     }
@@ -256,7 +256,7 @@
     others.iter().flat_map(round).collect()
 }
 
-async fn watch(cx: &Cx, handle: &Rc<ShardHandle>) {
+async fn poll_shard(cx: &Cx, handle: &Rc<ShardHandle>) {
     if let Err(e) = look(cx, handle).await {
         cx.note_store(Err(&e));
     }
@@ -269,12 +269,17 @@
         return;
     }
     let up = Duration::from_millis(cx.clock.now().0);
-    let series = handle.lease.borrow().series_head_start(up);
-    let is_first_in_line = series == Duration::ZERO && handle.lease.borrow().is_released();
-    let spread = handle.lease.borrow().take_spread(is_first_in_line);
-    let spread = rand::rng().random_range(Duration::ZERO..=spread);
-    let burden = ANOTHER_SHARD * cx.owners().len() as u32;
-    let waits = [spread, burden, series, head_start(cx.cfg.cpu_share)];
+    let restart_delay = handle.lease.borrow().rolling_restart_delay(up);
+    let is_first_in_line = restart_delay == Duration::ZERO && handle.lease.borrow().is_released();
+    let jitter = handle.lease.borrow().takeover_jitter(is_first_in_line);
+    let jitter = rand::rng().random_range(Duration::ZERO..=jitter);
+    let owned_delay = DELAY_PER_OWNED_SHARD * cx.owners().len() as u32;
+    let waits = [
+        jitter,
+        owned_delay,
+        restart_delay,
+        cpu_delay(cx.cfg.cpu_share),
+    ];
     let wait: Duration = waits.into_iter().sum();
     tokio::time::sleep(wait).await;
     // Another daemon may have taken the shard over meanwhile; a failing attempt would delay its first journal rows.
@@ -298,21 +303,21 @@
     let Some(holder) = suspected else {
         return;
     };
-    let is_gone = match cx.peers.who(&holder.address, PROBE_TIMEOUT).await {
+    let has_holder_ended = match cx.peers.who(&holder.address, PROBE_TIMEOUT).await {
         Ok(now) => now.run.incarnation != holder.incarnation,
         Err(e) => e.is_refused,
     };
-    if is_gone {
+    if has_holder_ended {
         log::info!(shard:% = handle.part, holder:% = holder.daemon; "owner is not there any more");
-        handle.lease.borrow_mut().gone_version = Some(version);
+        handle.lease.borrow_mut().ended_version = Some(version);
     }
 }
 
 /// Take-over delay of a host with a small CPU share, so that larger hosts come first: an owner with a small part of a
 /// core falls behind in every burst.
-fn head_start(cpu_share: f64) -> Duration {
-    let missing = (ENOUGH_CPU - cpu_share).max(0.0) / ENOUGH_CPU;
-    LONGEST_HEAD_START.mul_f64(missing)
+fn cpu_delay(cpu_share: f64) -> Duration {
+    let missing = (SUFFICIENT_CPU_SHARE - cpu_share).max(0.0) / SUFFICIENT_CPU_SHARE;
+    MAX_CPU_DELAY.mul_f64(missing)
 }
 
 fn is_free(cx: &Cx, handle: &ShardHandle) -> bool {
@@ -398,7 +403,7 @@
 /// fail and leave the lease to lapse, so renewals are locked out; a failed attempt is repeated.
 pub async fn release(cx: &Cx, owner: &Rc<Owner>) {
     let _renewing = owner.renewing.lock().await;
-    for _ in 0..RELEASE_TRIES {
+    for _ in 0..RELEASE_ATTEMPTS {
         if !owner.is_serving() || renew_once(cx, owner, u64::MAX, true).await {
             return;
         }
@@ -418,14 +423,14 @@
         version: owner.lease_version.get(),
         value: serde_json::to_vec(&row).unwrap_or_default().into(),
     };
-    let ride = match owner.journal.is_busy() && !is_released {
-        true => owner.journal.carry(piggyback, PIGGYBACK_LIMIT).await,
+    let carry_outcome = match owner.journal.is_busy() && !is_released {
+        true => owner.journal.carry(piggyback, PIGGYBACK_TIMEOUT).await,
         false => PiggybackOutcome::NotTaken(piggyback),
     };
-    let PiggybackEnd { end, sent_at } = match ride {
+    let PiggybackEnd { end, sent_at } = match carry_outcome {
         PiggybackOutcome::Ended(end) => end,
         PiggybackOutcome::Lost => return false,
-        PiggybackOutcome::NotTaken(piggyback) => renew_alone(cx, owner, piggyback).await,
+        PiggybackOutcome::NotTaken(piggyback) => renew_separately(cx, owner, piggyback).await,
     };
     match end {
         TxnEnd::Committed(newest) => {
@@ -434,13 +439,13 @@
             owner.renewed_at.set(sent_at);
             return true;
         }
-        TxnEnd::Conflict(rows) => adopt_or_lose(cx, owner, &rows),
+        TxnEnd::Conflict(rows) => adopt_version_or_lose(cx, owner, &rows),
         TxnEnd::NotDone(e) | TxnEnd::Unknown(e) => cx.note_store(Err(&e)),
     }
     false
 }
 
-async fn renew_alone(cx: &Cx, owner: &Rc<Owner>, piggyback: Piggyback) -> PiggybackEnd {
+async fn renew_separately(cx: &Cx, owner: &Rc<Owner>, piggyback: Piggyback) -> PiggybackEnd {
     let txn = Txn {
         expect: vec![(piggyback.row.clone(), piggyback.version), owner.fence()],
         put: vec![(piggyback.row, piggyback.value)],
@@ -456,7 +461,7 @@
 
 /// Resolves a conflict: adopts the version of an earlier renewal whose reply was lost, or gives the shard up if another
 /// daemon owns it.
-fn adopt_or_lose(cx: &Cx, owner: &Rc<Owner>, rows: &[Row]) {
+fn adopt_version_or_lose(cx: &Cx, owner: &Rc<Owner>, rows: &[Row]) {
     let mut view = LeaseView::default();
     let is_read = view.note(rows, cx.clock.now()).is_ok();
     let is_ours = view.row.is_some_and(|row| row.holder == cx.me) && view.fence == owner.token();
--- a/src/lapisdrum/sched/ledger.rs
+++ b/src/lapisdrum/sched/ledger.rs
@@ -107,7 +107,7 @@
 
 /// An event that is not valid in the current state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Misplaced {
+pub enum InvalidEvent {
     /// The job is unknown, exists already, or does not allow the event.
     Job(JobId),
     /// The task does not exist, its step may not start yet, or it may not be delegated.
@@ -115,10 +115,10 @@
     /// The run's number is not greater than the last one, or the task may not have another run.
     Run(RunId),
     /// The job has not ended, so it may not be forgotten.
-    NotOver(JobId),
+    NotEnded(JobId),
 }
 
-impl fmt::Display for Misplaced {
+impl fmt::Display for InvalidEvent {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Job(job) => write!(
@@ -131,12 +131,12 @@
                 "run {} of task {} may not be placed",
                 run.run.0, run.task
             ),
-            Self::NotOver(job) => write!(f, "job {job} has not ended and cannot be forgotten"),
+            Self::NotEnded(job) => write!(f, "job {job} has not ended and cannot be forgotten"),
         }
     }
 }
 
-impl std::error::Error for Misplaced {}
+impl std::error::Error for InvalidEvent {}
 
 /// All jobs that a shard knows.
 #[derive(Clone, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
@@ -170,7 +170,7 @@
     }
 
     /// Applies one event; on an error nothing is changed.
-    pub fn apply(&mut self, event: &Event) -> Result<(), Misplaced> {
+    pub fn apply(&mut self, event: &Event) -> Result<(), InvalidEvent> {
         match event {
             Event::Accepted {
                 job,
@@ -214,9 +214,9 @@
         spec: &Rc<JobSpec>,
         terms: &QueueTerms,
         at_unix_ms: u64,
-    ) -> Result<(), Misplaced> {
+    ) -> Result<(), InvalidEvent> {
         if self.jobs.contains_key(&id) || self.sent.contains_key(&id) {
-            return Err(Misplaced::Job(id));
+            return Err(InvalidEvent::Job(id));
         }
         self.jobs.insert(id, Job::new(spec, terms, at_unix_ms));
         Ok(())
@@ -224,16 +224,16 @@
 
     /// Delegates a long-running task without a live run. This is not reversible: the other shard may adopt the task at
     /// any later time.
-    fn delegate(&mut self, id: &TaskId, to: ShardId) -> Result<(), Misplaced> {
+    fn delegate(&mut self, id: &TaskId, to: ShardId) -> Result<(), InvalidEvent> {
         let job = self.job_mut(id.job)?;
         let step = job.spec.steps.get(usize::from(id.step));
-        let is_lasting = step.is_some_and(|step| step.is_long_running && step.gang == Gang::No);
-        if job.phase != Phase::Active || job.is_guest || !is_lasting {
-            return Err(Misplaced::Task(*id));
+        let is_delegable = step.is_some_and(|step| step.is_long_running && step.gang == Gang::No);
+        if job.phase != Phase::Active || job.is_guest || !is_delegable {
+            return Err(InvalidEvent::Task(*id));
         }
-        let task = job.task_mut(id).ok_or(Misplaced::Task(*id))?;
+        let task = job.task_mut(id).ok_or(InvalidEvent::Task(*id))?;
         if !task.live.is_empty() || task.elsewhere.is_some() {
-            return Err(Misplaced::Task(*id));
+            return Err(InvalidEvent::Task(*id));
         }
         task.elsewhere = Some(to);
         Ok(())
@@ -245,13 +245,13 @@
         id: JobId,
         new: impl FnOnce() -> Job,
         tasks: &[(TaskId, RunNumber)],
-    ) -> Result<(), Misplaced> {
+    ) -> Result<(), InvalidEvent> {
         let job = self.jobs.entry(id).or_insert_with(new);
         if !job.is_guest {
-            return Err(Misplaced::Job(id));
+            return Err(InvalidEvent::Job(id));
         }
         for (task, last_run) in tasks {
-            let task = job.task_mut(task).ok_or(Misplaced::Task(*task))?;
+            let task = job.task_mut(task).ok_or(InvalidEvent::Task(*task))?;
             if task.elsewhere.take().is_some() {
                 task.last_run = *last_run;
             }
@@ -259,36 +259,36 @@
         Ok(())
     }
 
-    fn send(&mut self, id: JobId, to: ShardId, at_unix_ms: u64) -> Result<(), Misplaced> {
+    fn send(&mut self, id: JobId, to: ShardId, at_unix_ms: u64) -> Result<(), InvalidEvent> {
         if self.jobs.contains_key(&id) || self.sent.contains_key(&id) {
-            return Err(Misplaced::Job(id));
+            return Err(InvalidEvent::Job(id));
         }
         self.sent.insert(id, SentJob { to, at_unix_ms });
         Ok(())
     }
 
-    fn job_mut(&mut self, id: JobId) -> Result<&mut Job, Misplaced> {
-        self.jobs.get_mut(&id).ok_or(Misplaced::Job(id))
+    fn job_mut(&mut self, id: JobId) -> Result<&mut Job, InvalidEvent> {
+        self.jobs.get_mut(&id).ok_or(InvalidEvent::Job(id))
     }
 
-    fn place(&mut self, run: &RunId, on: &WorkerLife) -> Result<(), Misplaced> {
+    fn place(&mut self, run: &RunId, on: &WorkerLife) -> Result<(), InvalidEvent> {
         let id = run.task;
         let job = self.job_mut(id.job)?;
         if job.phase != Phase::Active || id.occurrence >= job.spec.occurrences() {
-            return Err(Misplaced::Job(id.job));
+            return Err(InvalidEvent::Job(id.job));
         }
         if !job.may_begin(id.occurrence, usize::from(id.step)) {
-            return Err(Misplaced::Task(id));
+            return Err(InvalidEvent::Task(id));
         }
         let is_speculative = job.spec.steps[usize::from(id.step)].is_speculative;
-        let step = job.step_mut(&id.step_id()).ok_or(Misplaced::Task(id))?;
+        let step = job.step_mut(&id.step_id()).ok_or(InvalidEvent::Task(id))?;
         let task = step
             .tasks
             .get_mut(id.index as usize)
-            .ok_or(Misplaced::Task(id))?;
+            .ok_or(InvalidEvent::Task(id))?;
         let is_free = task.live.is_empty() || is_speculative;
         if task.is_done || task.elsewhere.is_some() || !is_free || run.run <= task.last_run {
-            return Err(Misplaced::Run(*run));
+            return Err(InvalidEvent::Run(*run));
         }
         if task.live.is_empty() {
             step.running += 1;
@@ -310,7 +310,7 @@
         how: RunEnd,
         checkpoint: Option<&str>,
         at_unix_ms: u64,
-    ) -> Result<(), Misplaced> {
+    ) -> Result<(), InvalidEvent> {
         let id = run.task;
         let Some(job) = self.jobs.get_mut(&id.job) else {
             return Ok(());
@@ -319,10 +319,10 @@
         let step_spec = spec
             .steps
             .get(usize::from(id.step))
-            .ok_or(Misplaced::Task(id))?;
+            .ok_or(InvalidEvent::Task(id))?;
         let was_live = job.take_live(run);
-        let is_late_work = how == RunEnd::Done && job.is_open(run);
-        if !was_live && !is_late_work {
+        let is_late_completion = how == RunEnd::Done && job.is_unfinished(run);
+        if !was_live && !is_late_completion {
             return Ok(());
         }
         if let Some(checkpoint) = checkpoint {
@@ -340,14 +340,14 @@
         Ok(())
     }
 
-    fn lose(&mut self, run: &RunId, _: Loss) -> Result<(), Misplaced> {
+    fn lose(&mut self, run: &RunId, _: Loss) -> Result<(), InvalidEvent> {
         if let Some(job) = self.jobs.get_mut(&run.task.job) {
             job.take_live(run);
         }
         Ok(())
     }
 
-    fn cancel(&mut self, id: JobId, at_unix_ms: u64) -> Result<(), Misplaced> {
+    fn cancel(&mut self, id: JobId, at_unix_ms: u64) -> Result<(), InvalidEvent> {
         let job = self.job_mut(id)?;
         if job.phase == Phase::Active {
             job.finish(Phase::Cancelled, at_unix_ms);
@@ -355,13 +355,13 @@
         Ok(())
     }
 
-    fn forget(&mut self, id: JobId) -> Result<(), Misplaced> {
+    fn forget(&mut self, id: JobId) -> Result<(), InvalidEvent> {
         if self.sent.shift_remove(&id).is_some() {
             return Ok(());
         }
-        let job = self.jobs.get(&id).ok_or(Misplaced::Job(id))?;
+        let job = self.jobs.get(&id).ok_or(InvalidEvent::Job(id))?;
         if job.phase == Phase::Active {
-            return Err(Misplaced::NotOver(id));
+            return Err(InvalidEvent::NotEnded(id));
         }
         self.jobs.shift_remove(&id);
         Ok(())
@@ -436,7 +436,7 @@
 
     /// Number of tasks of a step in the first occurrence that this shard runs itself.
     pub fn tasks_here(&self, step: usize) -> u64 {
-        self.tasks_but(step, |task| task.elsewhere.is_some())
+        self.count_tasks_except(step, |task| task.elsewhere.is_some())
     }
 
     /// Number of long-running tasks in the first occurrence that have run before, have no live run and are not
@@ -448,21 +448,21 @@
             let has_run = task.last_run > RunNumber::default();
             has_run && task.live.is_empty() && task.elsewhere.is_none()
         };
-        let others = |at| self.tasks_but(at, is_interrupted);
+        let others = |at| self.count_tasks_except(at, is_interrupted);
         long_running
             .map(|(at, step)| u64::from(step.count) - others(at))
             .sum()
     }
 
-    /// Number of tasks of a step in the first occurrence that `is_left_out` does not match.
-    fn tasks_but(&self, step: usize, is_left_out: impl Fn(&Task) -> bool) -> u64 {
+    /// Number of tasks of a step in the first occurrence that `is_excluded` does not match.
+    fn count_tasks_except(&self, step: usize, is_excluded: impl Fn(&Task) -> bool) -> u64 {
         let state = self.occurrences.get(&0).and_then(|o| o.steps.get(step));
-        let left_out = |state: &StepState| {
+        let excluded = |state: &StepState| {
             let tasks = state.tasks.iter();
-            tasks.filter(|task| is_left_out(task)).count() as u64
+            tasks.filter(|task| is_excluded(task)).count() as u64
         };
         let count = self.spec.steps.get(step).map_or(0, |step| step.count);
-        u64::from(count) - state.map_or(0, left_out)
+        u64::from(count) - state.map_or(0, excluded)
     }
 
     /// Returns a step's state, or `None` if no task of its occurrence was placed yet.
@@ -521,7 +521,7 @@
     }
 
     /// Whether the run was placed and its task is not done.
-    fn is_open(&self, run: &RunId) -> bool {
+    fn is_unfinished(&self, run: &RunId) -> bool {
         let step = self.step(&run.task.step_id());
         let task = step.and_then(|step| step.tasks.get(run.task.index as usize));
         task.is_some_and(|task| !task.is_done && run.run <= task.last_run)
--- a/src/lapisdrum/sched/peer.rs
+++ b/src/lapisdrum/sched/peer.rs
@@ -152,7 +152,7 @@
 /// A call to another daemon that failed or got no reply.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PeerError {
-    what: String,
+    message: String,
     /// Whether no connection was made, so that the call certainly had no effect.
     pub is_unsent: bool,
     /// Whether the connection was refused, so that no process listens at the address.
@@ -161,7 +161,7 @@
 
 impl fmt::Display for PeerError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "peer did not answer: {}", self.what)
+        write!(f, "peer did not answer: {}", self.message)
     }
 }
 
@@ -286,13 +286,13 @@
             cx.deadline = std::time::Instant::now() + limit;
             let answered = call(client, cx).await;
             answered.map_err(|e| PeerError {
-                what: e.to_string(),
+                message: e.to_string(),
                 is_unsent: false,
                 is_refused: false,
             })
         };
         let timeout = PeerError {
-            what: "timeout".to_owned(),
+            message: "timeout".to_owned(),
             is_unsent: false,
             is_refused: false,
         };
@@ -308,8 +308,8 @@
         if let Some(client) = self.open.borrow().get(address) {
             return Ok(client.clone());
         }
-        let unsent = |what: String, is_refused| PeerError {
-            what,
+        let unsent = |message: String, is_refused| PeerError {
+            message,
             is_unsent: true,
             is_refused,
         };
--- a/src/lapisdrum/sched/settle.rs
+++ b/src/lapisdrum/sched/settle.rs
@@ -51,10 +51,10 @@
 pub fn is_piggyback_stale(
     end: &TxnEnd,
     holds_fence: impl Fn(&[Row]) -> bool,
-    is_place_free: impl Fn(&[Row]) -> bool,
+    are_keys_free: impl Fn(&[Row]) -> bool,
 ) -> bool {
     match end {
-        TxnEnd::Conflict(rows) => holds_fence(rows) && is_place_free(rows),
+        TxnEnd::Conflict(rows) => holds_fence(rows) && are_keys_free(rows),
         TxnEnd::Committed(_) | TxnEnd::NotDone(_) | TxnEnd::Unknown(_) => false,
     }
 }
@@ -176,7 +176,7 @@
     }
 
     /// Longest lease on the owner's clock.
-    fn longest_here(&self) -> Duration {
+    fn longest_on_own_clock(&self) -> Duration {
         self.longest + self.longest / self.drift_parts
     }
 
@@ -212,7 +212,7 @@
     answered_at: Option<Millis>,
     /// Time at which the last lease without a reply was sent.
     silent_at: Option<Millis>,
-    under_way: u32,
+    in_flight: u32,
 }
 
 impl LeaseBound {
@@ -223,7 +223,7 @@
             inherited_until: Some(renewed_at + limits.owner_hold),
             answered_at: None,
             silent_at: None,
-            under_way: 0,
+            in_flight: 0,
         }
     }
 
@@ -234,7 +234,7 @@
 
     /// Records that a call with a lease is sent.
     pub fn sent(&mut self) {
-        self.under_way += 1;
+        self.in_flight += 1;
     }
 
     /// Records that a call with a lease was answered at `at`, so that it does not take effect later.
@@ -245,7 +245,7 @@
 
     /// Records that a call with a lease certainly had no effect.
     pub fn void(&mut self) {
-        self.under_way = self.under_way.saturating_sub(1);
+        self.in_flight = self.in_flight.saturating_sub(1);
     }
 
     /// Records that a call with a lease, sent at `sent_at`, got no reply.
@@ -267,7 +267,7 @@
         let late = [self.inherited_until, self.silent_at];
         let late = late.into_iter().flatten().map(|at| at + lateness);
         let ends = late.chain(self.answered_at);
-        let latest = ends.max().unwrap_or_default() + limits.longest_here();
-        self.under_way == 0 && now > latest
+        let latest = ends.max().unwrap_or_default() + limits.longest_on_own_clock();
+        self.in_flight == 0 && now > latest
     }
 }
--- a/tests/testsuite/sched/layout.rs
+++ b/tests/testsuite/sched/layout.rs
@@ -15,7 +15,7 @@
         job::{JobId, JobSpec, RawJob, Step},
         layout::{Layout, ShardId},
         lease,
-        ledger::{Ledger, Misplaced},
+        ledger::{InvalidEvent, Ledger},
         owner::Owner,
         peer::{self, Answer, Ask, JobState, SubmitReply},
     },
@@ -124,7 +124,9 @@
 #[test]
 fn every_shard_is_watched_by_several_daemons() {
     let shards: Vec<ShardId> = (0..79).map(ShardId).collect();
-    let rotas: Vec<_> = (0..140).map(|run| lease::rota(&shards, run)).collect();
+    let rotas: Vec<_> = (0..140)
+        .map(|run| lease::poll_order(&shards, run))
+        .collect();
     for shard in &shards {
         let sees_often =
             |rota: &&Vec<ShardId>| rota[..9].contains(shard) && rota[9..18].contains(shard);
@@ -132,9 +134,9 @@
         assert!(watchers >= 3, "{watchers} daemons watch {shard:?}");
         assert!(rotas.iter().all(|rota| rota.contains(shard)));
     }
-    assert_eq!(lease::rota(&shards[..1], 7), [ShardId(0)]);
+    assert_eq!(lease::poll_order(&shards[..1], 7), [ShardId(0)]);
     assert_eq!(
-        lease::rota(&shards[..4], 7).len(),
+        lease::poll_order(&shards[..4], 7).len(),
         4,
         "few shards are all watched alike"
     );
@@ -421,7 +423,7 @@
     };
     assert_matches!(
         read.apply(&accepted),
-        Err(Misplaced::Job(_)),
+        Err(InvalidEvent::Job(_)),
         "it is elsewhere"
     );
     let other = Event::Sent {
@@ -429,7 +431,11 @@
         to: ShardId(2),
         at_unix_ms: 7,
     };
-    assert_matches!(read.apply(&other), Err(Misplaced::Job(_)), "decided once");
+    assert_matches!(
+        read.apply(&other),
+        Err(InvalidEvent::Job(_)),
+        "decided once"
+    );
     read.apply(&Event::Forgotten { job: JobId(1) })
         .expect("it fits");
     assert!(read.sent.is_empty());
--- a/tests/testsuite/sched/ledger.rs
+++ b/tests/testsuite/sched/ledger.rs
@@ -5,7 +5,7 @@
 use lapisdrum::sched::{
     event::{Event, Loss, RunEnd, RunId, WorkerLife},
     job::{Gang, InvalidJob, JobId, JobSpec, RawJob, RunNumber, Schedule, Step, TaskId},
-    ledger::{Ledger, Misplaced, Phase},
+    ledger::{InvalidEvent, Ledger, Phase},
 };
 use proptest::prelude::*;
 use std::rc::Rc;
@@ -28,7 +28,7 @@
         at_unix_ms: 1_000,
     };
     ledger.apply(&accepted).expect("it is new");
-    assert_eq!(ledger.apply(&accepted), Err(Misplaced::Job(JobId(1))));
+    assert_eq!(ledger.apply(&accepted), Err(InvalidEvent::Job(JobId(1))));
     ledger
 }
 
@@ -67,7 +67,7 @@
 fn a_step_waits_for_the_ones_before_it() {
     let mut ledger = with_job(spec(vec![step(1, 10, &[]), step(1, 10, &[0])]));
     let early = ledger.apply(&placed(run(1, 0, 1)));
-    assert_eq!(early, Err(Misplaced::Task(run(1, 0, 1).task)));
+    assert_eq!(early, Err(InvalidEvent::Task(run(1, 0, 1).task)));
     ledger.apply(&placed(run(0, 0, 1))).expect("it may begin");
     ledger
         .apply(&ended(run(0, 0, 1), RunEnd::Done))
@@ -85,13 +85,19 @@
 fn a_task_has_one_live_run_and_rising_numbers() {
     let mut ledger = with_job(spec(vec![step(1, 10, &[])]));
     ledger.apply(&placed(run(0, 0, 1))).expect("the first run");
-    assert_matches!(ledger.apply(&placed(run(0, 0, 2))), Err(Misplaced::Run(_)));
+    assert_matches!(
+        ledger.apply(&placed(run(0, 0, 2))),
+        Err(InvalidEvent::Run(_))
+    );
     let lost = Event::Lost {
         run: run(0, 0, 1),
         why: Loss::Lapsed,
     };
     ledger.apply(&lost).expect("it was live");
-    assert_matches!(ledger.apply(&placed(run(0, 0, 1))), Err(Misplaced::Run(_)));
+    assert_matches!(
+        ledger.apply(&placed(run(0, 0, 1))),
+        Err(InvalidEvent::Run(_))
+    );
     ledger
         .apply(&placed(run(0, 0, 2)))
         .expect("a greater number");
