--- a/src/lapisdrum/sched/edge.rs
+++ b/src/lapisdrum/sched/edge.rs
@@ -1,9 +1,9 @@
-//! What the scheduler needs of the world around it: a store, workers, and a directory that names
-//! workers and queues. One trait each; an implementation decodes a wire format into these types.
+//! Interfaces to the systems that the scheduler depends on: a store, workers, and a directory of workers
+//! and queues. One trait each; an implementation decodes a wire format into these types.
 //!
-//! Every call that changes something ends in one of three ways that must be told apart: it took effect,
-//! it certainly did not and never will, or nobody knows. A call of the third kind may be carried out
-//! seconds later, so its outcome is settled by what is read afterwards and never assumed.
+//! Every call that changes state has one of three outcomes that callers must distinguish: it took effect,
+//! it did not and never will, or the outcome is unknown. A call with an unknown outcome may still be carried
+//! out seconds later, so its outcome is resolved by later reads and never assumed.
 
 use super::{
     event::{RunEnd, RunId, WorkerLife},
@@ -15,17 +15,17 @@
 use indexmap::IndexMap;
 use std::{fmt, time::Duration};
 
-/// Why a call had no useful answer.
+/// A call that failed or had no usable answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CallError {
-    /// For logs.
+    /// Description for logs.
     pub message: String,
-    /// Whether it was refused since there are too many calls.
+    /// Whether the call was refused because of a rate limit.
     pub is_rate_limited: bool,
 }
 
 impl CallError {
-    /// An error that says `what`.
+    /// An error other than a rate limit.
     pub fn new(what: impl fmt::Display) -> Self {
         Self {
             message: what.to_string(),
@@ -33,7 +33,7 @@
         }
     }
 
-    /// A refusal since there are too many calls.
+    /// A refusal because of a rate limit.
     pub fn rate_limited(what: impl fmt::Display) -> Self {
         Self {
             is_rate_limited: true,
@@ -50,34 +50,34 @@
 
 impl std::error::Error for CallError {}
 
-/// Names a row of the store. Rows of one part change together in one transaction.
+/// Key of a row in the store. A transaction covers rows of one partition only.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct RowKey {
-    /// The table.
+    /// Name of the table.
     pub table: &'static str,
-    /// The part.
+    /// The partition.
     pub part: String,
-    /// The key in the part.
+    /// Key within the partition.
     pub key: String,
 }
 
-/// A row as read.
+/// A row as read from the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Row {
-    /// The table.
+    /// Name of the table.
     pub table: String,
-    /// The key.
+    /// Key within the partition.
     pub key: String,
-    /// The value.
+    /// The value as stored, undecoded.
     pub value: Bytes,
-    /// Raised by every write of any row, from one counter for the whole store.
+    /// Version of the last write of this row, from one counter for the whole store.
     pub version: u64,
 }
 
-/// A transaction over rows of one part: all of it or nothing.
+/// An atomic transaction over rows of one partition.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Txn {
-    /// Versions that must hold; 0 for a row that must not exist.
+    /// Preconditions: the expected version of each row, 0 for a row that must not exist.
     pub expect: Vec<(RowKey, u64)>,
     /// Rows to write.
     pub put: Vec<(RowKey, Bytes)>,
@@ -85,37 +85,37 @@
     pub delete: Vec<RowKey>,
 }
 
-/// How a transaction ended.
+/// Outcome of a transaction.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TxnEnd {
-    /// It took effect; the store's version counter then, at least that of the rows written.
+    /// It took effect. Carries the store's version counter afterwards, no less than the versions of the written rows.
     Committed(u64),
-    /// A version did not hold and nothing was written; the rows of [`Txn::expect`] that exist, as they are now.
+    /// A precondition failed and nothing was written. Carries the existing rows of [`Txn::expect`] as they are now.
     Conflict(Vec<Row>),
-    /// The store said that it did nothing, or was never reached.
+    /// The store reported that it did nothing, or was never reached.
     NotDone(CallError),
-    /// No answer; it may take effect yet.
+    /// No answer; it may still take effect.
     Unknown(CallError),
 }
 
-/// The transactional store and the objects beside it.
+/// The transactional store and its object storage.
 pub trait Store {
     /// Runs a transaction.
     fn commit<'a>(&'a self, txn: &'a Txn) -> LocalBoxFuture<'a, TxnEnd>;
-    /// Reads all rows of a part of a table whose keys are at or after `from`, in key order.
+    /// Reads all rows of one partition of a table with keys at or after `from`, in key order.
     fn rows<'a>(
         &'a self,
         table: &'a str,
         part: &'a str,
         from: &'a str,
     ) -> LocalBoxFuture<'a, Result<Vec<Row>, CallError>>;
-    /// Stores an object.
+    /// Stores an object under a name.
     fn put_object<'a>(
         &'a self,
         name: &'a str,
         body: Bytes,
     ) -> LocalBoxFuture<'a, Result<(), CallError>>;
-    /// Reads an object; none if there is none of the name.
+    /// Reads an object; `None` if it does not exist.
     fn get_object<'a>(
         &'a self,
         name: &'a str,
@@ -127,177 +127,177 @@
 /// A worker as the directory describes it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WorkerReport {
-    /// Which worker, in which life.
+    /// The worker and its incarnation.
     pub life: WorkerLife,
-    /// The pool that it belongs to.
+    /// The pool that the worker belongs to.
     pub pool: String,
-    /// Where it answers: IP number and port.
+    /// IP address and port of the worker's interface.
     pub address: String,
-    /// Its data centre.
+    /// The data centre of the worker's host.
     pub data_centre: String,
-    /// What it has.
+    /// Total resources of the worker.
     pub capacity: Size,
-    /// All its labels, its rack among them.
+    /// All labels of the worker, including its rack.
     pub labels: Vec<String>,
-    /// Its rack.
+    /// The rack of the worker's host, if it has one.
     pub rack: Option<String>,
-    /// The least time that is left before it leaves; none while it stays.
+    /// Least time left before the worker leaves; none while no departure is announced.
     pub leaving_in: Option<Duration>,
 }
 
 /// A queue as the catalogue describes it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Queue {
-    /// What holds for its jobs.
+    /// Settings of the queue's jobs.
     pub terms: QueueTerms,
-    /// The host name under which callers ask for it.
+    /// Host name of the requests that this queue serves.
     pub host: String,
-    /// The beginning of the paths under which callers ask for it.
+    /// Path prefix of the requests that this queue serves.
     pub path_prefix: String,
 }
 
-/// A catalogue in force.
+/// One version of the catalogue.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Catalogue {
-    /// Only ever replaced by one with a greater version.
+    /// A catalogue is replaced only by one with a greater version.
     pub version: u64,
     /// Queues by name.
     pub queues: IndexMap<String, Queue>,
-    /// Largest body of a request, in bytes.
+    /// Maximum size of a request body, in bytes, if the catalogue sets one.
     pub max_body_bytes: Option<u64>,
 }
 
-/// What operators have asked for, as of one moment.
+/// State requested by operators, as of one read.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct OperatorState {
-    /// The newest catalogue; none before the first.
+    /// The newest catalogue; none before the first was published.
     pub catalogue: Option<Catalogue>,
-    /// The data centres that are evacuated, each with the version of the request.
+    /// Evacuated data centres, each with the version of the operator's request.
     pub evacuated: IndexMap<String, u64>,
 }
 
-/// Names workers and queues.
+/// Lists workers, queues and evacuations.
 pub trait Directory {
-    /// The workers that are registered now.
+    /// The workers registered at present.
     fn workers(&self) -> LocalBoxFuture<'_, Result<Vec<WorkerReport>, CallError>>;
-    /// The catalogue and the evacuated data centres.
+    /// Reads the catalogue and the evacuated data centres.
     fn operator_state(&self) -> LocalBoxFuture<'_, Result<OperatorState, CallError>>;
 }
 
-/// An order to start a run.
+/// An order to a worker to start a run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StartOrder {
-    /// The run.
+    /// The run to start.
     pub run: RunId,
-    /// The job's payload.
+    /// The job's payload, passed to the task unchanged.
     pub payload: String,
     /// The owner's fencing token.
     pub token: u64,
-    /// The end of the lease, on the worker's clock; it holds for everything that runs there.
+    /// New end of the worker's lease, on the worker's clock; it applies to every run on the worker.
     pub lease_until: WorkerMillis,
-    /// The progress to resume from.
+    /// The checkpoint to resume from.
     pub checkpoint: Option<String>,
     /// The advisory service's approval, where the queue needs one.
     pub ticket: Option<String>,
 }
 
-/// What is asked when a worker is looked at.
+/// A long poll of a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LookOrder {
     /// The owner's fencing token.
     pub token: u64,
-    /// Ends up to this number may be forgotten.
+    /// Ends up to this number are acknowledged; the worker may drop them.
     pub acked_upto: u64,
-    /// A new end of the lease for everything that runs there, on the worker's clock.
+    /// New end of the worker's lease, on the worker's clock; it applies to every run on the worker.
     pub lease_until: Option<WorkerMillis>,
-    /// How long the worker may wait for an end before it answers.
+    /// How long the worker may wait for a run to end before it answers.
     pub wait: Duration,
 }
 
-/// A run as its worker lists it.
+/// A running run in a worker's poll response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ListedRun {
     /// The run.
     pub run: RunId,
-    /// The progress saved.
+    /// The latest checkpoint, if any.
     pub checkpoint: Option<String>,
-    /// How much of the work is done, or of a long-running task's start-up, in hundredths.
+    /// Progress of the work, or of the start-up of a long-running task, in percent.
     pub percent: u32,
-    /// For a task that serves users its latency tail in milliseconds, for any other the processors in
-    /// use in thousandths; rough and half a second old.
+    /// Tail latency in milliseconds for a task that serves users, CPU use in millicores for any other task;
+    /// approximate and half a second old.
     pub gauge: u64,
 }
 
-/// An end as its worker lists it.
+/// An ended run in a worker's poll response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ListedEnd {
-    /// Its place in the order of the worker's ends.
+    /// Sequence number among the ends on this worker, acknowledged by [`LookOrder::acked_upto`].
     pub number: u64,
-    /// The run.
+    /// The run that ended.
     pub run: RunId,
-    /// How it ended.
+    /// How the run ended.
     pub how: RunEnd,
-    /// The progress saved.
+    /// The last checkpoint, if any.
     pub checkpoint: Option<String>,
 }
 
-/// What a worker says when it is looked at.
+/// A worker's response to a poll.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Lists {
-    /// The beginning of the worker's present life, in Unix milliseconds, if it tells.
+    /// Start of the worker's present incarnation, in Unix milliseconds, if the worker reports it.
     pub born: Option<u64>,
-    /// Its clock.
+    /// The worker's clock when it answered.
     pub clock: WorkerMillis,
-    /// What runs there.
+    /// The runs on the worker.
     pub running: Vec<ListedRun>,
-    /// What has ended there and isn't forgotten; the oldest ones first.
+    /// Ended runs that the worker has not dropped yet, oldest first.
     pub ended: Vec<ListedEnd>,
 }
 
 /// Why a worker refused an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refusal {
-    /// It has seen a greater fencing token.
+    /// The worker has seen a greater fencing token.
     NewerOwner,
-    /// A run with this number or a greater one was stopped or has ended there.
+    /// A run of the task with this number or a greater one was stopped or has ended on the worker.
     OldRun,
-    /// The lease's end has passed.
+    /// The order's lease has already expired.
     LeaseOver,
-    /// It would be over its capacity.
+    /// The run would exceed the worker's capacity.
     NoRoom,
-    /// The approval is missing or has expired.
+    /// The advisory service's approval is missing or has expired.
     NotApproved,
-    /// It is unhealthy.
+    /// The worker is unhealthy.
     Unhealthy,
     /// The order is malformed.
     Malformed,
-    /// It is in another life than the one the order names.
+    /// The worker is in another incarnation than the one that the order names.
     OtherLife,
 }
 
-/// How an order to a worker ended.
+/// Outcome of an order to a worker.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OrderEnd<T> {
     /// It took effect.
     Done(T),
-    /// It did not and will not; the worker said so.
+    /// It did not and will not take effect, as reported by the worker.
     Refused(Refusal),
-    /// It did not and will not: it was never sent.
+    /// It did not and will not take effect, as it was never sent.
     Unsent(CallError),
     /// No answer; it may take effect seconds later.
     Silent(CallError),
 }
 
-/// Speaks to workers at their addresses.
+/// Client for the workers' interface; each call goes to a worker's address.
 pub trait Workers {
-    /// Orders a start; the answer is the worker's clock.
+    /// Starts a run; the answer is the worker's clock.
     fn start<'a>(
         &'a self,
         address: &'a str,
         worker: &'a str,
         order: &'a StartOrder,
     ) -> LocalBoxFuture<'a, OrderEnd<WorkerMillis>>;
-    /// Orders a stop; once done, the run will never run there, if it doesn't yet.
+    /// Stops a run; once done, the worker never starts it afterwards, even if the start order arrives late.
     fn stop<'a>(
         &'a self,
         address: &'a str,
@@ -305,14 +305,14 @@
         run: RunId,
         token: u64,
     ) -> LocalBoxFuture<'a, OrderEnd<WorkerMillis>>;
-    /// Looks at what runs there and what has ended.
+    /// Polls a worker for its running and ended runs.
     fn look<'a>(
         &'a self,
         address: &'a str,
         worker: &'a str,
         order: &'a LookOrder,
     ) -> LocalBoxFuture<'a, OrderEnd<Lists>>;
-    /// Lets a run work at a share of its processors, in hundredths.
+    /// Sets the CPU limit of a run, in percent of the CPU that the run asks for.
     fn pace<'a>(
         &'a self,
         address: &'a str,
@@ -323,18 +323,18 @@
     ) -> LocalBoxFuture<'a, OrderEnd<WorkerMillis>>;
 }
 
-/// A worker that the advisory service allows a step to run on.
+/// The advisory service's permission to run a step on a worker.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Approval {
-    /// The worker.
+    /// Name of the approved worker.
     pub worker: String,
-    /// Shown to the worker at the start.
+    /// Sent to the worker in [`StartOrder::ticket`].
     pub ticket: String,
 }
 
-/// Tells which workers a queue's policy allows a step to run on.
+/// Client for the advisory service, which decides on which workers a queue's steps may run.
 pub trait Advisor {
-    /// Asks about some workers; the answer is valid for the given time.
+    /// Returns approvals for those of `workers` that are allowed, and how long they are valid.
     fn advise<'a>(
         &'a self,
         step: StepId,
--- a/src/lapisdrum/sched/evacuation.rs
+++ b/src/lapisdrum/sched/evacuation.rs
@@ -1,59 +1,59 @@
-//! Evacuated data centres: operators ask that nothing new is started on their workers.
+//! Evacuated data centres, on whose workers operators want no more starts.
 //!
-//! What runs there runs on to its end, and callers who reach the data centre's daemons are served; only new starts go
-//! elsewhere. Room shrinks by a whole data centre at once, so that placement, submission and the load that is told
-//! to other shards all go by [`Evacuations::allows_starts`].
+//! Running tasks continue to their end, and the data centre's daemons still serve callers; only new starts go to
+//! other data centres. An evacuation removes the free capacity of a whole data centre at once, so placement, submission
+//! and the load that is reported to other shards all use [`Evacuations::allows_starts`].
 //!
-//! A daemon acts on what it read last. One that can no longer read would go on starting tasks in a data centre that was
-//! evacuated since, so a belief older than the setting's bound allows no start anywhere.
+//! A daemon acts on its last successful read. If its reads fail, it would continue to start tasks in a data centre that
+//! has been evacuated since, so with a read older than the configured bound it starts nothing in any data centre.
 
 use crate::core::time::Millis;
 use indexmap::IndexMap;
 use std::time::Duration;
 
-/// Least age at which a belief is too old to start anything on: several polls, so that one lost read stops nothing.
+/// Lower limit of the maximum age of a read: several polls, so that one failed read stops no starts.
 const LEAST_MAX_AGE: Duration = Duration::from_millis(2_000);
 
-/// A data centre's evacuation.
+/// Evacuation of one data centre.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Evacuation {
     /// The version of the operator's request.
     version: u64,
-    /// When it was first seen.
+    /// When this process first read the request.
     since: Millis,
 }
 
-/// What an operator changed.
+/// A change between two reads of the evacuation requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// Nothing more may be started in a data centre.
+    /// A data centre was evacuated: no more tasks may be started there.
     Evacuated {
-        /// Its name.
+        /// Name of the data centre.
         data_centre: String,
-        /// The version of the request.
+        /// The version of the operator's request.
         version: u64,
-        /// How long the read took that showed it.
+        /// Duration of the read that returned the request.
         read_took: Duration,
     },
-    /// Tasks may be started there again.
+    /// A data centre was restored: tasks may be started there again.
     Restored {
-        /// Its name.
+        /// Name of the data centre.
         data_centre: String,
-        /// For how long it was evacuated, as seen here.
+        /// How long it was evacuated, as observed by this process.
         after: Duration,
     },
 }
 
-/// Which data centres are evacuated, as last read.
+/// The evacuated data centres, as last read.
 #[derive(Clone, Debug, Default)]
 pub struct Evacuations {
     by_data_centre: IndexMap<String, Evacuation>,
-    /// When the read was sent that last succeeded.
+    /// When the last successful read was sent.
     asked_at: Option<Millis>,
 }
 
 impl Evacuations {
-    /// Notes the requests, by data centre with their versions, as read by a call that was sent at `asked_at`.
+    /// Records the versions of the requests by data centre, as read by a call sent at `asked_at`; returns the changes.
     pub fn note(
         &mut self,
         read: &IndexMap<String, u64>,
@@ -92,8 +92,8 @@
         changes
     }
 
-    /// Whether tasks may be started in a data centre, with an evacuation in force `bound` after it was acknowledged.
-    /// `transit` is the longest time that a start may be on its way to a worker.
+    /// Whether tasks may be started in a data centre. An evacuation must be in force within `bound` of its
+    /// acknowledgement; `transit` is the longest time that a start order takes to reach a worker.
     pub fn allows_starts(
         &self,
         data_centre: &str,
@@ -106,12 +106,12 @@
         is_fresh && !self.is_evacuated(data_centre)
     }
 
-    /// Whether a data centre is evacuated.
+    /// Whether a data centre is evacuated, by the last successful read of any age.
     pub fn is_evacuated(&self, data_centre: &str) -> bool {
         self.by_data_centre.contains_key(data_centre)
     }
 
-    /// Every data centre that is evacuated.
+    /// Names of the evacuated data centres.
     pub fn evacuated(&self) -> impl Iterator<Item = &str> {
         self.by_data_centre.keys().map(String::as_str)
     }
--- a/src/lapisdrum/sched/event.rs
+++ b/src/lapisdrum/sched/event.rs
@@ -1,4 +1,4 @@
-//! What a shard remembers of its jobs, as events. The journal is a list of these in order.
+//! Changes of a shard's state, as events. The journal is an ordered list of them.
 
 use super::{
     job::{JobId, JobSpec, QueueTerms, RunNumber, TaskId},
@@ -7,133 +7,133 @@
 use std::rc::Rc;
 
 data! {
-    /// Which life of which worker: a worker that starts again may keep its id.
+    /// Incarnation of a worker: a restarted worker may keep its id.
     #[derive(Hash, PartialOrd, Ord)]
     pub struct WorkerLife {
         /// The worker's id.
         pub worker: String,
-        /// When this life began, in Unix milliseconds.
+        /// When the worker started, in Unix milliseconds.
         pub born: u64,
     }
 
-    /// How a run ended, as its worker tells.
+    /// How a run ended, as reported by its worker.
     #[derive(Copy)]
     pub enum RunEnd {
-        /// Its work is done.
+        /// The run completed its work.
         Done,
-        /// It failed by its own fault or the worker's.
+        /// The run failed, by a fault of the task or of the worker.
         Failed,
-        /// It was stopped on an order.
+        /// The run was stopped on an order.
         Stopped,
-        /// Its lease ran out.
+        /// The worker's lease expired.
         Lapsed,
-        /// Another member of its gang ended.
+        /// Another member of the run's gang ended.
         GangBroken,
-        /// It waited in vain for the other members of its gang.
+        /// The other members of the run's gang did not start in time.
         GangIncomplete,
     }
 
-    /// A run of a task.
+    /// Id of one run of a task.
     #[derive(Copy, Hash, PartialOrd, Ord)]
     pub struct RunId {
-        /// The task.
+        /// The task that runs.
         pub task: TaskId,
-        /// Which start of it.
+        /// Number of the start of the task.
         pub run: RunNumber,
     }
 
-    /// Why a run is known to be over without an end from its worker.
+    /// Evidence that a run ended although its worker reported no end.
     #[derive(Copy, Hash)]
     pub enum Loss {
-        /// The worker answered, under a claim that refuses earlier orders, that it doesn't run.
+        /// The worker reported that the run isn't there, under a claim that refuses earlier orders.
         NotThere,
         /// The worker was restarted.
         Reborn,
-        /// The worker is silent, and every lease that it may hold has run out.
+        /// The worker does not answer, and every lease that it may hold has expired.
         Lapsed,
-        /// The order to start was never sent, or refused.
+        /// The start order was never sent, or the worker refused it.
         NotStarted,
     }
 
-    /// One change of what a shard remembers.
+    /// One change of a shard's state.
     pub enum Event {
         /// A job was accepted.
         Accepted {
-            /// The job.
+            /// The accepted job.
             job: JobId,
-            /// What was submitted.
+            /// The job's steps and payload, as submitted.
             spec: Rc<JobSpec>,
-            /// What the catalogue said of its queue.
+            /// Settings of the job's queue at acceptance.
             terms: QueueTerms,
-            /// When, in Unix milliseconds.
+            /// Time of acceptance, in Unix milliseconds.
             at_unix_ms: u64,
         },
-        /// A run is about to be ordered.
+        /// A run was placed on a worker; the start order is sent once this event is durable.
         Placed {
-            /// The run.
+            /// The placed run.
             run: RunId,
-            /// Where.
+            /// The worker, in the incarnation for which the run was placed.
             on: WorkerLife,
         },
-        /// A worker has listed a run's end.
+        /// A worker reported the end of a run.
         Ended {
-            /// The run.
+            /// The run that ended.
             run: RunId,
-            /// How.
+            /// How the run ended.
             how: RunEnd,
-            /// The progress saved, if there is any.
+            /// The last checkpoint, if any.
             checkpoint: Option<String>,
-            /// When it was seen, in Unix milliseconds.
+            /// When the owner received the report, in Unix milliseconds.
             at_unix_ms: u64,
         },
-        /// A run is over, and no end of it will be heard.
+        /// A run ended without a report from its worker, and none will follow.
         Lost {
-            /// The run.
+            /// The run that was lost.
             run: RunId,
-            /// How that is known.
+            /// Evidence that the run ended.
             why: Loss,
         },
-        /// The caller no longer wants the job.
+        /// A caller cancelled a job.
         Cancelled {
-            /// The job.
+            /// The cancelled job.
             job: JobId,
-            /// When, in Unix milliseconds.
+            /// Time of the cancellation, in Unix milliseconds.
             at_unix_ms: u64,
         },
-        /// A job at home here is handed to another shard, which has more room for what lasts.
+        /// A job was transferred from its home shard to one with more free capacity for long-running tasks.
         Sent {
-            /// The job.
+            /// The transferred job.
             job: JobId,
-            /// The shard that takes it.
+            /// The shard that receives the job.
             to: ShardId,
-            /// When, in Unix milliseconds.
+            /// Time of the transfer, in Unix milliseconds.
             at_unix_ms: u64,
         },
-        /// A long-running task is handed to another shard, which has room for it.
+        /// A long-running task was delegated to another shard that has free capacity for it.
         Delegated {
-            /// The task.
+            /// The delegated task.
             task: TaskId,
             /// The shard that runs it from now on.
             to: ShardId,
         },
-        /// Tasks of another shard's job are run here.
+        /// This shard accepted tasks that another shard delegated.
         Adopted {
-            /// The job.
+            /// The job of the tasks.
             job: JobId,
-            /// What was submitted.
+            /// The job's steps and payload, as submitted.
             spec: Rc<JobSpec>,
-            /// What the catalogue said of its queue.
+            /// Settings of the job's queue when the job was accepted.
             terms: QueueTerms,
-            /// The shard that owns the job.
+            /// The shard that has the job.
             from: ShardId,
-            /// Its tasks that are run here, each with the number of its last run.
+            /// The delegated tasks, each with the number of its last run.
             tasks: Vec<(TaskId, RunNumber)>,
-            /// When, in Unix milliseconds.
+            /// Time of the adoption, in Unix milliseconds.
             at_unix_ms: u64,
         },
-        /// A job that is over, or was sent on long ago, is no longer remembered.
+        /// The record of an ended or transferred job was dropped after the retention time.
         Forgotten {
-            /// The job.
+            /// The dropped job.
             job: JobId,
         },
     }
--- a/src/lapisdrum/sched/front.rs
+++ b/src/lapisdrum/sched/front.rs
@@ -1,8 +1,8 @@
 //! Forwards callers' requests to the leaseholder of the job's shard and returns the outcome.
 //!
-//! A refusal is final: the job never runs. So a submission is refused only when it was certainly not taken;
-//! without an answer from the owner the caller is told that nobody knows, and a repeat finds the job.
-//! Without a reachable owner a request is refused at once, with the time until one is expected.
+//! A refusal is final: the job never runs. So a submission is refused only when it was certainly not accepted;
+//! without an answer from the owner the outcome is reported as unknown, and a repeated submission finds the job.
+//! Without a reachable owner a request is refused at once, with the time until an owner is expected.
 
 use super::{
     Cx, ShardHandle,
@@ -18,38 +18,38 @@
 use futures::FutureExt;
 use std::{cmp::Reverse, rc::Rc, time::Duration};
 
-/// Longest wait for the owner; it gives up on its store a little sooner and says so.
+/// Timeout of a call to the owner. The owner's timeout for the store is a little shorter, so that it can answer.
 const OWNER_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Longest wait for an owner that says that a submission is under way: it ends within a caller's 3 s.
+/// Longest wait for a submission that the owner reports as in flight; below the callers' timeout of 3 s.
 const UNDER_WAY_LIMIT: Duration = Duration::from_millis(2_500);
-/// An owner that left a call unanswered is not asked again for this long, or until another has taken over:
-/// callers would wait in vain for the seconds until its lease lapses, and are told at once instead.
+/// Time during which an owner that left a call unanswered is not called again, unless another takes over:
+/// callers are refused at once instead of timing out for the seconds until its lease lapses.
 const OWNER_REST: Duration = Duration::from_millis(700);
-/// When a caller should come back that no owner can serve: a take-over takes 0.3 s after an end that was asked for
-/// and 1 to 2 s after any other.
+/// Retry delay for callers while a shard has no reachable owner: a take-over takes 0.3 s after a requested shutdown
+/// and 1 to 2 s after a failure.
 const NO_OWNER_RETRY: Duration = Duration::from_secs(1);
-/// When a caller should come back before it is known which shard owns what: at a deployment's first start,
-/// or while the store can't be read after a restart.
+/// Retry delay for callers while the layout is not known: at a deployment's first start, or while the store
+/// can't be read after a restart.
 const NO_LAYOUT_RETRY: Duration = Duration::from_secs(1);
-/// Wait before the lease is read again after the one that was asked turned out not to be the owner.
+/// Delay before the lease is read again after a call that did not reach the owner.
 const ASK_AGAIN_WAIT: Duration = Duration::from_millis(60);
-/// Processes asked for one request.
+/// Maximum number of calls to owners for one request.
 const TRIES: usize = 2;
 
-/// How a caller's request ended.
+/// Outcome of a caller's request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome<T> {
-    /// Done.
+    /// The request took effect.
     Done(T),
-    /// Not done, and never will be; come back after this time.
+    /// The request did not and will not take effect; retry after this time.
     Refused(Duration),
-    /// Nobody knows.
+    /// The request may have taken effect.
     Unknown,
-    /// There is no such job.
+    /// No shard knows the job.
     NoSuchJob,
 }
 
-/// The queue that a caller asks for by host name and path, and the rest of the path.
+/// The queue that serves a host name and path: the one with the longest matching path prefix.
 pub fn route<'a>(
     queues: impl Iterator<Item = &'a Queue>,
     host: &str,
@@ -59,7 +59,7 @@
     fitting.min_by_key(|queue| Reverse(queue.path_prefix.len()))
 }
 
-/// Hands a job in.
+/// Submits a job to the owner of its home shard, and to another shard if the owner sends it there.
 pub async fn submit(cx: &Cx, queue: &Queue, job: JobId, spec: JobSpec) -> Outcome<()> {
     let began = cx.clock.now();
     let Some(layout) = cx.layout.borrow().clone() else {
@@ -89,7 +89,7 @@
     };
     let outcome = match asked {
         Asked::Answer(Answer::Submitted(SubmitReply::Accepted)) => Outcome::Done(()),
-        // It may have been taken since, whatever is answered now: a refusal would be untrue.
+        // The job may have been accepted in the meantime, whatever the last answer was; a refusal could be wrong.
         _ if was_under_way => Outcome::Unknown,
         Asked::Answer(Answer::Submitted(SubmitReply::Busy(wait))) => Outcome::Refused(wait),
         Asked::Nobody => Outcome::Refused(NO_OWNER_RETRY),
@@ -102,7 +102,7 @@
     outcome
 }
 
-/// Tells a job's state.
+/// Reads the state of a job.
 pub async fn show(cx: &Cx, job: JobId) -> Outcome<JobState> {
     at_home(cx, job, async |handle| {
         match ask_owner(cx, &handle, Ask::Show(job)).await {
@@ -114,7 +114,7 @@
     .await
 }
 
-/// Cancels a job.
+/// Cancels a job in the shard that has it.
 pub async fn cancel(cx: &Cx, job: JobId) -> Outcome<()> {
     at_home(cx, job, async |handle| cancel_at(cx, &handle, job).await).await
 }
@@ -131,8 +131,8 @@
     outcome
 }
 
-/// Asks the shards in which a job may be, the likeliest first. There is no such job only if every one of
-/// them says so: a job whose data has a place is at home there, and its id doesn't tell.
+/// Calls `ask` for the shards that may have a job, the likeliest first. The job is unknown only if all of them
+/// report so: the home of a job with data on a rack follows from that rack, not from the job's id.
 async fn at_home<T>(
     cx: &Cx,
     job: JobId,
@@ -154,7 +154,7 @@
     undecided.unwrap_or(Outcome::NoSuchJob)
 }
 
-/// Counts a queue's jobs of which nothing was started, over all shards.
+/// Counts a queue's jobs without a started task, over all shards.
 pub async fn pending(cx: &Cx, queue: &str) -> Outcome<u64> {
     let Some(layout) = cx.layout.borrow().clone() else {
         return Outcome::Refused(NO_LAYOUT_RETRY);
@@ -173,7 +173,7 @@
     Outcome::Done(sum)
 }
 
-/// How much of a shard is taken by what lasts, in thousandths; none without an answer from its owner.
+/// Share of a shard's capacity taken by long-running tasks, in thousandths; none without an answer from its owner.
 pub async fn load_of(cx: &Cx, handle: &Rc<ShardHandle>) -> Option<u32> {
     match ask_owner(cx, handle, Ask::Load).await {
         Asked::Answer(Answer::Load(load)) => load,
@@ -181,7 +181,7 @@
     }
 }
 
-/// What the owner of a shard has learned of pressure since it was last asked; none without an answer.
+/// Estimates of interference that the owner of a shard added since `upto`; none without an answer.
 pub async fn learned_of(
     cx: &Cx,
     handle: &Rc<ShardHandle>,
@@ -193,7 +193,7 @@
     }
 }
 
-/// For how many of the tasks that are wanted a shard offers room; none without an answer from its owner.
+/// Number of the `wanted` tasks for which a shard offers free capacity; none without an answer from its owner.
 pub async fn offer_of(
     cx: &Cx,
     handle: &Rc<ShardHandle>,
@@ -206,13 +206,13 @@
     }
 }
 
-/// Asks a shard to run tasks of another shard's job; true once that is durable there.
+/// Delegates tasks of another shard's job to a shard; true once the shard has made them durable.
 pub async fn adopt(cx: &Cx, handle: &Rc<ShardHandle>, tasks: GuestTasks) -> bool {
     let asked = ask_owner(cx, handle, Ask::Adopt(tasks)).await;
     matches!(asked, Asked::Answer(Answer::Adopted(AdoptReply::Adopted)))
 }
 
-/// Who is taken for the owner, and how old that belief is in milliseconds, for logs.
+/// The owner by the last read of the lease, and the age of that read in milliseconds; for logs.
 fn owner_believed(cx: &Cx, handle: &ShardHandle) -> (String, u64) {
     let (lease, now) = (handle.lease.borrow(), cx.clock.now());
     let owner = lease.holder(now).map(|holder| holder.daemon.clone());
@@ -220,13 +220,13 @@
     (owner.unwrap_or_else(|| "nobody".to_owned()), millis(age))
 }
 
-/// What came of asking the owner.
+/// Outcome of a call to the owner.
 enum Asked {
-    /// Its answer.
+    /// The owner answered.
     Answer(Answer),
-    /// Nobody is known to own the shard, or it certainly wasn't reached.
+    /// No owner is known, or the call certainly did not reach it.
     Nobody,
-    /// It may have done what was asked.
+    /// No answer; the owner may have carried out the request.
     Silence,
 }
 
@@ -238,7 +238,7 @@
                 break;
             }
             tokio::time::sleep(ASK_AGAIN_WAIT).await;
-            // What can't be read stays as last read.
+            // If the read fails, the lease stays as last read.
             let _ = super::lease::look(cx, handle).await;
         }
         asked = ask_once(cx, handle, ask.clone()).await;
@@ -256,7 +256,7 @@
         .as_ref()
         .is_some_and(|owner| owner.is_recovered());
     if is_own {
-        // A submission may ask another shard's owner in turn, which is then a call of its own.
+        // Boxed, since a submission may call another shard's owner in turn, which recurses.
         return of_owner(peer::answer(cx, handle.shard, ask).boxed_local().await);
     }
     let holder = handle.lease.borrow().holder(cx.clock.now()).cloned();
--- a/src/lapisdrum/sched/job.rs
+++ b/src/lapisdrum/sched/job.rs
@@ -1,35 +1,35 @@
-//! Checked types of job graphs: a job is a graph of steps, a step is a number of like tasks.
+//! Validated types of job graphs: a job is a graph of steps, a step is a number of identical tasks.
 //!
-//! The edges turn raw input into [`JobSpec`] by `TryFrom` on [`RawJob`]; past them nothing is checked
-//! again. Everything here is durable, so fields are only ever added, with a default.
+//! The interfaces to callers convert a [`RawJob`] to a [`JobSpec`] by `TryFrom`; later code relies on that and doesn't
+//! validate again. All these types are persisted, so fields are only ever added, with a default.
 
 use crate::{core::size::Size, policy::dispatch::pressure::StepKey};
 use std::{fmt, str::FromStr};
 
-/// Most steps of one job; a larger graph would not fit one journal row.
+/// Maximum number of steps of a job; a larger graph would not fit in one journal row.
 pub const MOST_STEPS: usize = 64;
-/// Most tasks of one step.
+/// Maximum number of tasks of a step.
 pub const MOST_TASKS_PER_STEP: u32 = 10_000;
-/// Longest payload of a job, in bytes; workers take no longer one.
+/// Maximum length of a job's payload; workers accept no longer one.
 pub const LONGEST_PAYLOAD: usize = 4_000;
 
 scalar! {
-    /// A job's id, chosen by its caller, so that a repeat is recognised. Sixteen hexadecimal digits as text.
+    /// Id of a job, chosen by its caller so that a repeated submission is recognised. As text, 16 hexadecimal digits.
     pub struct JobId(pub u64);
 
-    /// One task: the job, which scheduled occurrence of it, the step and the task's place in the step.
+    /// Id of a task. As text, its four fields separated by dots.
     pub struct TaskId {
-        /// The job.
+        /// The job that the task belongs to.
         pub job: JobId,
-        /// The occurrence, from 0; 0 for a job without a schedule.
+        /// The scheduled occurrence of the job, from 0; 0 for a job without a schedule.
         pub occurrence: u32,
-        /// The step, from 0.
+        /// Index of the step in the job, from 0.
         pub step: u16,
-        /// The task's place in the step, from 0.
+        /// Index of the task in the step, from 0.
         pub index: u32,
     }
 
-    /// Numbers the starts of one task, from 1; a worker refuses a number that isn't above those it has ended.
+    /// Number of a start of a task, from 1. A worker refuses a number that is not above those of the task's ended runs.
     #[derive(Default)]
     pub struct RunNumber(pub u32);
 }
@@ -40,7 +40,7 @@
     }
 }
 
-/// Text that is no job id.
+/// Text that is not a valid id of a job or task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct InvalidJobId;
 
@@ -66,7 +66,7 @@
 }
 
 impl TaskId {
-    /// The step that the task belongs to, in its occurrence.
+    /// The step of the same occurrence that the task belongs to.
     pub fn step_id(&self) -> StepId {
         StepId {
             job: self.job,
@@ -108,7 +108,7 @@
 }
 
 impl RunNumber {
-    /// The number after this one.
+    /// The number of the task's next start.
     #[must_use]
     pub fn next(self) -> Self {
         Self(self.0 + 1)
@@ -116,36 +116,36 @@
 }
 
 scalar! {
-    /// A step of one occurrence of a job.
+    /// Id of a step in one occurrence of a job.
     pub struct StepId {
-        /// The job.
+        /// The job that the step belongs to.
         pub job: JobId,
-        /// The occurrence, from 0.
+        /// The scheduled occurrence of the job, from 0.
         pub occurrence: u32,
-        /// The step, from 0.
+        /// Index of the step in the job, from 0.
         pub step: u16,
     }
 
-    /// Whether the tasks of a step work only all together.
+    /// Whether the tasks of a step need to run at the same time (gang scheduling).
     #[derive(Default)]
     pub enum Gang {
-        /// Each task works by itself.
+        /// Tasks run independently.
         #[default]
         No,
-        /// All together, on any racks.
+        /// All tasks run at the same time, on any racks.
         AnyRack,
-        /// All together; slower by a factor when spread over racks.
+        /// All tasks run at the same time; slower by a factor when spread over racks.
         SameRack,
     }
 }
 
 impl StepId {
-    /// The step as policies name it.
+    /// The key of the step in [`crate::policy`].
     pub fn key(&self) -> StepKey {
         (self.job.0, self.occurrence, self.step)
     }
 
-    /// The task at this place of the step.
+    /// The id of the step's task with this index.
     pub fn task(&self, index: u32) -> TaskId {
         TaskId {
             job: self.job,
@@ -163,112 +163,112 @@
 }
 
 data! {
-    /// A step: so many like tasks.
+    /// A step of a job: a number of identical tasks.
     #[derive(Default)]
     pub struct Step {
-        /// How many tasks.
+        /// Number of tasks.
         pub count: u32,
-        /// What a task takes of its host.
+        /// Resources that each task requests.
         pub size: Size,
-        /// A rough estimate of a task's run time, in milliseconds.
+        /// The caller's rough estimate of a task's run time, in milliseconds.
         pub estimate_ms: u64,
-        /// Earlier steps of which all tasks must be done first.
+        /// Indexes of earlier steps whose tasks must all be done before this step starts.
         pub after: Vec<u16>,
-        /// Whether its tasks save their progress now and then.
+        /// Whether tasks save checkpoints from which another run can resume.
         pub is_checkpointing: bool,
-        /// Whether its tasks work only together.
+        /// Whether the tasks need to run at the same time.
         pub gang: Gang,
-        /// A label that its workers must have.
+        /// A label that a worker must have to run the tasks.
         pub required_label: Option<String>,
-        /// The rack where its data is; slower by a factor on any other.
+        /// The rack that holds the input data; tasks are slower by a factor on any other rack.
         pub data_rack: Option<String>,
-        /// Most of its tasks on one worker.
+        /// Maximum number of the step's tasks on one worker.
         pub max_per_worker: Option<u32>,
-        /// Whether copies of a task may run side by side; the first to end counts.
+        /// Whether several runs of one task may execute at the same time; the first to end counts.
         pub is_speculative: bool,
-        /// Whether its tasks run until the job is cancelled.
+        /// Whether the tasks run until the job is cancelled.
         pub is_long_running: bool,
-        /// How many tasks of a long-running step may be away at once through the scheduler's doing.
+        /// Maximum number of tasks of a long-running step that the scheduler may have stopped at the same time.
         pub disruption_budget: Option<u32>,
-        /// What the tasks run; tasks of one image behave alike.
+        /// The image that the tasks run; tasks of one image are assumed to behave alike.
         pub image: Option<String>,
-        /// For tasks that serve users: the latency tail to stay under, in milliseconds.
+        /// Upper limit for the tail latency of tasks that serve users, in milliseconds.
         pub latency_target_ms: Option<u32>,
-        /// Whether its processors come out of what others leave unused.
+        /// Whether the tasks are best-effort: they use only CPU that other tasks leave idle.
         pub uses_leftover_cpu: bool,
     }
 
-    /// When a job's steps run.
+    /// Repeated execution of a job's steps.
     #[derive(Copy)]
     pub struct Schedule {
-        /// The first occurrence, in Unix milliseconds.
+        /// Time of the first occurrence, in Unix milliseconds.
         pub first_unix_ms: u64,
-        /// Time between two, in milliseconds.
+        /// Time between the starts of two occurrences, in milliseconds.
         pub interval_ms: u64,
-        /// How many.
+        /// Number of occurrences.
         pub times: u32,
     }
 
-    /// A job as submitted.
+    /// A validated job, as submitted.
     pub struct JobSpec {
-        /// Handed to each task as it is.
+        /// Passed unchanged to each task.
         pub payload: String,
-        /// The steps; a step names only earlier ones in [`Step::after`].
+        /// The steps; [`Step::after`] refers only to earlier ones.
         pub steps: Vec<Step>,
-        /// When they run; at once and once where there is none.
+        /// When the steps run; without a schedule they run once, as soon as possible.
         pub schedule: Option<Schedule>,
     }
 
-    /// A job as it comes in at an edge, not yet checked.
+    /// A job as received from a caller, not yet validated.
     #[derive(Default)]
     pub struct RawJob {
-        /// Handed to each task as it is.
+        /// Passed unchanged to each task.
         pub payload: String,
-        /// The steps.
+        /// The steps, identified by their index.
         pub steps: Vec<Step>,
-        /// When they run.
+        /// When the steps run; see [`JobSpec::schedule`].
         pub schedule: Option<Schedule>,
     }
 
-    /// What the catalogue says of a job's queue, as of the job's acceptance.
+    /// Settings of a job's queue, as the catalogue had them when the job was accepted.
     pub struct QueueTerms {
-        /// The queue's name.
+        /// Name of the queue.
         pub queue: String,
-        /// The pool of workers that runs its tasks.
+        /// The pool of workers that runs the queue's tasks.
         pub pool: String,
-        /// 0 goes first and may displace others.
+        /// Priority of the queue's jobs; 0 is the most urgent, and its tasks may displace those of others.
         pub priority: u32,
-        /// A task may fail this often, less one.
+        /// Number of failed runs of one task at which the job fails; 0 counts as 1.
         pub attempts: u32,
-        /// The objective is this many times the longest chain of work, in thousandths.
+        /// Factor in thousandths by which the longest chain of work is multiplied in [`Self::objective_ms`].
         pub stretch_milli: u64,
-        /// Added to the objective, in milliseconds.
+        /// Time that is added to the objective, in milliseconds.
         pub target_ms: u64,
-        /// Whether workers must be approved by the advisory service first.
+        /// Whether the advisory service must approve a worker before a task starts there.
         pub needs_approval: bool,
     }
 }
 
-/// Why a job can't be taken.
+/// Why a [`RawJob`] is not valid.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum InvalidJob {
-    /// No step, or too many.
+    /// The number of steps, which is 0 or above the maximum.
     Steps(usize),
-    /// A step without tasks, or with too many.
+    /// A step without tasks, or with more than the maximum.
     Tasks {
-        /// The step.
+        /// Index of the step.
         step: usize,
-        /// Its tasks.
+        /// Number of its tasks.
         count: u32,
     },
-    /// A step that comes after itself, a later one or one that isn't there.
+    /// A step that depends on itself, on a later step or on one that does not exist.
     After {
-        /// The step.
+        /// Index of the step.
         step: usize,
-        /// What it names.
+        /// The invalid index in [`Step::after`].
         names: u16,
     },
-    /// A payload beyond the bound, in bytes.
+    /// The length in bytes of a payload that is too long.
     Payload(usize),
 }
 
@@ -331,18 +331,18 @@
 }
 
 impl JobSpec {
-    /// How many times the steps run.
+    /// Number of times that the steps run.
     pub fn occurrences(&self) -> u32 {
         self.schedule.map_or(1, |schedule| schedule.times)
     }
 
-    /// When an occurrence is due, in Unix milliseconds; none without a schedule.
+    /// Scheduled time of an occurrence, in Unix milliseconds; none without a schedule.
     pub fn due_unix_ms(&self, occurrence: u32) -> Option<u64> {
         let schedule = self.schedule?;
         Some(schedule.first_unix_ms + u64::from(occurrence) * schedule.interval_ms)
     }
 
-    /// Estimated work on the longest chain that begins with each step, in milliseconds.
+    /// For each step, the estimated work on the longest chain that starts with it, in milliseconds.
     pub fn chains_ms(&self) -> Vec<u64> {
         chains_ms(self.steps.iter().map(|s| (s.estimate_ms, &s.after[..])))
     }
@@ -353,9 +353,9 @@
     }
 }
 
-/// Estimated work on the longest chain that begins with each step, in milliseconds. A step is given by its own
-/// estimate and the earlier steps that it comes after. Filled from the back, since a graph in which many steps
-/// join has more chains than can be counted.
+/// For each step, the estimated work on the longest chain that starts with it, in milliseconds. A step is given by its
+/// own estimate and the indexes of the steps that it depends on. Computed from the last step to the first, since the
+/// number of chains grows exponentially in graphs in which many steps join.
 pub fn chains_ms<'a>(
     steps: impl DoubleEndedIterator<Item = (u64, &'a [u16])> + ExactSizeIterator,
 ) -> Vec<u64> {
@@ -372,7 +372,7 @@
 }
 
 impl QueueTerms {
-    /// Time from submission within which a job of this chain is on time, in milliseconds.
+    /// Longest time from submission to completion, in milliseconds, at which a job with this longest chain is on time.
     pub fn objective_ms(&self, chain_ms: u64) -> u64 {
         chain_ms * self.stretch_milli / 1_000 + self.target_ms
     }
--- a/src/lapisdrum/sched/layout.rs
+++ b/src/lapisdrum/sched/layout.rs
@@ -1,13 +1,12 @@
-//! Which shard owns which racks, and which shard is a job's home.
+//! Assignment of racks and jobs to shards. The shard that a job is assigned to is its home.
 //!
-//! Load pattern: one owner carries some 500 starts a second on half a core; on 490 workers its passes over all
+//! Load pattern: one owner handles some 500 starts per second on half a core; with 490 workers its passes over all
 //! hosts alone took a third of its time, and each change of the owner stopped all work for two seconds. With
-//! several shards an owner has a part of the racks and a part of the jobs, and one that dies stops only
-//! these.
+//! several shards an owner has only some of the racks and jobs, and its failure stops only these.
 //!
-//! The layout is a row in the store. The first daemon of a deployment writes it, and from then on it only
-//! grows: a rack, once dealt, stays with its shard, so that no worker is ever claimed by two owners, and the
-//! number of shards never changes, so that a job's home can be told from its id anywhere.
+//! The layout is a row in the store. The first daemon of a deployment writes it, and from then on racks are only
+//! added: an assigned rack stays with its shard, so that no worker is ever claimed by two owners, and the number of
+//! shards never changes, so that every daemon derives the same home from a job's id.
 
 use super::{
     Cx,
@@ -18,37 +17,36 @@
 use indexmap::{IndexMap, IndexSet};
 use std::{rc::Rc, time::Duration};
 
-/// Table, part and key of the row.
 const LAYOUT_TABLE: &str = "layout";
 const LAYOUT_PART: &str = "layout";
 const LAYOUT_KEY: &str = "shards";
-/// Time between two looks at the workers before the first layout is written: as many of them as are there twice
-/// running are taken for all. Workers register within a third of a second of their start.
+/// Time between two reads of the workers before the first layout is written: they are assumed to be complete when
+/// two successive reads return the same number. Workers register within a third of a second of their start.
 const SETTLE: Duration = Duration::from_millis(600);
-/// Looks after which the layout is written however many workers there are.
+/// Number of reads after which the first layout is written even if the number of workers still changes.
 const MOST_LOOKS: usize = 5;
-/// Wait before the store is asked again.
+/// Delay before the layout is read again after a failure.
 const RETRY: Duration = Duration::from_millis(300);
 
 scalar! {
-    /// A shard by number, from 0.
+    /// Number of a shard, from 0.
     pub struct ShardId(pub u16);
 }
 
 data! {
-    /// Who owns what.
+    /// The layout, as stored.
     pub struct Layout {
-        /// How many shards there are; never changes.
+        /// Number of shards; never changes.
         pub shards: u16,
-        /// How many of the racks were dealt in the first layout; they are the first in [`Layout::racks`].
+        /// Number of racks in the first layout; they come first in [`Layout::racks`].
         pub founding: usize,
-        /// The shard of each rack that was dealt; a worker without a rack counts to the rack "".
+        /// The shard of each assigned rack; workers without a rack belong to the rack "".
         pub racks: IndexMap<String, ShardId>,
     }
 }
 
 impl ShardId {
-    /// The part of the store that the shard's rows are in.
+    /// The partition of the store that holds the shard's rows.
     pub fn part(self) -> String {
         format!("shard-{}", self.0)
     }
@@ -59,9 +57,9 @@
 }
 
 impl Layout {
-    /// A layout for these workers with at most so many in a shard. Each pool needs a rack in every shard, or
-    /// jobs would be at home where nothing can run them; so there are no more shards than the smallest pool
-    /// has racks.
+    /// Creates the first layout, with enough shards for `workers_a_shard` workers each. Each pool needs a rack in
+    /// every shard, as otherwise jobs could have a home without any worker for them; so there are no more shards than
+    /// the pool with the fewest racks has racks.
     pub fn first(workers: &[WorkerReport], workers_a_shard: usize) -> Self {
         let wanted = workers.len().div_ceil(workers_a_shard.max(1));
         let mut pools: IndexMap<&str, IndexSet<&str>> = IndexMap::new();
@@ -82,8 +80,8 @@
         layout
     }
 
-    /// Deals racks that have no shard yet, each to the shard with the fewest workers of its pool; true when
-    /// there were any.
+    /// Assigns each rack without a shard to the shard with the fewest workers of its pool. Returns whether there
+    /// were any.
     pub fn deal(&mut self, workers: &[WorkerReport]) -> bool {
         let mut racks: IndexMap<(&str, &str), usize> = IndexMap::new();
         for worker in workers {
@@ -112,26 +110,26 @@
         is_changed
     }
 
-    /// Every shard.
+    /// All shards, in ascending order.
     pub fn all(&self) -> impl Iterator<Item = ShardId> + use<> {
         (0..self.shards).map(ShardId)
     }
 
-    /// The shard that owns a worker; none while its rack isn't dealt.
+    /// The shard that owns a worker; none while its rack is not assigned.
     pub fn owner_of(&self, worker: &WorkerReport) -> Option<ShardId> {
         self.racks.get(rack_of(worker)).copied()
     }
 
-    /// The home that a job's id tells.
+    /// The home of a job by its id alone.
     pub fn home_by_id(&self, job: JobId) -> ShardId {
-        // Callers may count their ids up, so neighbours must not gather in one shard.
+        // Hashed, since callers may use sequential ids and close ids must not all map to one shard.
         let mixed = xxhash_rust::xxh3::xxh3_64(&job.0.to_be_bytes());
         ShardId((mixed % u64::from(self.shards.max(1))) as u16)
     }
 
-    /// The home of a job that is submitted: near its data, where it has any. Only racks of the first layout
-    /// count: two daemons may know different later ones, and a repeat of the same submission would find another
-    /// home and run a second time.
+    /// The home of a submitted job: the shard of the first of its data racks, or else by its id. Only racks of the
+    /// first layout count: daemons may differ in the later racks that they know, and a repeated submission would get
+    /// another home and run a second time.
     pub fn home(&self, job: JobId, spec: &JobSpec) -> ShardId {
         let mut racks = spec
             .steps
@@ -146,7 +144,7 @@
         (at < self.founding).then_some(*shard)
     }
 
-    /// Where a job may be, the likeliest shard first.
+    /// All shards that may have a job, the likeliest first.
     pub fn homes(&self, job: JobId) -> Vec<ShardId> {
         let first = self.home_by_id(job);
         let others = self.all().filter(|shard| *shard != first);
@@ -172,7 +170,7 @@
     Ok(Some((layout, row.version)))
 }
 
-/// Writes a layout in place of the one with this version, 0 for none; the loser of a race reads the winner's.
+/// Replaces the layout of this version, 0 for none. When two daemons race, the loser reads the winner's layout.
 async fn write(cx: &Cx, layout: &Layout, version: u64) -> eyre::Result<()> {
     let txn = Txn {
         expect: vec![(key(), version)],
@@ -185,7 +183,7 @@
     Ok(())
 }
 
-/// Reads the layout, and writes the first one of a deployment. Returns once it is known.
+/// Reads the layout, or writes the first one of a deployment. Retries until the layout is known.
 pub async fn learn(cx: &Cx) {
     while cx.layout.borrow().is_none() {
         let known = match read(cx).await {
@@ -226,8 +224,8 @@
     }
 }
 
-/// Has racks dealt that the layout doesn't name; `may_deal` says whether it is this process's turn, the owner of
-/// the first shard's. The others read what it wrote.
+/// Assigns racks that the layout doesn't contain. Only the owner of the first shard may do so (`may_deal`); other
+/// processes read the layout that it wrote.
 pub async fn extend(cx: &Cx, workers: &[WorkerReport], may_deal: bool) {
     let is_known = |layout: &Layout| workers.iter().all(|w| layout.owner_of(w).is_some());
     if cx.layout.borrow().as_deref().is_none_or(is_known) {
@@ -247,7 +245,7 @@
         return Ok(());
     }
     write(cx, &layout, version).await?;
-    // Only what is in the row counts: the write may have lost to another's.
+    // Read back, since another daemon's write may have won.
     if let Some((layout, _)) = read(cx).await? {
         adopt(cx, layout);
     }
--- a/src/lapisdrum/sched/mod.rs
+++ b/src/lapisdrum/sched/mod.rs
@@ -1,12 +1,13 @@
-//! The scheduler of job graphs: one process on every entry host, all alike.
+//! The scheduler of job graphs. Every entry host runs one process of it; all processes have the same role.
 //!
-//! Every process takes callers' jobs. Racks and jobs are divided over shards ([`layout`]); the *owner* of a shard
-//! remembers its jobs, places their tasks and keeps its workers' leases. Ownership is a lease in the store that
-//! any process may take over ([`lease`]). What the owner remembers is a journal there ([`journal`], [`ledger`]).
+//! Every process accepts jobs from callers. Racks and jobs are partitioned into shards ([`layout`]); the *owner* of a
+//! shard keeps its jobs, places their tasks and renews the leases of its workers. Ownership is a lease in the store
+//! that any process may take over ([`lease`]). The owner persists its state as a journal in the store
+//! ([`journal`], [`ledger`]).
 //!
-//! [`job`], [`event`], [`ledger`] and [`settle`] are pure, as is [`crate::policy::dispatch`]. [`owner`]
-//! drives them, [`front`] forwards callers' requests to the shard's leaseholder ([`peer`]), and [`edge`] is the
-//! interface to store, workers and directory. Everything runs on one thread; state is never borrowed across an `await`.
+//! [`job`], [`event`], [`ledger`] and [`settle`] do no I/O, nor does [`crate::policy::dispatch`]. [`owner`] drives
+//! them, [`front`] forwards callers' requests to the shard's leaseholder ([`peer`]), and [`edge`] is the interface to
+//! store, workers and directory. Everything runs on one thread; state is never borrowed across an `await`.
 
 pub mod edge;
 pub mod evacuation;
@@ -44,88 +45,88 @@
 };
 use tokio::sync::watch;
 
-/// The context that is handed to every part of the process.
+/// Shared context, passed to every component of the process.
 pub type Cx = Rc<Node>;
 
-/// Settings of the process.
+/// Settings of one process.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NodeSettings {
-    /// The process's name.
+    /// Name of the process in leases and logs.
     pub name: String,
-    /// Its data centre.
+    /// The data centre that the process runs in.
     pub data_centre: String,
-    /// Where other processes reach it.
+    /// Address on which other processes connect to this one.
     pub peers: SocketAddr,
-    /// Where some other processes are, or were.
+    /// Initial addresses of other processes; some may be out of date.
     pub seeds: Vec<SocketAddr>,
-    /// Most workers of a shard when a deployment starts for the first time.
+    /// Desired maximum of workers per shard in the layout that is written at a deployment's first start.
     pub workers_a_shard: usize,
-    /// What workers' leases are bounded by.
+    /// Limits on the leases of workers.
     pub leases: LeaseLimits,
-    /// What holds for stops, restores and tails.
+    /// Durations of stops and restores, and how long a task may exceed its latency target.
     pub work: Terms,
-    /// How long after its acknowledgement an evacuation must be in force.
+    /// Longest time from the acknowledgement of an evacuation until it must be in force.
     pub evacuated_within: Duration,
-    /// The part of a core that the process has.
+    /// CPU available to the process, in cores; may be a fraction.
     pub cpu_share: f64,
-    /// How long a job that is over is remembered.
+    /// How long an ended job is kept.
     pub retention: Duration,
-    /// Time in which a graceful end must be over.
+    /// Longest time that a graceful shutdown may take.
     pub drain: Duration,
 }
 
-/// What a process knows of one shard.
+/// State of one shard as this process knows it.
 pub struct ShardHandle {
-    /// The shard.
+    /// Number of the shard.
     pub shard: ShardId,
-    /// The part of the store that its rows are in.
+    /// The partition of the store that holds the shard's rows.
     pub part: String,
-    /// Who owns it, as last read.
+    /// The ownership lease, as last read from the store.
     pub lease: RefCell<LeaseView>,
-    /// The address of an owner that left a call unanswered, and when.
+    /// Address of the owner that last left a call unanswered, and when it did.
     pub silent_owner: RefCell<Option<(String, Millis)>>,
-    /// Its owner, while that is this process.
+    /// The shard's owner, set while this process holds the lease.
     pub owner: RefCell<Option<Rc<Owner>>>,
 }
 
-/// What the parts of a process share.
+/// State shared by the components of a process.
 pub struct Node {
-    /// Its settings.
+    /// Settings of this process.
     pub cfg: NodeSettings,
-    /// This run of it.
+    /// Identity of this incarnation of the process, as written into leases.
     pub me: Holder,
-    /// The runtime's clock.
+    /// Monotonic clock, started with the process.
     pub clock: Clock,
-    /// The store.
+    /// The transactional store.
     pub store: Rc<dyn Store>,
-    /// The workers.
+    /// Client for calls to workers.
     pub workers: Rc<dyn Workers>,
-    /// Names workers and queues.
+    /// Lists registered workers and the queues of the catalogue.
     pub directory: Rc<dyn Directory>,
-    /// Other processes.
+    /// Client for calls to other processes.
     pub peers: peer::Peers,
-    /// Whether the store and other processes answer.
+    /// Reachability of the store and of other processes.
     pub reach: reach::Reach,
-    /// Counters and histograms.
+    /// Counters and histograms of this process.
     pub metrics: metrics::Metrics,
-    /// The catalogue in force here; none before the first was read.
+    /// The catalogue in force in this process; none before the first read.
     pub catalogue: RefCell<Option<Rc<Catalogue>>>,
-    /// Which data centres are evacuated.
+    /// Evacuated data centres.
     pub evacuations: RefCell<evacuation::Evacuations>,
-    /// Which shard owns what; none before it was first read.
+    /// Assignment of racks and jobs to shards; none before the first read.
     pub layout: RefCell<Option<Rc<Layout>>>,
-    /// What is known of each shard, by its number.
+    /// Created on first use of a shard; see [`Self::handle`].
     handles: RefCell<IndexMap<ShardId, Rc<ShardHandle>>>,
-    /// Whether the store answered last.
+    /// Whether the last store call succeeded; rate-limited calls are not counted.
     pub store_up: Cell<bool>,
-    /// The pace of reads that can wait.
+    /// Slows down reads that are not urgent while the store limits the rate of calls.
     pub read_pace: Cell<Pace>,
-    /// Turns true when the process is to end.
+    /// Set to true when the process shall shut down.
     pub draining: watch::Sender<bool>,
 }
 
 impl Node {
-    /// A process with no task running yet.
+    /// Creates the context under a random incarnation; no async task is spawned yet.
     pub fn new(
         cfg: NodeSettings,
         store: Rc<dyn Store>,
@@ -157,7 +158,7 @@
         })
     }
 
-    /// What is known of a shard.
+    /// The handle of a shard, created on first use.
     pub fn handle(&self, shard: ShardId) -> Rc<ShardHandle> {
         let mut handles = self.handles.borrow_mut();
         let handle = handles.entry(shard).or_insert_with(|| {
@@ -172,7 +173,7 @@
         Rc::clone(handle)
     }
 
-    /// The owners that this process is.
+    /// The owners of all shards that this process owns at present.
     pub fn owners(&self) -> Vec<Rc<Owner>> {
         let handles = self.handles.borrow();
         let owners = handles
@@ -181,26 +182,26 @@
         owners.collect()
     }
 
-    /// Whether tasks may be started in a data centre.
+    /// Whether tasks may be started in a data centre: it is not evacuated, by information that is fresh enough.
     pub fn allows_starts_in(&self, data_centre: &str) -> bool {
         let (bound, transit) = (self.cfg.evacuated_within, self.cfg.leases.transit);
         let evacuations = self.evacuations.borrow();
         evacuations.allows_starts(data_centre, self.clock.now(), bound, transit)
     }
 
-    /// Whether the process has been told to end.
+    /// Whether the process is shutting down.
     pub fn is_draining(&self) -> bool {
         *self.draining.borrow()
     }
 
-    /// The time of day, in Unix milliseconds. Only for what is told to callers or due by the clock on
-    /// the wall; nothing is measured with it.
+    /// Wall-clock time, in Unix milliseconds. Only for times that are reported to callers or scheduled by
+    /// wall-clock time; durations are measured with [`Self::clock`].
     pub fn unix_ms(&self) -> u64 {
         let since = SystemTime::now().duration_since(UNIX_EPOCH);
         since.map_or(0, |since| since.as_millis() as u64)
     }
 
-    /// Notes whether the store answered; a change is a line in the log.
+    /// Records the result of a store call, and logs when the store becomes unavailable or available again.
     pub fn note_store(&self, answered: Result<(), &CallError>) {
         self.note_read_pace(answered);
         match answered {
--- a/src/lapisdrum/sched/operators.rs
+++ b/src/lapisdrum/sched/operators.rs
@@ -1,7 +1,7 @@
-//! Follows what operators ask for: the catalogue, and which data centres are evacuated.
+//! Polls the directory for operators' changes: the catalogue, and which data centres are evacuated.
 //!
-//! Every daemon polls for itself, so that a change is in force everywhere without a call between daemons, and a
-//! daemon that takes a shard over already knows it.
+//! Every daemon polls by itself, so that a change takes effect everywhere without calls between daemons, and a daemon
+//! that takes over a shard already has it.
 
 use super::{
     Cx,
@@ -11,7 +11,7 @@
 use crate::{core::time::Millis, policy::polling};
 use std::{rc::Rc, time::Duration};
 
-/// Time between two reads: a change is in force within half of the bound of 2 s, with one read lost.
+/// Interval of the reads: a change is in force within half of the bound of 2 s, with one read lost.
 const POLL: Duration = Duration::from_millis(600);
 
 /// Polls until the process ends.
@@ -45,7 +45,7 @@
     }
 }
 
-/// Adopts a catalogue that was read; an older one, in an answer that was overtaken, is passed over.
+/// Adopts a catalogue unless its version is known already or older: answers may arrive out of order.
 fn adopt_catalogue(cx: &Cx, read: Catalogue) {
     let before = cx.catalogue.borrow().as_ref().map(|known| known.version);
     if before.is_some_and(|before| read.version <= before) {
--- a/src/lapisdrum/sched/process.rs
+++ b/src/lapisdrum/sched/process.rs
@@ -1,4 +1,4 @@
-//! The process: starts its parts, and ends them gracefully.
+//! Start and graceful shutdown of the process.
 
 use super::{Cx, lease, operators, peer, reach};
 use crate::daemon::supervisor;
@@ -6,10 +6,10 @@
 use eyre::WrapErr as _;
 use std::{rc::Rc, time::Duration};
 
-/// Time for the lease to be given up, enough for a store that is slow; with the store away it lapses instead.
+/// Timeout for the release of a lease, long enough for a slow store; while the store is unavailable, the lease lapses.
 const RELEASE_TIMEOUT: Duration = Duration::from_millis(2_000);
 
-/// Starts everything but the edge to callers.
+/// Starts all components except the interface to callers. Fails if the address for other processes can't be bound.
 pub async fn start(cx: &Cx) -> eyre::Result<()> {
     let address = cx.cfg.peers;
     let listener = TcpListener::bind(address).await;
@@ -20,13 +20,13 @@
     supervisor::spawn("reach", reach::follow(Rc::clone(cx)));
     let leasing = Rc::clone(cx);
     supervisor::spawn("lease-watch", async move {
-        // It goes on until the process ends.
+        // Runs until the process ends.
         let _ = lease::run(leasing).await;
     });
     Ok(())
 }
 
-/// Gives its shards up, after the last caller was answered.
+/// Releases all shards of this process. Called in a shutdown, after the last caller was answered.
 pub async fn give_up(cx: &Cx) {
     let owners = cx.owners().into_iter().map(async |owner| {
         let released = lease::release(cx, &owner);
--- a/src/lapisdrum/sched/reach.rs
+++ b/src/lapisdrum/sched/reach.rs
@@ -1,13 +1,13 @@
-//! Whether this process reaches anybody who could serve a caller: the store, or daemons of other data centres.
+//! Detects network isolation: whether this process reaches the store or daemons of other data centres.
 //!
-//! Failure: a data centre is cut off from all the others, and callers still reach its entry hosts. No submission can
-//! be made durable there, yet the balancer goes on sending callers to it, and each waits in vain for an owner
-//! that can't be asked. A process that finds itself alone says that it is not ready, so that the balancer
-//! uses the entry hosts of other data centres, and refuses at once meanwhile.
+//! Failure: a data centre is cut off from all the others, while callers still reach its entry hosts. No submission can
+//! be made durable there, but the load balancer continues to send callers to it, and each waits for an owner that is
+//! unreachable. An isolated process reports that it is not ready, so that the load balancer uses the entry hosts of
+//! other data centres, and until then it refuses requests at once.
 //!
-//! A store that is away for everybody is no reason: other daemons answer then, and all would leave the balancer
-//! together. So it takes both, a silent store and silent daemons of every other data centre; a process that knows of
-//! no such daemon never takes itself for isolated.
+//! A store that is unavailable to all daemons is no isolation: all of them would be removed from the load balancer
+//! together. So a process is isolated only if neither the store nor any daemon of another data centre answers; one that
+//! has never reached such a daemon doesn't regard itself as isolated.
 
 use super::{Cx, layout::ShardId, lease::Holder};
 use crate::core::time::Millis;
@@ -17,38 +17,38 @@
     time::Duration,
 };
 
-/// Time between two looks: the balancer asks once a second and needs two misses, so a cut of six seconds leaves
-/// some three in which callers are served elsewhere.
+/// Interval of the checks. The load balancer probes once per second and acts after two failures, so in a network
+/// partition of 6 s callers are served by other data centres for some 3 s.
 const EVERY: Duration = Duration::from_millis(250);
-/// A store or daemon that answered nothing for this long is silent: two looks at a lease, or the answer of a
-/// store that is sixty times slower than usual and a look.
+/// Time without an answer after which the store or the daemons count as unreachable: two polls of a lease, or one poll
+/// and the answer of a store that is 60 times slower than usual.
 const SILENT_AFTER: Duration = Duration::from_millis(800);
-/// Longest wait for a daemon's answer: many round trips between data centres.
+/// Timeout of a call to a daemon: many round trips between data centres.
 const ASK_TIMEOUT: Duration = Duration::from_millis(250);
-/// Time between two rounds in which the daemons' data centres are asked for while nothing is wrong: a cut is judged
-/// by who answered before.
+/// Interval at which all daemons are called while the store answers: only daemons that answered before count in the
+/// detection of isolation.
 const LEARN_EVERY: Duration = Duration::from_secs(5);
-/// The same until a first one of another data centre has answered.
+/// The same interval until a daemon of another data centre has answered for the first time.
 const LEARN_FIRST: Duration = Duration::from_secs(1);
 
-/// What was last heard of others.
+/// Last answers of the store and of other daemons.
 #[derive(Default)]
 pub struct Reach {
     store_heard_at: Cell<Millis>,
     others_heard_at: Cell<Option<Millis>>,
-    /// Data centres of daemons by their address.
+    /// Data centres of the daemons that have answered, by the daemons' addresses.
     known: RefCell<IndexMap<String, String>>,
     is_isolated: Cell<bool>,
 }
 
 impl Reach {
-    /// Notes an answer of the store.
+    /// Records an answer of the store, which ends an isolation.
     pub fn note_store(&self, now: Millis) {
         self.store_heard_at.set(now);
         self.is_isolated.set(false);
     }
 
-    /// Notes an answer of a daemon at this address in this data centre.
+    /// Records an answer of the daemon at `address`; `own` is the data centre of this process.
     pub fn note_daemon(&self, own: &str, address: &str, data_centre: &str, now: Millis) {
         let mut known = self.known.borrow_mut();
         known.insert(address.to_owned(), data_centre.to_owned());
@@ -57,25 +57,25 @@
         }
     }
 
-    /// Whether the store has been silent for long.
+    /// Whether the store has not answered for [`SILENT_AFTER`].
     fn is_store_silent(&self, now: Millis) -> bool {
         now.since(self.store_heard_at.get()) >= SILENT_AFTER
     }
 
-    /// Whether nobody outside the own data centre has answered for long, though somebody did before.
+    /// Whether neither the store nor another data centre has answered for [`SILENT_AFTER`], though one did before.
     fn judge(&self, now: Millis) -> bool {
         let others = self.others_heard_at.get();
         let are_silent = others.is_some_and(|at| now.since(at) >= SILENT_AFTER);
         self.is_store_silent(now) && are_silent
     }
 
-    /// Whether the process can serve no caller, since it reaches nobody.
+    /// Whether the process can serve no caller, by the last check.
     pub fn is_isolated(&self) -> bool {
         self.is_isolated.get()
     }
 }
 
-/// Follows who is reached until the process ends.
+/// Checks for isolation until the process ends.
 pub async fn follow(cx: Cx) {
     let mut learned_at: Option<Millis> = None;
     loop {
@@ -110,7 +110,7 @@
     }
 }
 
-/// Addresses at which daemons are, or were: those of the settings, owners of shards, and those that answered before.
+/// Addresses of other daemons, some perhaps out of date: seeds, owners of shards, and daemons that answered before.
 fn addresses(cx: &Cx) -> IndexSet<String> {
     let mut all: IndexSet<String> = cx.cfg.seeds.iter().map(ToString::to_string).collect();
     let shards = cx.layout.borrow().as_ref().map(|layout| layout.all());
--- a/src/lapisdrum/sched/shape.rs
+++ b/src/lapisdrum/sched/shape.rs
@@ -1,32 +1,32 @@
-//! A job's steps in one short text, for log lines.
+//! Compact text format of a job's steps, for log lines.
 //!
-//! A line that names every field of every step would be some kilobytes a job. What an account of a job's time
-//! needs is how many tasks a step has, how long each was said to take, whether they last, and which steps come
-//! before: `8x2700 4x900@0,1 6x500+` is a step of 8 tasks of 2.7 s, one of 4 tasks after the steps 0 and
-//! 1, and one of 6 tasks that run until the job is cancelled.
+//! All fields of all steps would take some kilobytes per job. The analysis of a job's time needs only the number of
+//! tasks of each step, their estimated run time, whether they are long-running, and which steps they depend on:
+//! `8x2700 4x900@0,1 6x500+` is a step of 8 tasks of 2.7 s, one of 4 tasks of 0.9 s after the steps 0 and 1, and one of
+//! 6 tasks that run until the job is cancelled.
 
 use super::job::{JobSpec, Step, chains_ms};
 use std::{fmt, str::FromStr};
 
-/// What a log line says of one step.
+/// The fields of a step that are logged.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct StepShape {
-    /// How many tasks.
+    /// Number of tasks.
     pub count: u32,
-    /// A rough estimate of a task's run time, in milliseconds.
+    /// The caller's rough estimate of a task's run time, in milliseconds.
     pub estimate_ms: u64,
-    /// Whether its tasks run until the job is cancelled.
+    /// Whether the tasks run until the job is cancelled.
     pub is_long_running: bool,
-    /// Earlier steps of which all tasks must be done first.
+    /// Indexes of earlier steps whose tasks must all be done before this step starts.
     pub after: Vec<u16>,
 }
 
-/// What a log line says of a job's steps.
+/// The steps of a job, in the order of [`JobSpec::steps`].
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Shape(pub Vec<StepShape>);
 
 impl Shape {
-    /// Estimated work on the longest chain, in milliseconds.
+    /// Estimated work on the longest chain of steps, in milliseconds.
     pub fn longest_chain_ms(&self) -> u64 {
         let steps = self.0.iter().map(|s| (s.estimate_ms, &s.after[..]));
         chains_ms(steps).into_iter().max().unwrap_or_default()
@@ -76,7 +76,7 @@
     }
 }
 
-/// Text that is no shape.
+/// Text that can't be parsed as a [`Shape`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct InvalidShape;
 
