--- a/src/lapisdrum/sched/evacuation.rs
+++ b/src/lapisdrum/sched/evacuation.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 /// Lower limit of the maximum age of a read: several polls, so that one failed read stops no starts.
-const LEAST_MAX_AGE: Duration = Duration::from_millis(2_000);
+const MIN_READ_AGE_LIMIT: Duration = Duration::from_millis(2_000);
 
 /// Evacuation of one data centre.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -49,18 +49,18 @@
 pub struct Evacuations {
     by_data_centre: IndexMap<String, Evacuation>,
     /// When the last successful read was sent.
-    asked_at: Option<Millis>,
+    read_sent_at: Option<Millis>,
 }
 
 impl Evacuations {
-    /// Records the versions of the requests by data centre, as read by a call sent at `asked_at`; returns the changes.
+    /// Records the versions of the requests by data centre, as read by a call sent at `read_sent_at`; returns the changes.
     pub fn note(
         &mut self,
         read: &IndexMap<String, u64>,
-        asked_at: Millis,
+        read_sent_at: Millis,
         now: Millis,
     ) -> Vec<Change> {
-        self.asked_at = Some(asked_at);
+        self.read_sent_at = Some(read_sent_at);
         let mut changes = Vec::new();
         self.by_data_centre.retain(|data_centre, evacuation| {
             let stays = read.contains_key(data_centre);
@@ -86,7 +86,7 @@
             changes.push(Change::Evacuated {
                 data_centre: data_centre.clone(),
                 version: *version,
-                read_took: now.since(asked_at),
+                read_took: now.since(read_sent_at),
             });
         }
         changes
@@ -101,8 +101,8 @@
         bound: Duration,
         transit: Duration,
     ) -> bool {
-        let max_age = bound.saturating_sub(transit).max(LEAST_MAX_AGE);
-        let is_fresh = self.asked_at.is_some_and(|at| now.since(at) < max_age);
+        let max_age = bound.saturating_sub(transit).max(MIN_READ_AGE_LIMIT);
+        let is_fresh = self.read_sent_at.is_some_and(|at| now.since(at) < max_age);
         is_fresh && !self.is_evacuated(data_centre)
     }
 
--- a/src/lapisdrum/sched/front.rs
+++ b/src/lapisdrum/sched/front.rs
@@ -21,10 +21,10 @@
 /// Timeout of a call to the owner. The owner's timeout for the store is a little shorter, so that it can answer.
 const OWNER_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// Longest wait for a submission that the owner reports as in flight; below the callers' timeout of 3 s.
-const UNDER_WAY_LIMIT: Duration = Duration::from_millis(2_500);
+const IN_FLIGHT_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// Time during which an owner that left a call unanswered is not called again, unless another takes over:
 /// callers are refused at once instead of timing out for the seconds until its lease lapses.
-const OWNER_REST: Duration = Duration::from_millis(700);
+const OWNER_BACKOFF: Duration = Duration::from_millis(700);
 /// Retry delay for callers while a shard has no reachable owner: a take-over takes 0.3 s after a requested shutdown
 /// and 1 to 2 s after a failure.
 const NO_OWNER_RETRY: Duration = Duration::from_secs(1);
@@ -32,9 +32,9 @@
 /// can't be read after a restart.
 const NO_LAYOUT_RETRY: Duration = Duration::from_secs(1);
 /// Delay before the lease is read again after a call that did not reach the owner.
-const ASK_AGAIN_WAIT: Duration = Duration::from_millis(60);
+const RETRY_DELAY: Duration = Duration::from_millis(60);
 /// Maximum number of calls to owners for one request.
-const TRIES: usize = 2;
+const MAX_CALLS: usize = 2;
 
 /// Outcome of a caller's request.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -55,13 +55,13 @@
     host: &str,
     path: &str,
 ) -> Option<&'a Queue> {
-    let fitting = queues.filter(|q| q.host == host && path.starts_with(&q.path_prefix));
-    fitting.min_by_key(|queue| Reverse(queue.path_prefix.len()))
+    let matching = queues.filter(|q| q.host == host && path.starts_with(&q.path_prefix));
+    matching.min_by_key(|queue| Reverse(queue.path_prefix.len()))
 }
 
 /// Submits a job to the owner of its home shard, and to another shard if the owner sends it there.
 pub async fn submit(cx: &Cx, queue: &Queue, job: JobId, spec: JobSpec) -> Outcome<()> {
-    let began = cx.clock.now();
+    let started_at = cx.clock.now();
     let Some(layout) = cx.layout.borrow().clone() else {
         return Outcome::Refused(NO_LAYOUT_RETRY);
     };
@@ -72,43 +72,48 @@
         terms: queue.terms.clone(),
         is_sent,
     };
-    let (mut is_sent, mut was_under_way) = (false, false);
+    let (mut is_sent, mut was_in_flight) = (false, false);
     let asked = loop {
         let asked = ask_owner(cx, &handle, ask(is_sent)).await;
-        let is_time_left = cx.clock.now().since(began) + OWNER_TIMEOUT <= UNDER_WAY_LIMIT;
+        let is_time_left = cx.clock.now().since(started_at) + OWNER_TIMEOUT <= IN_FLIGHT_TIMEOUT;
         match &asked {
-            Asked::Answer(Answer::Submitted(SubmitReply::Elsewhere(to))) if !is_sent => {
+            OwnerCall::Answered(Answer::Submitted(SubmitReply::Elsewhere(to))) if !is_sent => {
                 handle = cx.handle(*to);
                 is_sent = true;
             }
-            Asked::Answer(Answer::Submitted(SubmitReply::UnderWay)) if is_time_left => {
-                was_under_way = true;
+            OwnerCall::Answered(Answer::Submitted(SubmitReply::UnderWay)) if is_time_left => {
+                was_in_flight = true;
             }
             _ => break asked,
         }
     };
     let outcome = match asked {
-        Asked::Answer(Answer::Submitted(SubmitReply::Accepted)) => Outcome::Done(()),
+        OwnerCall::Answered(Answer::Submitted(SubmitReply::Accepted)) => Outcome::Done(()),
         // The job may have been accepted in the meantime, whatever the last answer was; a refusal could be wrong.
-        _ if was_under_way => Outcome::Unknown,
-        Asked::Answer(Answer::Submitted(SubmitReply::Busy(wait))) => Outcome::Refused(wait),
-        Asked::Nobody => Outcome::Refused(NO_OWNER_RETRY),
-        Asked::Answer(_) | Asked::Silence => Outcome::Unknown,
+        _ if was_in_flight => Outcome::Unknown,
+        OwnerCall::Answered(Answer::Submitted(SubmitReply::Busy(wait))) => Outcome::Refused(wait),
+        OwnerCall::NotReached => Outcome::Refused(NO_OWNER_RETRY),
+        OwnerCall::Answered(_) | OwnerCall::Unanswered => Outcome::Unknown,
     };
     cx.metrics.note_submit(&queue.terms.queue, &outcome);
-    let (owner, owner_seen_ms) = owner_believed(cx, &handle);
-    let (data_centre, took_ms) = (&cx.cfg.data_centre, millis(cx.clock.now().since(began)));
+    let (owner, owner_seen_ms) = last_known_owner(cx, &handle);
+    let (data_centre, took_ms) = (
+        &cx.cfg.data_centre,
+        millis(cx.clock.now().since(started_at)),
+    );
     log::info!(job:% = job, queue:% = queue.terms.queue, data_centre:%, outcome:? = outcome, took_ms, shard:% = handle.part, owner:% = owner, owner_seen_ms, store_up = cx.store_up.get(); "job submitted");
     outcome
 }
 
 /// Reads the state of a job.
 pub async fn show(cx: &Cx, job: JobId) -> Outcome<JobState> {
-    at_home(cx, job, async |handle| {
+    ask_home_shards(cx, job, async |handle| {
         match ask_owner(cx, &handle, Ask::Show(job)).await {
-            Asked::Answer(Answer::Shown(ShowReply::State(state))) => Outcome::Done(state),
-            Asked::Answer(Answer::Shown(ShowReply::Unknown)) => Outcome::NoSuchJob,
-            Asked::Nobody | Asked::Silence | Asked::Answer(_) => Outcome::Refused(NO_OWNER_RETRY),
+            OwnerCall::Answered(Answer::Shown(ShowReply::State(state))) => Outcome::Done(state),
+            OwnerCall::Answered(Answer::Shown(ShowReply::Unknown)) => Outcome::NoSuchJob,
+            OwnerCall::NotReached | OwnerCall::Unanswered | OwnerCall::Answered(_) => {
+                Outcome::Refused(NO_OWNER_RETRY)
+            }
         }
     })
     .await
@@ -116,24 +121,24 @@
 
 /// Cancels a job in the shard that has it.
 pub async fn cancel(cx: &Cx, job: JobId) -> Outcome<()> {
-    at_home(cx, job, async |handle| cancel_at(cx, &handle, job).await).await
+    ask_home_shards(cx, job, async |handle| cancel_in(cx, &handle, job).await).await
 }
 
-async fn cancel_at(cx: &Cx, handle: &Rc<ShardHandle>, job: JobId) -> Outcome<()> {
+async fn cancel_in(cx: &Cx, handle: &Rc<ShardHandle>, job: JobId) -> Outcome<()> {
     let outcome = match ask_owner(cx, handle, Ask::Cancel(job)).await {
-        Asked::Answer(Answer::Cancelled(CancelReply::Done)) => Outcome::Done(()),
-        Asked::Answer(Answer::Cancelled(CancelReply::UnknownJob)) => Outcome::NoSuchJob,
-        Asked::Nobody => Outcome::Refused(NO_OWNER_RETRY),
-        Asked::Silence | Asked::Answer(_) => Outcome::Unknown,
+        OwnerCall::Answered(Answer::Cancelled(CancelReply::Done)) => Outcome::Done(()),
+        OwnerCall::Answered(Answer::Cancelled(CancelReply::UnknownJob)) => Outcome::NoSuchJob,
+        OwnerCall::NotReached => Outcome::Refused(NO_OWNER_RETRY),
+        OwnerCall::Unanswered | OwnerCall::Answered(_) => Outcome::Unknown,
     };
-    let (owner, owner_seen_ms) = owner_believed(cx, handle);
+    let (owner, owner_seen_ms) = last_known_owner(cx, handle);
     log::info!(job:% = job, outcome:? = outcome, shard:% = handle.part, owner:% = owner, owner_seen_ms, store_up = cx.store_up.get(); "cancel asked for");
     outcome
 }
 
 /// Calls `ask` for the shards that may have a job, the likeliest first. The job is unknown only if all of them
 /// report so: the home of a job with data on a rack follows from that rack, not from the job's id.
-async fn at_home<T>(
+async fn ask_home_shards<T>(
     cx: &Cx,
     job: JobId,
     ask: impl AsyncFn(Rc<ShardHandle>) -> Outcome<T>,
@@ -166,7 +171,7 @@
     let mut sum = 0;
     for asked in futures::future::join_all(counts).await {
         match asked {
-            Asked::Answer(Answer::Pending(Some(count))) => sum += count,
+            OwnerCall::Answered(Answer::Pending(Some(count))) => sum += count,
             _ => return Outcome::Refused(NO_OWNER_RETRY),
         }
     }
@@ -176,7 +181,7 @@
 /// Share of a shard's capacity taken by long-running tasks, in thousandths; none without an answer from its owner.
 pub async fn load_of(cx: &Cx, handle: &Rc<ShardHandle>) -> Option<u32> {
     match ask_owner(cx, handle, Ask::Load).await {
-        Asked::Answer(Answer::Load(load)) => load,
+        OwnerCall::Answered(Answer::Load(load)) => load,
         _ => None,
     }
 }
@@ -188,7 +193,7 @@
     upto: Option<HeardUpto>,
 ) -> Option<Told> {
     match ask_owner(cx, handle, Ask::Learned(upto)).await {
-        Asked::Answer(Answer::Learned(told)) => told,
+        OwnerCall::Answered(Answer::Learned(told)) => told,
         _ => None,
     }
 }
@@ -201,7 +206,7 @@
     wanted: u32,
 ) -> Option<u32> {
     match ask_owner(cx, handle, Ask::Room(need.clone(), wanted)).await {
-        Asked::Answer(Answer::Room(offer)) => offer,
+        OwnerCall::Answered(Answer::Room(offer)) => offer,
         _ => None,
     }
 }
@@ -209,11 +214,14 @@
 /// Delegates tasks of another shard's job to a shard; true once the shard has made them durable.
 pub async fn adopt(cx: &Cx, handle: &Rc<ShardHandle>, tasks: GuestTasks) -> bool {
     let asked = ask_owner(cx, handle, Ask::Adopt(tasks)).await;
-    matches!(asked, Asked::Answer(Answer::Adopted(AdoptReply::Adopted)))
+    matches!(
+        asked,
+        OwnerCall::Answered(Answer::Adopted(AdoptReply::Adopted))
+    )
 }
 
 /// The owner by the last read of the lease, and the age of that read in milliseconds; for logs.
-fn owner_believed(cx: &Cx, handle: &ShardHandle) -> (String, u64) {
+fn last_known_owner(cx: &Cx, handle: &ShardHandle) -> (String, u64) {
     let (lease, now) = (handle.lease.borrow(), cx.clock.now());
     let owner = lease.holder(now).map(|holder| holder.daemon.clone());
     let age = lease.read_at.map_or(Duration::MAX, |at| now.since(at));
@@ -221,35 +229,35 @@
 }
 
 /// Outcome of a call to the owner.
-enum Asked {
+enum OwnerCall {
     /// The owner answered.
-    Answer(Answer),
+    Answered(Answer),
     /// No owner is known, or the call certainly did not reach it.
-    Nobody,
+    NotReached,
     /// No answer; the owner may have carried out the request.
-    Silence,
+    Unanswered,
 }
 
-async fn ask_owner(cx: &Cx, handle: &Rc<ShardHandle>, ask: Ask) -> Asked {
-    let mut asked = Asked::Nobody;
-    for attempt in 0..TRIES {
+async fn ask_owner(cx: &Cx, handle: &Rc<ShardHandle>, ask: Ask) -> OwnerCall {
+    let mut asked = OwnerCall::NotReached;
+    for attempt in 0..MAX_CALLS {
         if attempt > 0 {
             if cx.reach.is_isolated() {
                 break;
             }
-            tokio::time::sleep(ASK_AGAIN_WAIT).await;
+            tokio::time::sleep(RETRY_DELAY).await;
             // If the read fails, the lease stays as last read.
             let _ = super::lease::look(cx, handle).await;
         }
         asked = ask_once(cx, handle, ask.clone()).await;
-        if !matches!(asked, Asked::Nobody) {
+        if !matches!(asked, OwnerCall::NotReached) {
             break;
         }
     }
     asked
 }
 
-async fn ask_once(cx: &Cx, handle: &ShardHandle, ask: Ask) -> Asked {
+async fn ask_once(cx: &Cx, handle: &ShardHandle, ask: Ask) -> OwnerCall {
     let is_own = handle
         .owner
         .borrow()
@@ -257,39 +265,44 @@
         .is_some_and(|owner| owner.is_recovered());
     if is_own {
         // Boxed, since a submission may call another shard's owner in turn, which recurses.
-        return of_owner(peer::answer(cx, handle.shard, ask).boxed_local().await);
+        return classify_answer(peer::answer(cx, handle.shard, ask).boxed_local().await);
     }
     let holder = handle.lease.borrow().holder(cx.clock.now()).cloned();
     let Some(holder) = holder.filter(|holder| *holder != cx.me) else {
-        return Asked::Nobody;
+        return OwnerCall::NotReached;
     };
     if cx.reach.is_isolated() {
-        return Asked::Nobody;
+        return OwnerCall::NotReached;
     }
     let now = cx.clock.now();
-    let rests = |(address, since): &(String, Millis)| {
-        *address == holder.address && now.since(*since) < OWNER_REST
+    let is_backing_off = |(address, since): &(String, Millis)| {
+        *address == holder.address && now.since(*since) < OWNER_BACKOFF
     };
-    if handle.silent_owner.borrow().as_ref().is_some_and(rests) {
-        return Asked::Nobody;
+    if handle
+        .silent_owner
+        .borrow()
+        .as_ref()
+        .is_some_and(is_backing_off)
+    {
+        return OwnerCall::NotReached;
     }
     let asked = cx
         .peers
         .ask(&holder.address, handle.shard, ask, OWNER_TIMEOUT);
     match asked.await {
-        Ok(answer) => of_owner(answer),
+        Ok(answer) => classify_answer(answer),
         Err(e) => {
             *handle.silent_owner.borrow_mut() = Some((holder.address.clone(), cx.clock.now()));
             log::warn!(owner:% = holder.daemon, shard:% = handle.part, error:% = e; "owner does not answer");
             match e.is_unsent {
-                true => Asked::Nobody,
-                false => Asked::Silence,
+                true => OwnerCall::NotReached,
+                false => OwnerCall::Unanswered,
             }
         }
     }
 }
 
-fn of_owner(answer: Answer) -> Asked {
+fn classify_answer(answer: Answer) -> OwnerCall {
     match answer {
         Answer::Submitted(SubmitReply::NotOwner)
         | Answer::Shown(ShowReply::NotOwner)
@@ -298,7 +311,7 @@
         | Answer::Load(None)
         | Answer::Learned(None)
         | Answer::Room(None)
-        | Answer::Adopted(AdoptReply::NotOwner) => Asked::Nobody,
-        answer => Asked::Answer(answer),
+        | Answer::Adopted(AdoptReply::NotOwner) => OwnerCall::NotReached,
+        answer => OwnerCall::Answered(answer),
     }
 }
--- a/src/lapisdrum/sched/job.rs
+++ b/src/lapisdrum/sched/job.rs
@@ -7,11 +7,11 @@
 use std::{fmt, str::FromStr};
 
 /// Maximum number of steps of a job; a larger graph would not fit in one journal row.
-pub const MOST_STEPS: usize = 64;
+pub const MAX_STEPS: usize = 64;
 /// Maximum number of tasks of a step.
-pub const MOST_TASKS_PER_STEP: u32 = 10_000;
+pub const MAX_TASKS_PER_STEP: u32 = 10_000;
 /// Maximum length of a job's payload; workers accept no longer one.
-pub const LONGEST_PAYLOAD: usize = 4_000;
+pub const MAX_PAYLOAD_BYTES: usize = 4_000;
 
 scalar! {
     /// Id of a job, chosen by its caller so that a repeated submission is recognised. As text, 16 hexadecimal digits.
@@ -275,10 +275,10 @@
 impl fmt::Display for InvalidJob {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Steps(n) => write!(f, "a job has 1 to {MOST_STEPS} steps, not {n}"),
+            Self::Steps(n) => write!(f, "a job has 1 to {MAX_STEPS} steps, not {n}"),
             Self::Tasks { step, count } => write!(
                 f,
-                "step {step} has {count} tasks; 1 to {MOST_TASKS_PER_STEP} are allowed"
+                "step {step} has {count} tasks; 1 to {MAX_TASKS_PER_STEP} are allowed"
             ),
             Self::After { step, names } => {
                 write!(
@@ -289,7 +289,7 @@
             Self::Payload(len) => {
                 write!(
                     f,
-                    "the payload has {len} bytes; at most {LONGEST_PAYLOAD} are allowed"
+                    "the payload has {len} bytes; at most {MAX_PAYLOAD_BYTES} are allowed"
                 )
             }
         }
@@ -302,14 +302,14 @@
     type Error = InvalidJob;
 
     fn try_from(raw: RawJob) -> Result<Self, InvalidJob> {
-        if raw.steps.is_empty() || raw.steps.len() > MOST_STEPS {
+        if raw.steps.is_empty() || raw.steps.len() > MAX_STEPS {
             return Err(InvalidJob::Steps(raw.steps.len()));
         }
-        if raw.payload.len() > LONGEST_PAYLOAD {
+        if raw.payload.len() > MAX_PAYLOAD_BYTES {
             return Err(InvalidJob::Payload(raw.payload.len()));
         }
         for (at, step) in raw.steps.iter().enumerate() {
-            if !(1..=MOST_TASKS_PER_STEP).contains(&step.count) {
+            if !(1..=MAX_TASKS_PER_STEP).contains(&step.count) {
                 return Err(InvalidJob::Tasks {
                     step: at,
                     count: step.count,
--- a/src/lapisdrum/sched/layout.rs
+++ b/src/lapisdrum/sched/layout.rs
@@ -22,11 +22,11 @@
 const LAYOUT_KEY: &str = "shards";
 /// Time between two reads of the workers before the first layout is written: they are assumed to be complete when
 /// two successive reads return the same number. Workers register within a third of a second of their start.
-const SETTLE: Duration = Duration::from_millis(600);
+const WORKER_READ_INTERVAL: Duration = Duration::from_millis(600);
 /// Number of reads after which the first layout is written even if the number of workers still changes.
-const MOST_LOOKS: usize = 5;
+const MAX_WORKER_READS: usize = 5;
 /// Delay before the layout is read again after a failure.
-const RETRY: Duration = Duration::from_millis(300);
+const RETRY_DELAY: Duration = Duration::from_millis(300);
 
 scalar! {
     /// Number of a shard, from 0.
@@ -57,11 +57,11 @@
 }
 
 impl Layout {
-    /// Creates the first layout, with enough shards for `workers_a_shard` workers each. Each pool needs a rack in
+    /// Creates the first layout, with enough shards for `workers_per_shard` workers each. Each pool needs a rack in
     /// every shard, as otherwise jobs could have a home without any worker for them; so there are no more shards than
     /// the pool with the fewest racks has racks.
-    pub fn first(workers: &[WorkerReport], workers_a_shard: usize) -> Self {
-        let wanted = workers.len().div_ceil(workers_a_shard.max(1));
+    pub fn first(workers: &[WorkerReport], workers_per_shard: usize) -> Self {
+        let wanted = workers.len().div_ceil(workers_per_shard.max(1));
         let mut pools: IndexMap<&str, IndexSet<&str>> = IndexMap::new();
         for worker in workers {
             pools
@@ -75,14 +75,14 @@
             founding: 0,
             racks: IndexMap::new(),
         };
-        layout.deal(workers);
+        layout.assign_racks(workers);
         layout.founding = layout.racks.len();
         layout
     }
 
     /// Assigns each rack without a shard to the shard with the fewest workers of its pool. Returns whether there
     /// were any.
-    pub fn deal(&mut self, workers: &[WorkerReport]) -> bool {
+    pub fn assign_racks(&mut self, workers: &[WorkerReport]) -> bool {
         let mut racks: IndexMap<(&str, &str), usize> = IndexMap::new();
         for worker in workers {
             *racks.entry((&worker.pool, rack_of(worker))).or_default() += 1;
@@ -187,7 +187,7 @@
 pub async fn learn(cx: &Cx) {
     while cx.layout.borrow().is_none() {
         let known = match read(cx).await {
-            Ok(None) => begin(cx).await,
+            Ok(None) => create_first(cx).await,
             known => known,
         };
         match known {
@@ -196,51 +196,51 @@
             Err(e) => log::warn!(error:% = format!("{e:#}"); "layout is not known yet"),
         }
         if cx.layout.borrow().is_none() {
-            tokio::time::sleep(RETRY).await;
+            tokio::time::sleep(RETRY_DELAY).await;
         }
     }
 }
 
-async fn begin(cx: &Cx) -> eyre::Result<Option<(Layout, u64)>> {
+async fn create_first(cx: &Cx) -> eyre::Result<Option<(Layout, u64)>> {
     let mut before = 0;
-    for _ in 0..MOST_LOOKS {
+    for _ in 0..MAX_WORKER_READS {
         let workers = cx.directory.workers().await?;
         if !workers.is_empty() && workers.len() == before {
             break;
         }
         before = workers.len();
-        tokio::time::sleep(SETTLE).await;
+        tokio::time::sleep(WORKER_READ_INTERVAL).await;
     }
     let workers = cx.directory.workers().await?;
-    write(cx, &Layout::first(&workers, cx.cfg.workers_a_shard), 0).await?;
+    write(cx, &Layout::first(&workers, cx.cfg.workers_per_shard), 0).await?;
     read(cx).await
 }
 
 fn adopt(cx: &Cx, layout: Layout) {
-    let is_news = cx.layout.borrow().as_deref() != Some(&layout);
-    if is_news {
+    let is_changed = cx.layout.borrow().as_deref() != Some(&layout);
+    if is_changed {
         log::info!(shards = layout.shards, racks = layout.racks.len(); "layout in force");
         *cx.layout.borrow_mut() = Some(Rc::new(layout));
     }
 }
 
-/// Assigns racks that the layout doesn't contain. Only the owner of the first shard may do so (`may_deal`); other
+/// Assigns racks that the layout doesn't contain. Only the owner of the first shard may do so (`may_assign`); other
 /// processes read the layout that it wrote.
-pub async fn extend(cx: &Cx, workers: &[WorkerReport], may_deal: bool) {
+pub async fn extend(cx: &Cx, workers: &[WorkerReport], may_assign: bool) {
     let is_known = |layout: &Layout| workers.iter().all(|w| layout.owner_of(w).is_some());
     if cx.layout.borrow().as_deref().is_none_or(is_known) {
         return;
     }
-    if let Err(e) = try_extend(cx, workers, may_deal).await {
+    if let Err(e) = try_extend(cx, workers, may_assign).await {
         log::warn!(error:% = format!("{e:#}"); "new racks have no shard yet");
     }
 }
 
-async fn try_extend(cx: &Cx, workers: &[WorkerReport], may_deal: bool) -> eyre::Result<()> {
+async fn try_extend(cx: &Cx, workers: &[WorkerReport], may_assign: bool) -> eyre::Result<()> {
     let Some((mut layout, version)) = read(cx).await? else {
         return Ok(());
     };
-    if !may_deal || !layout.deal(workers) {
+    if !may_assign || !layout.assign_racks(workers) {
         adopt(cx, layout);
         return Ok(());
     }
--- a/src/lapisdrum/sched/mod.rs
+++ b/src/lapisdrum/sched/mod.rs
@@ -60,7 +60,7 @@
     /// Initial addresses of other processes; some may be out of date.
     pub seeds: Vec<SocketAddr>,
     /// Desired maximum of workers per shard in the layout that is written at a deployment's first start.
-    pub workers_a_shard: usize,
+    pub workers_per_shard: usize,
     /// Limits on the leases of workers.
     pub leases: LeaseLimits,
     /// Durations of stops and restores, and how long a task may exceed its latency target.
--- a/src/lapisdrum/sched/operators.rs
+++ b/src/lapisdrum/sched/operators.rs
@@ -12,7 +12,7 @@
 use std::{rc::Rc, time::Duration};
 
 /// Interval of the reads: a change is in force within half of the bound of 2 s, with one read lost.
-const POLL: Duration = Duration::from_millis(600);
+const POLL_INTERVAL: Duration = Duration::from_millis(600);
 
 /// Polls until the process ends.
 pub async fn follow(cx: Cx) {
@@ -21,7 +21,7 @@
         let read = cx.directory.operator_state().await;
         cx.note_store(read.as_ref().map(|_| ()));
         let was_refused = read.as_ref().is_err_and(|e| e.is_rate_limited);
-        let pause = polling::urgent_pause(POLL, was_refused, &mut rand::rng());
+        let pause = polling::urgent_pause(POLL_INTERVAL, was_refused, &mut rand::rng());
         if let Ok(read) = read {
             adopt(&cx, read, asked_at);
         }
--- a/src/lapisdrum/sched/owner/jobs.rs
+++ b/src/lapisdrum/sched/owner/jobs.rs
@@ -54,9 +54,9 @@
     let Some(mut accepting) = accepting else {
         return SubmitReply::Accepted;
     };
-    let settled = accepting.wait_for(Option::is_some);
-    match tokio::time::timeout(ANSWER_WITHIN, settled).await {
-        Ok(Ok(end)) if *end == Some(AppendEnd::Durable) => SubmitReply::Accepted,
+    let resolved = accepting.wait_for(Option::is_some);
+    match tokio::time::timeout(ANSWER_WITHIN, resolved).await {
+        Ok(Ok(outcome)) if *outcome == Some(AppendEnd::Durable) => SubmitReply::Accepted,
         Err(_) if owner.journal.is_flowing(cx.clock.now()) => SubmitReply::UnderWay,
         _ => SubmitReply::Unknown,
     }
@@ -75,12 +75,12 @@
     owner.accepting.borrow_mut().insert(job, rx);
     let owner = Rc::clone(owner);
     supervisor::spawn("accept", async move {
-        let end = ticket.end().await;
+        let outcome = ticket.end().await;
         owner.accepting.borrow_mut().swap_remove(&job);
-        if end == AppendEnd::Durable {
+        if outcome == AppendEnd::Durable {
             log_accepted(&owner, job);
         }
-        tx.send_replace(Some(end));
+        tx.send_replace(Some(outcome));
         owner.wake.notify_one();
     });
 }
--- a/src/lapisdrum/sched/owner/mod.rs
+++ b/src/lapisdrum/sched/owner/mod.rs
@@ -57,10 +57,10 @@
 const RECOVERY_RETRY: Duration = Duration::from_millis(200);
 
 /// How long late execution of an order is remembered: longer than such an execution can be delayed.
-const HABIT_REMEMBERED: Duration = Duration::from_secs(30);
+const LATE_EXECUTION_MEMORY: Duration = Duration::from_secs(30);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Standing {
+enum Status {
     Recovering,
     Serving,
     Lost,
@@ -82,7 +82,7 @@
     /// No earlier owner sent a lease after this time; set once the previous owner is known to have ended.
     pub predecessor_gone_at: Cell<Option<Millis>>,
     /// When a worker last left an order unanswered and answered a later call.
-    late_habit_at: Cell<Option<Millis>>,
+    late_execution_at: Cell<Option<Millis>>,
     /// Version of the lease row that this owner last wrote.
     pub lease_version: Cell<u64>,
     /// When the last successful renewal of the shard's lease was sent.
@@ -127,7 +127,7 @@
     pub stopping_unknown: RefCell<IndexSet<RunId>>,
     /// Wakes the dispatcher.
     pub wake: Notify,
-    standing: Cell<Standing>,
+    status: Cell<Status>,
 }
 
 impl Owner {
@@ -149,7 +149,7 @@
             predecessor_renewed_at: seen.since,
             predecessor_took_at: seen.fence_since,
             predecessor_gone_at: Cell::new(None),
-            late_habit_at: Cell::new(None),
+            late_execution_at: Cell::new(None),
             lease_version: Cell::new(lease_version),
             renewed_at: Cell::new(sent_at),
             renewing: Mutex::new(()),
@@ -171,7 +171,7 @@
             delegations: RefCell::default(),
             stopping_unknown: RefCell::default(),
             wake: Notify::new(),
-            standing: Cell::new(Standing::Recovering),
+            status: Cell::new(Status::Recovering),
         })
     }
 
@@ -187,26 +187,26 @@
 
     /// Whether the shard is held, during recovery too.
     pub fn is_serving(&self) -> bool {
-        self.standing.get() != Standing::Lost
+        self.status.get() != Status::Lost
     }
 
     /// Whether the shard is held and its jobs are recovered.
     pub fn is_recovered(&self) -> bool {
-        self.standing.get() == Standing::Serving
+        self.status.get() == Status::Serving
     }
 
     /// Whether no other daemon can have taken the shard yet, so that a job unknown here is unknown everywhere.
     /// An owner that is cut off from the store still receives requests from callers that are cut off with it,
     /// while another owner accepts jobs.
     pub fn is_sole_owner(&self, cx: &Cx) -> bool {
-        let unrenewed = cx.clock.now().since(self.renewed_at.get());
-        self.is_recovered() && unrenewed < lease::LEASE
+        let since_renewal = cx.clock.now().since(self.renewed_at.get());
+        self.is_recovered() && since_renewal < lease::LEASE
     }
 
     /// Whether workers' leases may still be renewed: only within the hold time that the next owner waits out.
     pub fn may_renew(&self, cx: &Cx) -> bool {
-        let unrenewed = cx.clock.now().since(self.renewed_at.get());
-        self.is_serving() && unrenewed < cx.cfg.leases.owner_hold
+        let since_renewal = cx.clock.now().since(self.renewed_at.get());
+        self.is_serving() && since_renewal < cx.cfg.leases.owner_hold
     }
 
     /// Until when runs of earlier owners may be alive on a worker that has not answered this owner yet.
@@ -219,26 +219,26 @@
     }
 
     /// Whether workers have recently carried out unanswered orders late.
-    pub fn habit(&self, now: Millis) -> Habit {
-        let is_recent = |at| now.since(at) < HABIT_REMEMBERED;
-        match self.late_habit_at.get().is_some_and(is_recent) {
+    pub fn late_execution(&self, now: Millis) -> Habit {
+        let is_recent = |at| now.since(at) < LATE_EXECUTION_MEMORY;
+        match self.late_execution_at.get().is_some_and(is_recent) {
             true => Habit::Late,
             false => Habit::Prompt,
         }
     }
 
     /// Notes that a worker left an order unanswered and answered a later call.
-    pub fn note_late_habit(&self, cx: &Cx, worker: &str) {
+    pub fn note_late_execution(&self, cx: &Cx, worker: &str) {
         let now = cx.clock.now();
-        if self.habit(now) == Habit::Prompt {
+        if self.late_execution(now) == Habit::Prompt {
             log::warn!(worker; "orders may be carried out late");
         }
-        self.late_habit_at.set(Some(now));
+        self.late_execution_at.set(Some(now));
     }
 
     /// Ends the ownership: stops journal writes and dispatch, and removes the owner from the shard.
     pub fn lose(&self, why: &str) {
-        if self.standing.replace(Standing::Lost) == Standing::Lost {
+        if self.status.replace(Status::Lost) == Status::Lost {
             return;
         }
         self.journal.lose();
@@ -288,7 +288,7 @@
             owner.loads.borrow_mut().retain(|step, _| step.job != job);
             owner.waits.borrow_mut().retain(|step, _| step.job != job);
             owner.pass_end_on(job);
-            owner.note_over(&cx, job);
+            owner.note_ended(&cx, job);
             runs::stop_all_of(&cx, &owner, job);
         });
     }
@@ -307,7 +307,7 @@
         }
     }
 
-    fn note_over(&self, cx: &Cx, id: JobId) {
+    fn note_ended(&self, cx: &Cx, id: JobId) {
         let ledger = self.ledger.borrow();
         let Some(job) = ledger.jobs.get(&id).filter(|job| !job.is_guest) else {
             return;
@@ -361,29 +361,29 @@
         owner.add_inherited(cx, run, &on);
     }
     if owner.is_serving() {
-        owner.standing.set(Standing::Serving);
+        owner.status.set(Status::Serving);
     }
-    stop_left_over(cx, owner);
+    stop_runs_of_ended_jobs(cx, owner);
     let took_ms = cx.clock.now().since(owner.taken_at).as_millis() as u64;
     log::info!(shard:% = owner.handle.part, token = owner.token(), jobs, runs, took_ms; "shard recovered");
 }
 
 /// Stops runs of ended jobs: the previous owner may have ended between a job's end and the stop orders.
-fn stop_left_over(cx: &Cx, owner: &Rc<Owner>) {
+fn stop_runs_of_ended_jobs(cx: &Cx, owner: &Rc<Owner>) {
     let ledger = owner.ledger.borrow();
-    let over = ledger
+    let ended = ledger
         .jobs
         .iter()
         .filter(|(_, job)| job.phase != Phase::Active);
-    let over: Vec<JobId> = over.map(|(id, _)| *id).collect();
+    let ended: Vec<JobId> = ended.map(|(id, _)| *id).collect();
     drop(ledger);
-    for job in over {
+    for job in ended {
         runs::stop_all_of(cx, owner, job);
     }
 }
 
 fn serve(cx: &Cx, owner: &Rc<Owner>) {
-    let parts: [(&'static str, LocalBoxFuture<'static, ()>); 8] = [
+    let components: [(&'static str, LocalBoxFuture<'static, ()>); 8] = [
         (
             "journal",
             write_journal(Rc::clone(cx), Rc::clone(owner)).boxed_local(),
@@ -417,8 +417,8 @@
             learned::hear(Rc::clone(cx), Rc::clone(owner)).boxed_local(),
         ),
     ];
-    for (name, part) in parts {
-        supervisor::spawn(name, part);
+    for (name, component) in components {
+        supervisor::spawn(name, component);
     }
 }
 
--- a/src/lapisdrum/sched/owner/runs.rs
+++ b/src/lapisdrum/sched/owner/runs.rs
@@ -189,12 +189,12 @@
     let placed_at = owner.record(&run, |record| record.since);
     let waited_ms = millis(sent_at.since(placed_at.unwrap_or(sent_at)));
     cx.metrics.starts.inc();
-    let end = cx.workers.start(&address, &worker, &order).await;
+    let outcome = cx.workers.start(&address, &worker, &order).await;
     let now = cx.clock.now();
     let took_ms = now.since(sent_at).as_millis() as u64;
-    log::info!(task:% = run.task, run = run.run.0, worker:% = worker, token = order.token, waited_ms, took_ms, outcome:? = end; "start ordered");
-    note_lease_call(cx, owner, &worker, sent_at, &end);
-    match end {
+    log::info!(task:% = run.task, run = run.run.0, worker:% = worker, token = order.token, waited_ms, took_ms, outcome:? = outcome; "start ordered");
+    note_lease_call(cx, owner, &worker, sent_at, &outcome);
+    match outcome {
         OrderEnd::Done(clock) => {
             owner.session(&worker, |session| session.note_clock(clock, now));
             owner.set_order(&run, Order::Answered(now));
@@ -204,16 +204,20 @@
             owner.note_lost(cx, run, Loss::NotStarted);
         }
         OrderEnd::Unsent(_) => {
-            owner.session(&worker, |s| s.silent_since = s.silent_since.or(Some(now)));
+            owner.session(&worker, |s| {
+                s.unresponsive_since = s.unresponsive_since.or(Some(now))
+            });
             owner.note_lost(cx, run, Loss::NotStarted);
         }
         OrderEnd::Silent(_) => {
             cx.metrics.orders_silent.inc();
             owner.set_order(&run, Order::Silent);
             // No further task is placed on the worker until it has answered a call.
-            owner.session(&worker, |s| s.silent_since = s.silent_since.or(Some(now)));
-            if visit::look_once(cx, owner, &worker).await {
-                owner.note_late_habit(cx, &worker);
+            owner.session(&worker, |s| {
+                s.unresponsive_since = s.unresponsive_since.or(Some(now))
+            });
+            if visit::poll_now(cx, owner, &worker).await {
+                owner.note_late_execution(cx, &worker);
             }
         }
     }
@@ -225,10 +229,10 @@
     owner: &Owner,
     worker: &str,
     sent_at: Millis,
-    end: &OrderEnd<T>,
+    outcome: &OrderEnd<T>,
 ) {
     let now = cx.clock.now();
-    owner.session(worker, |session| match end {
+    owner.session(worker, |session| match outcome {
         OrderEnd::Done(_) => {
             session.bound.answered(now);
             session.leased_at = session.leased_at.max(Some(sent_at));
@@ -249,7 +253,7 @@
         }
         // The next poll finds the new incarnation and claims it.
         Refusal::OtherLife => {
-            owner.session(worker, |session| session.claimed_life = None);
+            owner.session(worker, |session| session.claimed_incarnation = None);
         }
         Refusal::OldRun
         | Refusal::LeaseOver
@@ -264,13 +268,13 @@
     let on = owner.runs.borrow().get(&run)?.on.clone();
     let now = cx.clock.now();
     let (address, lease_until) = owner.session(&on.worker, |session| {
-        let is_same_life = session.claimed_life == Some(on.born);
+        let is_same_incarnation = session.claimed_incarnation == Some(on.born);
         let report = session.report.as_ref()?;
         let end = session.lease_end(now, cx.cfg.leases.sent())?;
-        let is_heard = session.silent_since.is_none();
+        let is_responsive = session.unresponsive_since.is_none();
         // The data centre may have been evacuated after the run was placed.
-        let is_open = cx.allows_starts_in(&report.data_centre);
-        (is_same_life && is_heard && is_open).then(|| (report.address.clone(), end))
+        let may_start = cx.allows_starts_in(&report.data_centre);
+        (is_same_incarnation && is_responsive && may_start).then(|| (report.address.clone(), end))
     })??;
     let ledger = owner.ledger.borrow();
     let job = ledger.jobs.get(&run.task.job)?;
@@ -349,9 +353,9 @@
     let Some(address) = owner.address_of(&worker) else {
         return false;
     };
-    let end = cx.workers.stop(&address, &worker, run, owner.token()).await;
+    let outcome = cx.workers.stop(&address, &worker, run, owner.token()).await;
     let now = cx.clock.now();
-    match end {
+    match outcome {
         OrderEnd::Done(clock) => {
             owner.session(&worker, |session| session.note_clock(clock, now));
             owner.record(&run, |record| record.known.stop = Stop::Confirmed(now));
--- a/src/lapisdrum/sched/owner/session.rs
+++ b/src/lapisdrum/sched/owner/session.rs
@@ -25,9 +25,9 @@
 const SUSPECT_FOR: Duration = Duration::from_secs(8);
 
 /// Weight of a new measurement in the moving average of residuals.
-const SURPRISE_STEP: f64 = 0.5;
+const RESIDUAL_WEIGHT: f64 = 0.5;
 /// Residuals of utilisation are clamped to this, so that outliers have little weight.
-const MOST_SURPRISE: f64 = 0.2;
+const MAX_RESIDUAL: f64 = 0.2;
 
 /// Totals of the runs on a worker.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -84,15 +84,15 @@
     /// Whether the last read of the directory listed it.
     pub is_registered: bool,
     /// Incarnation, as its start in Unix milliseconds, that answered under this owner's token.
-    pub claimed_life: Option<u64>,
+    pub claimed_incarnation: Option<u64>,
     /// Latest reading of its clock, and the local time of that reading.
     pub clock: Option<(WorkerMillis, Millis)>,
     /// Its clock in the newest poll response that was handled.
-    pub listed_at: WorkerMillis,
+    pub response_clock: WorkerMillis,
     /// Its ends up to this number are durable in the journal.
     pub acked_upto: u64,
     /// Its ends up to this number are appended to the journal, durable or not.
-    pub taken_upto: u64,
+    pub appended_upto: u64,
     /// Notified whenever ends become durable.
     pub acked: Rc<Notify>,
     /// Bounds the time until which runs may be alive on it.
@@ -100,7 +100,7 @@
     /// When the last lease that it accepted was sent.
     pub leased_at: Option<Millis>,
     /// Since when it does not answer; none while it answers.
-    pub silent_since: Option<Millis>,
+    pub unresponsive_since: Option<Millis>,
     /// Runs that may be alive on it.
     pub runs: IndexSet<RunId>,
     /// Totals of `runs`.
@@ -125,15 +125,15 @@
         Self {
             report: None,
             is_registered: false,
-            claimed_life: None,
+            claimed_incarnation: None,
             clock: None,
-            listed_at: WorkerMillis::default(),
+            response_clock: WorkerMillis::default(),
             acked_upto: 0,
-            taken_upto: 0,
+            appended_upto: 0,
             acked: Rc::default(),
             bound,
             leased_at: None,
-            silent_since: None,
+            unresponsive_since: None,
             runs: IndexSet::new(),
             tally: Tally::default(),
             surprises: IndexMap::new(),
@@ -146,9 +146,9 @@
     }
 
     /// Adds a measured residual of a step's utilisation to its moving average.
-    pub fn note_surprise(&mut self, step: StepId, strain: f64) {
-        let known = self.surprises.entry(step).or_default();
-        *known += (strain.clamp(-MOST_SURPRISE, MOST_SURPRISE) - *known) * SURPRISE_STEP;
+    pub fn note_surprise(&mut self, step: StepId, residual: f64) {
+        let average = self.surprises.entry(step).or_default();
+        *average += (residual.clamp(-MAX_RESIDUAL, MAX_RESIDUAL) - *average) * RESIDUAL_WEIGHT;
     }
 
     /// Removes the residuals of steps that no longer run here.
@@ -164,7 +164,7 @@
     /// Number up to which the worker may forget ends; 0 while it does not answer. A worker that restarts under
     /// the same id numbers its ends from 1, so a new incarnation would forget ends that no owner has read.
     pub fn ackable(&self) -> u64 {
-        match self.silent_since {
+        match self.unresponsive_since {
             Some(_) => 0,
             None => self.acked_upto,
         }
@@ -181,7 +181,7 @@
         self.leased_at.is_none_or(|at| now.since(at) >= RENEW_AFTER)
     }
 
-    /// Notes a reading of its clock. An answer to an order does not reset `silent_since`: a new incarnation
+    /// Notes a reading of its clock. An answer to an order does not reset `unresponsive_since`: a new incarnation
     /// under the same id answers it too.
     pub fn note_clock(&mut self, clock: WorkerMillis, now: Millis) {
         let is_newer = self.clock.is_none_or(|(known, _)| clock > known);
@@ -199,15 +199,15 @@
     /// The worker's report if new tasks may be placed on it.
     pub fn open_for_tasks(&self) -> Option<&Rc<WorkerReport>> {
         let report = self.report.as_ref()?;
-        let is_claimed = self.claimed_life == Some(report.life.born);
+        let is_claimed = self.claimed_incarnation == Some(report.life.born);
         let is_staying = report.leaving_in.is_none();
         let is_open = is_claimed && is_staying && self.is_registered;
-        (is_open && self.silent_since.is_none()).then_some(report)
+        (is_open && self.unresponsive_since.is_none()).then_some(report)
     }
 
     /// Milliseconds since it stopped answering, for logs; 0 while it answers.
-    pub fn silent_ms(&self, now: Millis) -> u64 {
-        self.silent_since
+    pub fn unresponsive_ms(&self, now: Millis) -> u64 {
+        self.unresponsive_since
             .map_or(0, |since| millis(now.since(since)))
     }
 }
--- a/src/lapisdrum/sched/owner/upkeep.rs
+++ b/src/lapisdrum/sched/owner/upkeep.rs
@@ -13,14 +13,14 @@
 use std::{rc::Rc, time::Duration};
 
 /// Interval between maintenance rounds.
-const ROUND: Duration = Duration::from_millis(300);
+const INTERVAL: Duration = Duration::from_millis(300);
 /// A task without progress for this long is stalled: tasks take about 2 s, so one that works advances by 1 %
 /// every 20 ms.
 const STALLED_AFTER: Duration = Duration::from_millis(1_800);
 /// Tasks with a CPU limit below this, in percent, are too slow to be distinguished from stalled ones.
-const LEAST_PACE_JUDGED: u32 = 20;
+const MIN_JUDGED_CPU_LIMIT_PERCENT: u32 = 20;
 /// Most jobs removed in one round, so that their events fit into one row.
-const FORGET_A_ROUND: usize = 200;
+const MAX_FORGOTTEN_PER_ROUND: usize = 200;
 
 /// Runs maintenance rounds until the shard is lost.
 pub async fn run(cx: Cx, owner: Rc<Owner>) {
@@ -30,22 +30,23 @@
         forget_old(&cx, &owner);
         note_evacuated(&cx, &owner);
         note_gauges(&cx);
-        tokio::time::sleep(ROUND).await;
+        tokio::time::sleep(INTERVAL).await;
     }
 }
 
 /// Gives up runs on unresponsive or unclaimed workers once every lease there has certainly expired.
 fn give_up_lapsed(cx: &Cx, owner: &Rc<Owner>) {
     let now = cx.clock.now();
-    let habit = owner.habit(now);
+    let late_execution = owner.late_execution(now);
     let sessions = owner.sessions.borrow();
     let is_lapsed = |run: &RunId| {
         let runs = owner.runs.borrow();
         let record = &runs[run];
         let session = &sessions[&record.on.worker];
-        let is_quiet = session.silent_since.is_some() || session.claimed_life.is_none();
+        let is_unresponsive =
+            session.unresponsive_since.is_some() || session.claimed_incarnation.is_none();
         let is_sent = record.known.order != Order::NotSent;
-        is_sent && is_quiet && session.bound.is_over(now, habit, &cx.cfg.leases)
+        is_sent && is_unresponsive && session.bound.is_over(now, late_execution, &cx.cfg.leases)
     };
     let runs: Vec<RunId> = owner.runs.borrow().keys().copied().collect();
     let lapsed: Vec<RunId> = runs.into_iter().filter(is_lapsed).collect();
@@ -60,11 +61,11 @@
     let now = cx.clock.now();
     let runs = owner.runs.borrow();
     let stalled = runs.iter().filter(|(_, record)| {
-        let stands = record.progress.map(|(_, since)| now.since(since));
-        let is_judged = !record.is_long_running && record.pace >= LEAST_PACE_JUDGED;
+        let unchanged_for = record.progress.map(|(_, since)| now.since(since));
+        let is_judged = !record.is_long_running && record.pace >= MIN_JUDGED_CPU_LIMIT_PERCENT;
         is_judged
             && record.known.stop == Stop::No
-            && stands.is_some_and(|for_| for_ >= STALLED_AFTER)
+            && unchanged_for.is_some_and(|duration| duration >= STALLED_AFTER)
     });
     let stalled: Vec<(RunId, String)> = stalled
         .map(|(run, record)| (*run, record.on.worker.clone()))
@@ -72,7 +73,7 @@
     drop(runs);
     for (run, worker) in stalled {
         // While a worker does not answer, its runs may have progressed since its last poll response.
-        if owner.session(&worker, |session| session.silent_since.is_none()) == Some(true) {
+        if owner.session(&worker, |session| session.unresponsive_since.is_none()) == Some(true) {
             owner.note_misbehaved(&worker, &run.task, now);
             runs::order_stop(cx, owner, run, "it makes no progress");
         }
@@ -90,7 +91,7 @@
     let is_old = |sent: &SentJob| now.saturating_sub(sent.at_unix_ms) > retention_ms;
     let sent = ledger.sent.iter().filter(|(_, sent)| is_old(sent));
     let old = old.map(|(id, _)| *id).chain(sent.map(|(id, _)| *id));
-    let old: Vec<JobId> = old.take(FORGET_A_ROUND).collect();
+    let old: Vec<JobId> = old.take(MAX_FORGOTTEN_PER_ROUND).collect();
     drop(ledger);
     if old.is_empty() || !owner.journal.is_flowing(cx.clock.now()) {
         return;
--- a/src/lapisdrum/sched/owner/visit.rs
+++ b/src/lapisdrum/sched/owner/visit.rs
@@ -30,21 +30,21 @@
 
 /// Wait of a long poll; the platform allows 2 s. With 1 s, usage and progress are fresh enough to detect
 /// a stalled task within three polls.
-const LOOK_WAIT: Duration = Duration::from_millis(1_000);
+const POLL_WAIT: Duration = Duration::from_millis(1_000);
 /// Wait of a long poll where best-effort tasks share the host with serving ones, whose latency tails are
 /// updated every 500 ms.
-const LOOK_WAIT_SHARED: Duration = Duration::from_millis(350);
+const POLL_WAIT_SHARED: Duration = Duration::from_millis(350);
 /// Delay before an unresponsive worker is polled again.
-const SILENT_WAIT: Duration = Duration::from_millis(200);
+const UNRESPONSIVE_RETRY: Duration = Duration::from_millis(200);
 /// Longest wait for ends to become durable before the next poll. While the store is unavailable, ends
 /// accumulate at the worker and polls continue, to renew its leases.
 const ACK_WAIT: Duration = Duration::from_millis(250);
 
 /// A reserving task that takes this many times its estimate has overrun: estimates are off by 20 to 50 %,
 /// slow workers are 4 to 6 times slower.
-const CREEPING: u64 = 3;
+const OVERRUN_FACTOR: u64 = 3;
 /// Slack on top of that, in milliseconds, for short tasks.
-const CREEPING_SLACK_MS: u64 = 300;
+const OVERRUN_SLACK_MS: u64 = 300;
 
 /// Polls a worker until the shard is lost or the worker is no longer worth polling.
 pub fn watch(cx: &Cx, owner: &Rc<Owner>, worker: &str) {
@@ -54,9 +54,9 @@
     }
     let (cx, owner, worker) = (Rc::clone(cx), Rc::clone(owner), worker.to_owned());
     supervisor::spawn("visit", async move {
-        while owner.is_serving() && is_worth_watching(&owner, &worker) {
-            if !visit(&cx, &owner, &worker).await {
-                tokio::time::sleep(SILENT_WAIT).await;
+        while owner.is_serving() && is_worth_polling(&owner, &worker) {
+            if !poll_next(&cx, &owner, &worker).await {
+                tokio::time::sleep(UNRESPONSIVE_RETRY).await;
             }
         }
         owner.session(&worker, |session| session.is_watched = false);
@@ -65,22 +65,24 @@
 
 /// False for a worker without a known address, and for an unresponsive one without runs that is no longer
 /// in the directory.
-fn is_worth_watching(owner: &Owner, worker: &str) -> bool {
+fn is_worth_polling(owner: &Owner, worker: &str) -> bool {
     let is_worth = owner.session(worker, |session| {
         let has_address = session.report.is_some();
         has_address
-            && (session.is_registered || session.silent_since.is_none() || !session.runs.is_empty())
+            && (session.is_registered
+                || session.unresponsive_since.is_none()
+                || !session.runs.is_empty())
     });
     is_worth == Some(true)
 }
 
 /// Sends one poll, with a lease renewal if that is due; false if the worker did not answer.
-async fn visit(cx: &Cx, owner: &Rc<Owner>, worker: &str) -> bool {
+async fn poll_next(cx: &Cx, owner: &Rc<Owner>, worker: &str) -> bool {
     let now = cx.clock.now();
     let may_renew = owner.may_renew(cx);
     let planned = owner.session(worker, |session| {
-        let is_claimed = session.claimed_life.is_some();
-        let answers = is_claimed && session.silent_since.is_none();
+        let is_claimed = session.claimed_incarnation.is_some();
+        let answers = is_claimed && session.unresponsive_since.is_none();
         let is_due = session.is_renewal_due(now) && may_renew;
         let lease = (answers && is_due)
             .then(|| session.lease_end(now, cx.cfg.leases.sent()))
@@ -93,19 +95,19 @@
         return false;
     };
     let wait = match (is_claimed && lease_until.is_none(), is_shared) {
-        (true, true) => LOOK_WAIT_SHARED,
-        (true, false) => LOOK_WAIT,
+        (true, true) => POLL_WAIT_SHARED,
+        (true, false) => POLL_WAIT,
         (false, _) => Duration::ZERO,
     };
-    look(cx, owner, worker, lease_until, wait).await
+    poll(cx, owner, worker, lease_until, wait).await
 }
 
 /// Sends a poll that returns at once with the current runs; false if the worker did not answer.
-pub async fn look_once(cx: &Cx, owner: &Rc<Owner>, worker: &str) -> bool {
-    look(cx, owner, worker, None, Duration::ZERO).await
+pub async fn poll_now(cx: &Cx, owner: &Rc<Owner>, worker: &str) -> bool {
+    poll(cx, owner, worker, None, Duration::ZERO).await
 }
 
-async fn look(
+async fn poll(
     cx: &Cx,
     owner: &Rc<Owner>,
     worker: &str,
@@ -126,16 +128,16 @@
         owner.session(worker, |session| session.bound.sent());
     }
     cx.metrics.looks.inc();
-    let end = cx.workers.look(&address, worker, &order).await;
+    let outcome = cx.workers.look(&address, worker, &order).await;
     if lease_until.is_some() {
-        note_lease_call(cx, owner, worker, sent_at, &end);
+        note_lease_call(cx, owner, worker, sent_at, &outcome);
     }
     if !owner.is_serving() {
         return false;
     }
-    match end {
-        OrderEnd::Done(lists) => {
-            note_lists(cx, owner, worker, sent_at, lists).await;
+    match outcome {
+        OrderEnd::Done(response) => {
+            note_response(cx, owner, worker, sent_at, response).await;
             true
         }
         OrderEnd::Refused(Refusal::NewerOwner) => {
@@ -147,11 +149,11 @@
             false
         }
         OrderEnd::Refused(why) => {
-            note_silent(cx, owner, worker, &format!("{why:?}"));
+            note_unresponsive(cx, owner, worker, &format!("{why:?}"));
             false
         }
         OrderEnd::Unsent(e) | OrderEnd::Silent(e) => {
-            note_silent(cx, owner, worker, &e.message);
+            note_unresponsive(cx, owner, worker, &e.message);
             false
         }
     }
@@ -159,7 +161,7 @@
 
 /// Another worker answers at the address: the known one has ended, and its runs with it.
 fn note_replaced(cx: &Cx, owner: &Rc<Owner>, worker: &str) {
-    note_silent(cx, owner, worker, "another worker answers at its address");
+    note_unresponsive(cx, owner, worker, "another worker answers at its address");
     for (run, record) in runs_on(owner, worker) {
         if record.known.order != Order::NotSent {
             owner.note_lost(cx, run, Loss::Reborn);
@@ -167,11 +169,11 @@
     }
 }
 
-fn note_silent(cx: &Cx, owner: &Owner, worker: &str, error: &str) {
+fn note_unresponsive(cx: &Cx, owner: &Owner, worker: &str, error: &str) {
     let now = cx.clock.now();
     let first = owner.session(worker, |session| {
-        let is_first = session.silent_since.is_none();
-        session.silent_since = session.silent_since.or(Some(now));
+        let is_first = session.unresponsive_since.is_none();
+        session.unresponsive_since = session.unresponsive_since.or(Some(now));
         is_first
     });
     if first == Some(true) {
@@ -185,22 +187,22 @@
     log::warn!(worker, token = owner.token(); "worker refuses the fencing token of this owner");
     let (cx, owner) = (Rc::clone(cx), Rc::clone(owner));
     supervisor::spawn("check-lease", async move {
-        let looked = lease::look(&cx, &owner.handle).await;
-        if looked.is_ok() && owner.handle.lease.borrow().fence != owner.token() {
+        let lease_read = lease::look(&cx, &owner.handle).await;
+        if lease_read.is_ok() && owner.handle.lease.borrow().fence != owner.token() {
             owner.lose("a worker has seen a newer owner");
         }
     });
 }
 
-async fn note_lists(cx: &Cx, owner: &Rc<Owner>, worker: &str, sent_at: Millis, lists: Lists) {
+async fn note_response(cx: &Cx, owner: &Rc<Owner>, worker: &str, sent_at: Millis, response: Lists) {
     let now = cx.clock.now();
-    let Some(known) = note_life(owner, worker, &lists, now) else {
+    let Some(incarnation) = note_incarnation(owner, worker, &response, now) else {
         return;
     };
-    let acked = note_ends(cx, owner, worker, &known, &lists.ended, now);
-    if known.is_newest {
-        note_running(cx, owner, worker, &known, sent_at, &lists, now);
-        strain::note(cx, owner, worker, &lists, now);
+    let acked = note_ends(cx, owner, worker, &incarnation, &response.ended, now);
+    if incarnation.is_newest {
+        note_running(cx, owner, worker, &incarnation, sent_at, &response, now);
+        strain::note(cx, owner, worker, &response, now);
     }
     if let Some(acked) = acked {
         // On a time-out the next poll lists the same ends again, and they are skipped.
@@ -209,47 +211,52 @@
 }
 
 /// The worker incarnation that sent a poll response.
-struct Life {
+struct Incarnation {
     born: u64,
     /// False if a response with a later worker clock was handled before.
     is_newest: bool,
 }
 
-fn note_life(owner: &Rc<Owner>, worker: &str, lists: &Lists, now: Millis) -> Option<Life> {
+fn note_incarnation(
+    owner: &Rc<Owner>,
+    worker: &str,
+    response: &Lists,
+    now: Millis,
+) -> Option<Incarnation> {
     let noted = owner.session(worker, |session| {
         let reported = session.report.as_ref().map_or(0, |report| report.life.born);
-        let born = lists.born.unwrap_or(reported);
-        let before = session.claimed_life;
+        let born = response.born.unwrap_or(reported);
+        let before = session.claimed_incarnation;
         if before.is_some_and(|before| born < before) {
             return None;
         }
         if before != Some(born) {
-            session.claimed_life = Some(born);
+            session.claimed_incarnation = Some(born);
             session.acked_upto = 0;
-            session.taken_upto = 0;
-            session.listed_at = WorkerMillis::default();
+            session.appended_upto = 0;
+            session.response_clock = WorkerMillis::default();
             session.clock = None;
             session.leased_at = None;
             session.bound.claimed(now);
         }
-        let was_silent_ms = session.silent_ms(now);
-        session.note_clock(lists.clock, now);
-        session.silent_since = None;
-        let is_newest = lists.clock >= session.listed_at;
+        let was_silent_ms = session.unresponsive_ms(now);
+        session.note_clock(response.clock, now);
+        session.unresponsive_since = None;
+        let is_newest = response.clock >= session.response_clock;
         if is_newest {
-            session.listed_at = lists.clock;
+            session.response_clock = response.clock;
         }
-        Some((Life { born, is_newest }, before, was_silent_ms))
+        Some((Incarnation { born, is_newest }, before, was_silent_ms))
     })?;
-    let (life, before, was_silent_ms) = noted?;
-    if before != Some(life.born) {
-        log::info!(worker, born = life.born, before:? = before, token = owner.token(), runs = lists.running.len(); "worker claimed");
+    let (incarnation, before, was_silent_ms) = noted?;
+    if before != Some(incarnation.born) {
+        log::info!(worker, born = incarnation.born, before:? = before, token = owner.token(), runs = response.running.len(); "worker claimed");
         owner.wake.notify_one();
     } else if was_silent_ms > 0 {
         log::info!(worker, was_silent_ms; "worker answers again");
         owner.wake.notify_one();
     }
-    Some(life)
+    Some(incarnation)
 }
 
 /// Appends ends to the journal; the future completes when they are durable and may be acknowledged.
@@ -257,18 +264,18 @@
     cx: &Cx,
     owner: &Rc<Owner>,
     worker: &str,
-    life: &Life,
+    incarnation: &Incarnation,
     ended: &[ListedEnd],
     now: Millis,
 ) -> Option<LocalBoxFuture<'static, ()>> {
     // A worker lists an end until it is acknowledged, which may take many polls.
     let upto = ended.iter().map(|end| end.number).max()?;
-    let taken_upto = owner.session(worker, |session| session.taken_upto)?;
-    let ended: Vec<&ListedEnd> = ended.iter().filter(|e| e.number > taken_upto).collect();
+    let appended_upto = owner.session(worker, |session| session.appended_upto)?;
+    let ended: Vec<&ListedEnd> = ended.iter().filter(|e| e.number > appended_upto).collect();
     if ended.is_empty() {
         return Some(acknowledged(owner, worker, upto).boxed_local());
     }
-    owner.session(worker, |session| session.taken_upto = upto);
+    owner.session(worker, |session| session.appended_upto = upto);
     let at_unix_ms = cx.unix_ms();
     let mut events = Vec::new();
     for end in &ended {
@@ -281,7 +288,7 @@
         if let Some(record) = &record {
             strain::note_departure(owner, worker, record, now);
         }
-        note_how(cx, owner, worker, end, record, now);
+        note_outcome(cx, owner, worker, end, record, now);
         events.push(Event::Ended {
             run: end.run,
             how: end.how,
@@ -297,11 +304,11 @@
     for job in jobs {
         owner.note_if_over(cx, job);
     }
-    let (owner, worker, born) = (Rc::clone(owner), worker.to_owned(), life.born);
+    let (owner, worker, born) = (Rc::clone(owner), worker.to_owned(), incarnation.born);
     let acked = actix_rt::spawn(async move {
         if ticket.end().await == AppendEnd::Durable {
             owner.session(&worker, |session| {
-                if session.claimed_life == Some(born) {
+                if session.claimed_incarnation == Some(born) {
                     session.acked_upto = session.acked_upto.max(upto);
                 }
                 session.acked.notify_waiters();
@@ -333,7 +340,7 @@
 }
 
 /// Updates the worker's failure count, and the workers to avoid for the task, by how a run ended.
-fn note_how(
+fn note_outcome(
     cx: &Cx,
     owner: &Owner,
     worker: &str,
@@ -344,13 +351,14 @@
     let ran_ms = record
         .as_ref()
         .map_or(0, |r| now.since(r.since).as_millis() as u64);
-    let crept = record.is_some_and(|record| {
-        record.load == Load::Reserving && ran_ms > record.estimate_ms * CREEPING + CREEPING_SLACK_MS
+    let has_overrun = record.is_some_and(|record| {
+        record.load == Load::Reserving
+            && ran_ms > record.estimate_ms * OVERRUN_FACTOR + OVERRUN_SLACK_MS
     });
     log::info!(task:% = end.run.task, run = end.run.run.0, worker, how:? = end.how, ran_ms; "run ended");
     cx.metrics.note_end(end.how);
     match end.how {
-        RunEnd::Done if crept => owner.note_misbehaved(worker, &end.run.task, now),
+        RunEnd::Done if has_overrun => owner.note_misbehaved(worker, &end.run.task, now),
         RunEnd::Done => {
             owner.session(worker, |session| session.failures = (0, now));
             owner.failed_on.borrow_mut().swap_remove(&end.run.task);
@@ -365,24 +373,24 @@
     cx: &Cx,
     owner: &Rc<Owner>,
     worker: &str,
-    life: &Life,
+    incarnation: &Incarnation,
     sent_at: Millis,
-    lists: &Lists,
+    response: &Lists,
     now: Millis,
 ) {
-    let listed: IndexMap<RunId, u32> = lists
+    let listed: IndexMap<RunId, u32> = response
         .running
         .iter()
         .map(|listed| (listed.run, listed.percent))
         .collect();
     for (run, record) in runs_on(owner, worker) {
         let percent = listed.get(&run).copied();
-        let sight = Sight {
+        let observation = Sight {
             sent_at,
             is_listed: percent.is_some(),
-            is_same_life: record.on.born == life.born,
+            is_same_life: record.on.born == incarnation.born,
         };
-        match judge_run(record.known, sight) {
+        match judge_run(record.known, observation) {
             RunVerdict::Runs => note_progress(owner, &run, percent.unwrap_or_default(), now),
             RunVerdict::Wait => {}
             RunVerdict::OrderStop => {
--- a/src/lapisdrum/sched/process.rs
+++ b/src/lapisdrum/sched/process.rs
@@ -18,16 +18,16 @@
     supervisor::spawn("peers", peer::serve(Rc::clone(cx), listener));
     supervisor::spawn("operators", operators::follow(Rc::clone(cx)));
     supervisor::spawn("reach", reach::follow(Rc::clone(cx)));
-    let leasing = Rc::clone(cx);
+    let lease_cx = Rc::clone(cx);
     supervisor::spawn("lease-watch", async move {
         // Runs until the process ends.
-        let _ = lease::run(leasing).await;
+        let _ = lease::run(lease_cx).await;
     });
     Ok(())
 }
 
 /// Releases all shards of this process. Called in a shutdown, after the last caller was answered.
-pub async fn give_up(cx: &Cx) {
+pub async fn release_shards(cx: &Cx) {
     let owners = cx.owners().into_iter().map(async |owner| {
         let released = lease::release(cx, &owner);
         if tokio::time::timeout(RELEASE_TIMEOUT, released)
--- a/src/lapisdrum/sched/reach.rs
+++ b/src/lapisdrum/sched/reach.rs
@@ -19,23 +19,23 @@
 
 /// Interval of the checks. The load balancer probes once per second and acts after two failures, so in a network
 /// partition of 6 s callers are served by other data centres for some 3 s.
-const EVERY: Duration = Duration::from_millis(250);
+const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 /// Time without an answer after which the store or the daemons count as unreachable: two polls of a lease, or one poll
 /// and the answer of a store that is 60 times slower than usual.
-const SILENT_AFTER: Duration = Duration::from_millis(800);
+const UNREACHABLE_AFTER: Duration = Duration::from_millis(800);
 /// Timeout of a call to a daemon: many round trips between data centres.
-const ASK_TIMEOUT: Duration = Duration::from_millis(250);
+const CALL_TIMEOUT: Duration = Duration::from_millis(250);
 /// Interval at which all daemons are called while the store answers: only daemons that answered before count in the
 /// detection of isolation.
-const LEARN_EVERY: Duration = Duration::from_secs(5);
+const DISCOVERY_INTERVAL: Duration = Duration::from_secs(5);
 /// The same interval until a daemon of another data centre has answered for the first time.
-const LEARN_FIRST: Duration = Duration::from_secs(1);
+const FIRST_DISCOVERY_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Last answers of the store and of other daemons.
 #[derive(Default)]
 pub struct Reach {
-    store_heard_at: Cell<Millis>,
-    others_heard_at: Cell<Option<Millis>>,
+    store_answered_at: Cell<Millis>,
+    others_answered_at: Cell<Option<Millis>>,
     /// Data centres of the daemons that have answered, by the daemons' addresses.
     known: RefCell<IndexMap<String, String>>,
     is_isolated: Cell<bool>,
@@ -44,7 +44,7 @@
 impl Reach {
     /// Records an answer of the store, which ends an isolation.
     pub fn note_store(&self, now: Millis) {
-        self.store_heard_at.set(now);
+        self.store_answered_at.set(now);
         self.is_isolated.set(false);
     }
 
@@ -53,20 +53,20 @@
         let mut known = self.known.borrow_mut();
         known.insert(address.to_owned(), data_centre.to_owned());
         if data_centre != own {
-            self.others_heard_at.set(Some(now));
+            self.others_answered_at.set(Some(now));
         }
     }
 
-    /// Whether the store has not answered for [`SILENT_AFTER`].
-    fn is_store_silent(&self, now: Millis) -> bool {
-        now.since(self.store_heard_at.get()) >= SILENT_AFTER
+    /// Whether the store has not answered for [`UNREACHABLE_AFTER`].
+    fn is_store_unreachable(&self, now: Millis) -> bool {
+        now.since(self.store_answered_at.get()) >= UNREACHABLE_AFTER
     }
 
-    /// Whether neither the store nor another data centre has answered for [`SILENT_AFTER`], though one did before.
-    fn judge(&self, now: Millis) -> bool {
-        let others = self.others_heard_at.get();
-        let are_silent = others.is_some_and(|at| now.since(at) >= SILENT_AFTER);
-        self.is_store_silent(now) && are_silent
+    /// Whether neither the store nor another data centre has answered for [`UNREACHABLE_AFTER`], though one did before.
+    fn detect_isolation(&self, now: Millis) -> bool {
+        let others = self.others_answered_at.get();
+        let are_unreachable = others.is_some_and(|at| now.since(at) >= UNREACHABLE_AFTER);
+        self.is_store_unreachable(now) && are_unreachable
     }
 
     /// Whether the process can serve no caller, by the last check.
@@ -77,29 +77,29 @@
 
 /// Checks for isolation until the process ends.
 pub async fn follow(cx: Cx) {
-    let mut learned_at: Option<Millis> = None;
+    let mut discovered_at: Option<Millis> = None;
     loop {
         let now = cx.clock.now();
-        let learn_after = match cx.reach.others_heard_at.get() {
-            Some(_) => LEARN_EVERY,
-            None => LEARN_FIRST,
+        let discovery_interval = match cx.reach.others_answered_at.get() {
+            Some(_) => DISCOVERY_INTERVAL,
+            None => FIRST_DISCOVERY_INTERVAL,
         };
-        let is_learning = learned_at.is_none_or(|at| now.since(at) >= learn_after);
-        if cx.reach.is_store_silent(now) || is_learning {
-            ask_all(&cx).await;
-            learned_at = Some(now);
+        let is_discovery_due = discovered_at.is_none_or(|at| now.since(at) >= discovery_interval);
+        if cx.reach.is_store_unreachable(now) || is_discovery_due {
+            call_all(&cx).await;
+            discovered_at = Some(now);
         }
-        let is_isolated = cx.reach.judge(cx.clock.now());
+        let is_isolated = cx.reach.detect_isolation(cx.clock.now());
         if cx.reach.is_isolated.replace(is_isolated) != is_isolated {
             log::warn!(is_isolated; "isolation changed");
         }
-        tokio::time::sleep(EVERY).await;
+        tokio::time::sleep(CHECK_INTERVAL).await;
     }
 }
 
-async fn ask_all(cx: &Cx) {
+async fn call_all(cx: &Cx) {
     let asked = addresses(cx).into_iter().map(async |address| {
-        let answer = cx.peers.who(&address, ASK_TIMEOUT).await;
+        let answer = cx.peers.who(&address, CALL_TIMEOUT).await;
         (address, answer)
     });
     for (address, answer) in futures::future::join_all(asked).await {
--- a/src/lapisdrum/sched/shape.rs
+++ b/src/lapisdrum/sched/shape.rs
@@ -57,8 +57,8 @@
             f.write_str("+")?;
         }
         for (at, before) in self.after.iter().enumerate() {
-            let mark = if at == 0 { '@' } else { ',' };
-            write!(f, "{mark}{before}")?;
+            let separator = if at == 0 { '@' } else { ',' };
+            write!(f, "{separator}{before}")?;
         }
         Ok(())
     }
@@ -97,15 +97,15 @@
             None => (raw, Vec::new()),
         };
         let (count, estimate) = head.split_once('x').ok_or(InvalidShape)?;
-        let lasting = estimate.strip_suffix('+');
+        let long_running = estimate.strip_suffix('+');
         let after = after.into_iter().map(|n: &str| n.parse());
         Ok(Self {
             count: count.parse().map_err(|_| InvalidShape)?,
-            estimate_ms: lasting
+            estimate_ms: long_running
                 .unwrap_or(estimate)
                 .parse()
                 .map_err(|_| InvalidShape)?,
-            is_long_running: lasting.is_some(),
+            is_long_running: long_running.is_some(),
             after: after.collect::<Result<_, _>>().map_err(|_| InvalidShape)?,
         })
     }
--- a/tests/testsuite/sched/delegate.rs
+++ b/tests/testsuite/sched/delegate.rs
@@ -35,7 +35,7 @@
 impl Site {
     async fn start(names: &[&str]) -> Self {
         let world = World::new(8);
-        world.workers_a_shard.set(4);
+        world.workers_per_shard.set(4);
         let daemons: Vec<Cx> = names.iter().map(|name| world.daemon(name)).collect();
         let site = Self { world, daemons };
         for shard in SHARDS {
--- a/tests/testsuite/sched/layout.rs
+++ b/tests/testsuite/sched/layout.rs
@@ -107,7 +107,7 @@
         let old = Layout::first(&racks_of(first, 3), 9);
         let mut new = old.clone();
         for count in later {
-            new.deal(&racks_of(count, 3));
+            new.assign_racks(&racks_of(count, 3));
         }
         for (rack, shard) in &old.racks {
             prop_assert_eq!(new.racks.get(rack), Some(shard));
@@ -115,7 +115,7 @@
         let spec = near(&format!("r{rack}"));
         prop_assert_eq!(old.home(JobId(id), &spec), new.home(JobId(id), &spec));
         prop_assert!(new.homes(JobId(id)).contains(&new.home(JobId(id), &spec)));
-        prop_assert!(!new.deal(&racks_of(first, 3)), "nothing is left to deal");
+        prop_assert!(!new.assign_racks(&racks_of(first, 3)), "no rack is left to assign");
     }
 }
 
@@ -157,7 +157,7 @@
 /// A world of so many workers in two shards, each with an owner of two daemons.
 async fn two_shards(workers: usize) -> (Rc<World>, [Cx; 2]) {
     let world = World::new(workers);
-    world.workers_a_shard.set(workers / 2);
+    world.workers_per_shard.set(workers / 2);
     let daemons = [world.daemon("a"), world.daemon("b")];
     until("the layout is known", LIMIT, async || {
         daemons.iter().all(|cx| cx.layout.borrow().is_some())
@@ -170,7 +170,7 @@
 /// A world of so many workers in two shards, both owned by its one daemon, and the queue that jobs go to.
 async fn sole_owner(workers: usize) -> (Rc<World>, Cx, Queue) {
     let world = World::new(workers);
-    world.workers_a_shard.set(workers / 2);
+    world.workers_per_shard.set(workers / 2);
     let cx = world.daemon("a");
     until("it owns both", LIMIT, async || cx.owners().len() == 2).await;
     all_owned(std::slice::from_ref(&cx), 2).await;
--- a/tests/testsuite/sched/ownership.rs
+++ b/tests/testsuite/sched/ownership.rs
@@ -102,7 +102,7 @@
             let restarted = world.daemon("d");
             sleep(Duration::from_secs(1)).await;
             first.draining.send_replace(true);
-            process::give_up(&first).await;
+            process::release_shards(&first).await;
             let took = owned_after(&restarted).await;
             assert!(took < Duration::from_millis(400), "{took:?}");
             assert!(waiting.iter().all(|cx| !owns(cx, ShardId(0))));
@@ -134,7 +134,7 @@
         let second = world.daemon("b");
         sleep(Duration::from_secs(3)).await;
         first.draining.send_replace(true);
-        process::give_up(&first).await;
+        process::release_shards(&first).await;
         let took = owned_after(&second).await;
         println!("slow store: the next owner after {took:?}");
         assert_eq!(world.state(&second, 1).await, Some(JobState::Running));
@@ -265,7 +265,7 @@
         sleep(Duration::from_secs(2)).await;
         lose_a_renewal(&world, "a").await;
         first.draining.send_replace(true);
-        process::give_up(&first).await;
+        process::release_shards(&first).await;
         let took = owned_after(&second).await;
         assert!(took < Duration::from_millis(900), "{took:?}");
         world.check();
--- a/tests/testsuite/sched/settle.rs
+++ b/tests/testsuite/sched/settle.rs
@@ -172,7 +172,7 @@
     let mut session = Session::new(LeaseBound::inherited(Millis(0), &limits()));
     session.acked_upto = 7;
     assert_eq!(session.ackable(), 7);
-    session.silent_since = Some(Millis(100));
+    session.unresponsive_since = Some(Millis(100));
     assert_eq!(session.ackable(), 0);
 }
 
--- a/tests/testsuite/sched/world.rs
+++ b/tests/testsuite/sched/world.rs
@@ -161,7 +161,7 @@
     /// Whether nobody can read what operators ask for.
     pub(crate) operators_are_silent: Cell<bool>,
     /// Most workers of a shard, for daemons made from now on; all in one at first.
-    pub(crate) workers_a_shard: Cell<usize>,
+    pub(crate) workers_per_shard: Cell<usize>,
     /// Starts that were carried out.
     pub(crate) starts: RefCell<Vec<(Instant, RunId, String)>>,
     /// What must not happen and did.
@@ -233,7 +233,7 @@
             lease_reads: Cell::default(),
             operator_reads: Cell::default(),
             operators_are_silent: Cell::new(false),
-            workers_a_shard: Cell::new(usize::MAX),
+            workers_per_shard: Cell::new(usize::MAX),
             starts: RefCell::default(),
             breaches: RefCell::default(),
         });
@@ -322,7 +322,7 @@
             data_centre: data_centre.to_owned(),
             peers: address,
             seeds: Vec::new(),
-            workers_a_shard: self.workers_a_shard.get(),
+            workers_per_shard: self.workers_per_shard.get(),
             leases: limits(),
             work: work_terms(),
             evacuated_within: EVACUATED_WITHIN,
