--- a/src/lapisdrum/policy/dispatch/relief.rs
+++ b/src/lapisdrum/policy/dispatch/relief.rs
@@ -31,7 +31,7 @@
     /// The number of tasks.
     pub tasks: u32,
     /// Utilisation inferred from their latency tails, in excess of what the interference model expects.
-    pub surprise: f64,
+    pub residual: f64,
 }
 
 /// A best-effort task on the same host.
@@ -91,10 +91,10 @@
 }
 
 impl Sight<'_> {
-    /// The forecast utilisation without aggressors, corrected by the measured surprise.
+    /// The forecast utilisation without aggressors, corrected by the measured residual.
     fn load_path(&self, s: &Serving) -> Path {
         let load = self.pressure.load_path(&s.victim, self.now);
-        load.map(|load| load + s.surprise)
+        load.map(|load| load + s.residual)
     }
 }
 
@@ -185,7 +185,7 @@
                     continue;
                 };
                 let interference = self.sight.pressure.press(s.victim.image, &aggressor);
-                // No variance is added: `surprise` already holds how far running tasks deviate from the model.
+                // No variance is added: `residual` already holds how far running tasks deviate from the model.
                 outlook.add_known(interference, outlook::moments_within(l.left_at_cpu_limit()));
             }
             outlook
--- a/src/lapisdrum/sched/edge.rs
+++ b/src/lapisdrum/sched/edge.rs
@@ -6,8 +6,8 @@
 //! out seconds later, so its outcome is resolved by later reads and never assumed.
 
 use super::{
-    event::{RunEnd, RunId, WorkerLife},
-    job::{QueueTerms, StepId},
+    event::{RunEnd, RunId, WorkerIncarnation},
+    job::{QueueConfig, StepId},
 };
 use crate::core::{size::Size, time::WorkerMillis};
 use bytes::Bytes;
@@ -56,7 +56,7 @@
     /// Name of the table.
     pub table: &'static str,
     /// The partition.
-    pub part: String,
+    pub partition: String,
     /// Key within the partition.
     pub key: String,
 }
@@ -87,7 +87,7 @@
 
 /// Outcome of a transaction.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum TxnEnd {
+pub enum TxnOutcome {
     /// It took effect. Carries the store's version counter afterwards, no less than the versions of the written rows.
     Committed(u64),
     /// A precondition failed and nothing was written. Carries the existing rows of [`Txn::expect`] as they are now.
@@ -101,12 +101,12 @@
 /// The transactional store and its object storage.
 pub trait Store {
     /// Runs a transaction.
-    fn commit<'a>(&'a self, txn: &'a Txn) -> LocalBoxFuture<'a, TxnEnd>;
+    fn commit<'a>(&'a self, txn: &'a Txn) -> LocalBoxFuture<'a, TxnOutcome>;
     /// Reads all rows of one partition of a table with keys at or after `from`, in key order.
     fn rows<'a>(
         &'a self,
         table: &'a str,
-        part: &'a str,
+        partition: &'a str,
         from: &'a str,
     ) -> LocalBoxFuture<'a, Result<Vec<Row>, CallError>>;
     /// Stores an object under a name.
@@ -128,7 +128,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WorkerReport {
     /// The worker and its incarnation.
-    pub life: WorkerLife,
+    pub incarnation: WorkerIncarnation,
     /// The pool that the worker belongs to.
     pub pool: String,
     /// IP address and port of the worker's interface.
@@ -149,7 +149,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Queue {
     /// Settings of the queue's jobs.
-    pub terms: QueueTerms,
+    pub terms: QueueConfig,
     /// Host name of the requests that this queue serves.
     pub host: String,
     /// Path prefix of the requests that this queue serves.
@@ -203,7 +203,7 @@
 
 /// A long poll of a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct LookOrder {
+pub struct PollOrder {
     /// The owner's fencing token.
     pub token: u64,
     /// Ends up to this number are acknowledged; the worker may drop them.
@@ -231,7 +231,7 @@
 /// An ended run in a worker's poll response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ListedEnd {
-    /// Sequence number among the ends on this worker, acknowledged by [`LookOrder::acked_upto`].
+    /// Sequence number among the ends on this worker, acknowledged by [`PollOrder::acked_upto`].
     pub number: u64,
     /// The run that ended.
     pub run: RunId,
@@ -243,9 +243,9 @@
 
 /// A worker's response to a poll.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Lists {
+pub struct PollResponse {
     /// Start of the worker's present incarnation, in Unix milliseconds, if the worker reports it.
-    pub born: Option<u64>,
+    pub started_unix_ms: Option<u64>,
     /// The worker's clock when it answered.
     pub clock: WorkerMillis,
     /// The runs on the worker.
@@ -277,7 +277,7 @@
 
 /// Outcome of an order to a worker.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum OrderEnd<T> {
+pub enum OrderOutcome<T> {
     /// It took effect.
     Done(T),
     /// It did not and will not take effect, as reported by the worker.
@@ -296,7 +296,7 @@
         address: &'a str,
         worker: &'a str,
         order: &'a StartOrder,
-    ) -> LocalBoxFuture<'a, OrderEnd<WorkerMillis>>;
+    ) -> LocalBoxFuture<'a, OrderOutcome<WorkerMillis>>;
     /// Stops a run; once done, the worker never starts it afterwards, even if the start order arrives late.
     fn stop<'a>(
         &'a self,
@@ -304,23 +304,23 @@
         worker: &'a str,
         run: RunId,
         token: u64,
-    ) -> LocalBoxFuture<'a, OrderEnd<WorkerMillis>>;
+    ) -> LocalBoxFuture<'a, OrderOutcome<WorkerMillis>>;
     /// Polls a worker for its running and ended runs.
-    fn look<'a>(
+    fn poll<'a>(
         &'a self,
         address: &'a str,
         worker: &'a str,
-        order: &'a LookOrder,
-    ) -> LocalBoxFuture<'a, OrderEnd<Lists>>;
+        order: &'a PollOrder,
+    ) -> LocalBoxFuture<'a, OrderOutcome<PollResponse>>;
     /// Sets the CPU limit of a run, in percent of the CPU that the run asks for.
-    fn pace<'a>(
+    fn set_cpu_limit<'a>(
         &'a self,
         address: &'a str,
         worker: &'a str,
         run: RunId,
         percent: u32,
         token: u64,
-    ) -> LocalBoxFuture<'a, OrderEnd<WorkerMillis>>;
+    ) -> LocalBoxFuture<'a, OrderOutcome<WorkerMillis>>;
 }
 
 /// The advisory service's permission to run a step on a worker.
--- a/src/lapisdrum/sched/event.rs
+++ b/src/lapisdrum/sched/event.rs
@@ -1,7 +1,7 @@
 //! Changes of a shard's state, as events. The journal is an ordered list of them.
 
 use super::{
-    job::{JobId, JobSpec, QueueTerms, RunNumber, TaskId},
+    job::{JobId, JobSpec, QueueConfig, RunNumber, TaskId},
     layout::ShardId,
 };
 use std::rc::Rc;
@@ -9,11 +9,12 @@
 data! {
     /// Incarnation of a worker: a restarted worker may keep its id.
     #[derive(Hash, PartialOrd, Ord)]
-    pub struct WorkerLife {
+    pub struct WorkerIncarnation {
         /// The worker's id.
         pub worker: String,
         /// When the worker started, in Unix milliseconds.
-        pub born: u64,
+        #[serde(rename = "born")]
+        pub started_unix_ms: u64,
     }
 
     /// How a run ended, as reported by its worker.
@@ -64,7 +65,7 @@
             /// The job's steps and payload, as submitted.
             spec: Rc<JobSpec>,
             /// Settings of the job's queue at acceptance.
-            terms: QueueTerms,
+            terms: QueueConfig,
             /// Time of acceptance, in Unix milliseconds.
             at_unix_ms: u64,
         },
@@ -73,7 +74,7 @@
             /// The placed run.
             run: RunId,
             /// The worker, in the incarnation for which the run was placed.
-            on: WorkerLife,
+            on: WorkerIncarnation,
         },
         /// A worker reported the end of a run.
         Ended {
@@ -123,7 +124,7 @@
             /// The job's steps and payload, as submitted.
             spec: Rc<JobSpec>,
             /// Settings of the job's queue when the job was accepted.
-            terms: QueueTerms,
+            terms: QueueConfig,
             /// The shard that has the job.
             from: ShardId,
             /// The delegated tasks, each with the number of its last run.
--- a/src/lapisdrum/sched/front.rs
+++ b/src/lapisdrum/sched/front.rs
@@ -10,9 +10,11 @@
     job::{JobId, JobSpec},
     owner::{
         delegate::{GuestTasks, TaskNeed},
-        learned::{HeardUpto, Told},
+        learned::{LearnedUpdate, ReceivedVersions},
+    },
+    peer::{
+        self, AdoptReply, CancelReply, JobState, OwnerReply, OwnerRequest, ShowReply, SubmitReply,
     },
-    peer::{self, AdoptReply, Answer, Ask, CancelReply, JobState, ShowReply, SubmitReply},
 };
 use crate::core::time::{Millis, millis};
 use futures::FutureExt;
@@ -66,7 +68,7 @@
         return Outcome::Refused(NO_LAYOUT_RETRY);
     };
     let mut handle = cx.handle(layout.home(job, &spec));
-    let ask = |is_sent| Ask::Submit {
+    let ask = |is_sent| OwnerRequest::Submit {
         job,
         spec: spec.clone(),
         terms: queue.terms.clone(),
@@ -77,21 +79,23 @@
         let asked = ask_owner(cx, &handle, ask(is_sent)).await;
         let is_time_left = cx.clock.now().since(started_at) + OWNER_TIMEOUT <= IN_FLIGHT_TIMEOUT;
         match &asked {
-            OwnerCall::Answered(Answer::Submitted(SubmitReply::Elsewhere(to))) if !is_sent => {
+            OwnerCall::Answered(OwnerReply::Submitted(SubmitReply::Elsewhere(to))) if !is_sent => {
                 handle = cx.handle(*to);
                 is_sent = true;
             }
-            OwnerCall::Answered(Answer::Submitted(SubmitReply::UnderWay)) if is_time_left => {
+            OwnerCall::Answered(OwnerReply::Submitted(SubmitReply::UnderWay)) if is_time_left => {
                 was_in_flight = true;
             }
             _ => break asked,
         }
     };
     let outcome = match asked {
-        OwnerCall::Answered(Answer::Submitted(SubmitReply::Accepted)) => Outcome::Done(()),
+        OwnerCall::Answered(OwnerReply::Submitted(SubmitReply::Accepted)) => Outcome::Done(()),
         // The job may have been accepted in the meantime, whatever the last answer was; a refusal could be wrong.
         _ if was_in_flight => Outcome::Unknown,
-        OwnerCall::Answered(Answer::Submitted(SubmitReply::Busy(wait))) => Outcome::Refused(wait),
+        OwnerCall::Answered(OwnerReply::Submitted(SubmitReply::Busy(wait))) => {
+            Outcome::Refused(wait)
+        }
         OwnerCall::NotReached => Outcome::Refused(NO_OWNER_RETRY),
         OwnerCall::Answered(_) | OwnerCall::Unanswered => Outcome::Unknown,
     };
@@ -101,16 +105,16 @@
         &cx.cfg.data_centre,
         millis(cx.clock.now().since(started_at)),
     );
-    log::info!(job:% = job, queue:% = queue.terms.queue, data_centre:%, outcome:? = outcome, took_ms, shard:% = handle.part, owner:% = owner, owner_seen_ms, store_up = cx.store_up.get(); "job submitted");
+    log::info!(job:% = job, queue:% = queue.terms.queue, data_centre:%, outcome:? = outcome, took_ms, shard:% = handle.partition, owner:% = owner, owner_seen_ms, store_up = cx.store_up.get(); "job submitted");
     outcome
 }
 
 /// Reads the state of a job.
 pub async fn show(cx: &Cx, job: JobId) -> Outcome<JobState> {
     ask_home_shards(cx, job, async |handle| {
-        match ask_owner(cx, &handle, Ask::Show(job)).await {
-            OwnerCall::Answered(Answer::Shown(ShowReply::State(state))) => Outcome::Done(state),
-            OwnerCall::Answered(Answer::Shown(ShowReply::Unknown)) => Outcome::NoSuchJob,
+        match ask_owner(cx, &handle, OwnerRequest::Show(job)).await {
+            OwnerCall::Answered(OwnerReply::Shown(ShowReply::State(state))) => Outcome::Done(state),
+            OwnerCall::Answered(OwnerReply::Shown(ShowReply::Unknown)) => Outcome::NoSuchJob,
             OwnerCall::NotReached | OwnerCall::Unanswered | OwnerCall::Answered(_) => {
                 Outcome::Refused(NO_OWNER_RETRY)
             }
@@ -125,14 +129,14 @@
 }
 
 async fn cancel_in(cx: &Cx, handle: &Rc<ShardHandle>, job: JobId) -> Outcome<()> {
-    let outcome = match ask_owner(cx, handle, Ask::Cancel(job)).await {
-        OwnerCall::Answered(Answer::Cancelled(CancelReply::Done)) => Outcome::Done(()),
-        OwnerCall::Answered(Answer::Cancelled(CancelReply::UnknownJob)) => Outcome::NoSuchJob,
+    let outcome = match ask_owner(cx, handle, OwnerRequest::Cancel(job)).await {
+        OwnerCall::Answered(OwnerReply::Cancelled(CancelReply::Done)) => Outcome::Done(()),
+        OwnerCall::Answered(OwnerReply::Cancelled(CancelReply::UnknownJob)) => Outcome::NoSuchJob,
         OwnerCall::NotReached => Outcome::Refused(NO_OWNER_RETRY),
         OwnerCall::Unanswered | OwnerCall::Answered(_) => Outcome::Unknown,
     };
     let (owner, owner_seen_ms) = last_known_owner(cx, handle);
-    log::info!(job:% = job, outcome:? = outcome, shard:% = handle.part, owner:% = owner, owner_seen_ms, store_up = cx.store_up.get(); "cancel asked for");
+    log::info!(job:% = job, outcome:? = outcome, shard:% = handle.partition, owner:% = owner, owner_seen_ms, store_up = cx.store_up.get(); "cancel asked for");
     outcome
 }
 
@@ -166,12 +170,12 @@
     };
     let counts = layout.all().map(|shard| {
         let handle = cx.handle(shard);
-        async move { ask_owner(cx, &handle, Ask::Pending(queue.to_owned())).await }
+        async move { ask_owner(cx, &handle, OwnerRequest::Pending(queue.to_owned())).await }
     });
     let mut sum = 0;
     for asked in futures::future::join_all(counts).await {
         match asked {
-            OwnerCall::Answered(Answer::Pending(Some(count))) => sum += count,
+            OwnerCall::Answered(OwnerReply::Pending(Some(count))) => sum += count,
             _ => return Outcome::Refused(NO_OWNER_RETRY),
         }
     }
@@ -179,44 +183,44 @@
 }
 
 /// Share of a shard's capacity taken by long-running tasks, in thousandths; none without an answer from its owner.
-pub async fn load_of(cx: &Cx, handle: &Rc<ShardHandle>) -> Option<u32> {
-    match ask_owner(cx, handle, Ask::Load).await {
-        OwnerCall::Answered(Answer::Load(load)) => load,
+pub async fn long_running_load(cx: &Cx, handle: &Rc<ShardHandle>) -> Option<u32> {
+    match ask_owner(cx, handle, OwnerRequest::Load).await {
+        OwnerCall::Answered(OwnerReply::Load(load)) => load,
         _ => None,
     }
 }
 
 /// Estimates of interference that the owner of a shard added since `upto`; none without an answer.
-pub async fn learned_of(
+pub async fn interference_update(
     cx: &Cx,
     handle: &Rc<ShardHandle>,
-    upto: Option<HeardUpto>,
-) -> Option<Told> {
-    match ask_owner(cx, handle, Ask::Learned(upto)).await {
-        OwnerCall::Answered(Answer::Learned(told)) => told,
+    upto: Option<ReceivedVersions>,
+) -> Option<LearnedUpdate> {
+    match ask_owner(cx, handle, OwnerRequest::Learned(upto)).await {
+        OwnerCall::Answered(OwnerReply::Learned(update)) => update,
         _ => None,
     }
 }
 
 /// Number of the `wanted` tasks for which a shard offers free capacity; none without an answer from its owner.
-pub async fn offer_of(
+pub async fn free_capacity_offer(
     cx: &Cx,
     handle: &Rc<ShardHandle>,
     need: &TaskNeed,
     wanted: u32,
 ) -> Option<u32> {
-    match ask_owner(cx, handle, Ask::Room(need.clone(), wanted)).await {
-        OwnerCall::Answered(Answer::Room(offer)) => offer,
+    match ask_owner(cx, handle, OwnerRequest::Room(need.clone(), wanted)).await {
+        OwnerCall::Answered(OwnerReply::Room(offer)) => offer,
         _ => None,
     }
 }
 
 /// Delegates tasks of another shard's job to a shard; true once the shard has made them durable.
 pub async fn adopt(cx: &Cx, handle: &Rc<ShardHandle>, tasks: GuestTasks) -> bool {
-    let asked = ask_owner(cx, handle, Ask::Adopt(tasks)).await;
+    let asked = ask_owner(cx, handle, OwnerRequest::Adopt(tasks)).await;
     matches!(
         asked,
-        OwnerCall::Answered(Answer::Adopted(AdoptReply::Adopted))
+        OwnerCall::Answered(OwnerReply::Adopted(AdoptReply::Adopted))
     )
 }
 
@@ -231,23 +235,23 @@
 /// Outcome of a call to the owner.
 enum OwnerCall {
     /// The owner answered.
-    Answered(Answer),
+    Answered(OwnerReply),
     /// No owner is known, or the call certainly did not reach it.
     NotReached,
     /// No answer; the owner may have carried out the request.
     Unanswered,
 }
 
-async fn ask_owner(cx: &Cx, handle: &Rc<ShardHandle>, ask: Ask) -> OwnerCall {
+async fn ask_owner(cx: &Cx, handle: &Rc<ShardHandle>, ask: OwnerRequest) -> OwnerCall {
     let mut asked = OwnerCall::NotReached;
     for attempt in 0..MAX_CALLS {
         if attempt > 0 {
-            if cx.reach.is_isolated() {
+            if cx.reachability.is_isolated() {
                 break;
             }
             tokio::time::sleep(RETRY_DELAY).await;
             // If the read fails, the lease stays as last read.
-            let _ = super::lease::look(cx, handle).await;
+            let _ = super::lease::read(cx, handle).await;
         }
         asked = ask_once(cx, handle, ask.clone()).await;
         if !matches!(asked, OwnerCall::NotReached) {
@@ -257,7 +261,7 @@
     asked
 }
 
-async fn ask_once(cx: &Cx, handle: &ShardHandle, ask: Ask) -> OwnerCall {
+async fn ask_once(cx: &Cx, handle: &ShardHandle, ask: OwnerRequest) -> OwnerCall {
     let is_own = handle
         .owner
         .borrow()
@@ -271,7 +275,7 @@
     let Some(holder) = holder.filter(|holder| *holder != cx.me) else {
         return OwnerCall::NotReached;
     };
-    if cx.reach.is_isolated() {
+    if cx.reachability.is_isolated() {
         return OwnerCall::NotReached;
     }
     let now = cx.clock.now();
@@ -293,7 +297,7 @@
         Ok(answer) => classify_answer(answer),
         Err(e) => {
             *handle.silent_owner.borrow_mut() = Some((holder.address.clone(), cx.clock.now()));
-            log::warn!(owner:% = holder.daemon, shard:% = handle.part, error:% = e; "owner does not answer");
+            log::warn!(owner:% = holder.daemon, shard:% = handle.partition, error:% = e; "owner does not answer");
             match e.is_unsent {
                 true => OwnerCall::NotReached,
                 false => OwnerCall::Unanswered,
@@ -302,16 +306,16 @@
     }
 }
 
-fn classify_answer(answer: Answer) -> OwnerCall {
+fn classify_answer(answer: OwnerReply) -> OwnerCall {
     match answer {
-        Answer::Submitted(SubmitReply::NotOwner)
-        | Answer::Shown(ShowReply::NotOwner)
-        | Answer::Cancelled(CancelReply::NotOwner)
-        | Answer::Pending(None)
-        | Answer::Load(None)
-        | Answer::Learned(None)
-        | Answer::Room(None)
-        | Answer::Adopted(AdoptReply::NotOwner) => OwnerCall::NotReached,
+        OwnerReply::Submitted(SubmitReply::NotOwner)
+        | OwnerReply::Shown(ShowReply::NotOwner)
+        | OwnerReply::Cancelled(CancelReply::NotOwner)
+        | OwnerReply::Pending(None)
+        | OwnerReply::Load(None)
+        | OwnerReply::Learned(None)
+        | OwnerReply::Room(None)
+        | OwnerReply::Adopted(AdoptReply::NotOwner) => OwnerCall::NotReached,
         answer => OwnerCall::Answered(answer),
     }
 }
--- a/src/lapisdrum/sched/job.rs
+++ b/src/lapisdrum/sched/job.rs
@@ -231,7 +231,7 @@
     }
 
     /// Settings of a job's queue, as the catalogue had them when the job was accepted.
-    pub struct QueueTerms {
+    pub struct QueueConfig {
         /// Name of the queue.
         pub queue: String,
         /// The pool of workers that runs the queue's tasks.
@@ -371,7 +371,7 @@
     chains
 }
 
-impl QueueTerms {
+impl QueueConfig {
     /// Longest time from submission to completion, in milliseconds, at which a job with this longest chain is on time.
     pub fn objective_ms(&self, chain_ms: u64) -> u64 {
         chain_ms * self.stretch_milli / 1_000 + self.target_ms
--- a/src/lapisdrum/sched/journal.rs
+++ b/src/lapisdrum/sched/journal.rs
@@ -8,16 +8,16 @@
 //! transaction, starts would be blocked behind the run ends that arrive meanwhile.
 //!
 //! The rows of a transaction are written on two conditions: the fence row still has the version from this owner's
-//! take-over, and no rows exist at their sequence numbers. [`settle`](super::settle) interprets the replies. Events
+//! take-over, and no rows exist at their sequence numbers. [`resolution`](super::resolution) interprets the replies. Events
 //! change the owner's state when they are appended; their external effects (a reply to a caller, an order to a
 //! worker) wait for the [`Ticket`].
 
 use super::{
     Cx,
-    edge::{CallError, Row, RowKey, Txn, TxnEnd},
+    edge::{CallError, Row, RowKey, Txn, TxnOutcome},
     event::Event,
     ledger::Ledger,
-    settle::{WriteVerdict, is_piggyback_stale, judge_write},
+    resolution::{WriteVerdict, is_piggyback_stale, judge_write},
 };
 use crate::{core::time::Millis, util::backoff::Backoff};
 use bytes::Bytes;
@@ -76,7 +76,7 @@
 
 /// Outcome of an append.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum AppendEnd {
+pub enum AppendOutcome {
     /// The events are in the store.
     Durable,
     /// This owner has lost the shard. Whether the events are in the store is known to the next owner only.
@@ -84,19 +84,19 @@
 }
 
 /// Pending outcome of an append.
-pub struct Ticket(oneshot::Receiver<AppendEnd>);
+pub struct Ticket(oneshot::Receiver<AppendOutcome>);
 
 impl Ticket {
     /// Waits for the outcome.
-    pub async fn end(self) -> AppendEnd {
-        self.0.await.unwrap_or(AppendEnd::Lost)
+    pub async fn outcome(self) -> AppendOutcome {
+        self.0.await.unwrap_or(AppendOutcome::Lost)
     }
 }
 
 struct PendingAppend {
     lines: Vec<u8>,
     /// Receives the outcome; `None` except in the last chunk of an append.
-    tx: Option<oneshot::Sender<AppendEnd>>,
+    tx: Option<oneshot::Sender<AppendOutcome>>,
 }
 
 /// A row that is written in the same transaction as the next journal rows. A partition of a slow store takes
@@ -111,9 +111,9 @@
 }
 
 /// Result of the transaction that carried a piggyback.
-pub struct PiggybackEnd {
+pub struct PiggybackReply {
     /// Reply of the store.
-    pub end: TxnEnd,
+    pub end: TxnOutcome,
     /// Time at which the transaction was first sent.
     pub sent_at: Millis,
 }
@@ -121,7 +121,7 @@
 /// Outcome of [`Journal::carry`].
 pub enum PiggybackOutcome {
     /// The row was sent with journal rows.
-    Ended(PiggybackEnd),
+    Ended(PiggybackReply),
     /// This owner has lost the shard.
     Lost,
     /// No transaction was started within the limit; returns the row unsent.
@@ -130,7 +130,7 @@
 
 /// Rows of one transaction, with the senders of the appends that complete with it.
 struct Batch {
-    waiting: Vec<oneshot::Sender<AppendEnd>>,
+    waiting: Vec<oneshot::Sender<AppendOutcome>>,
     rows: Vec<Bytes>,
 }
 
@@ -149,7 +149,7 @@
     /// The next snapshot to store.
     snapshot: Option<Snapshot>,
     is_storing_snapshot: bool,
-    piggyback: Option<(Piggyback, oneshot::Sender<PiggybackEnd>)>,
+    piggyback: Option<(Piggyback, oneshot::Sender<PiggybackReply>)>,
     is_lost: bool,
     last_row: u64,
     first_row: u64,
@@ -158,7 +158,7 @@
 
 /// A shard's journal, as written by one owner.
 pub struct Journal {
-    part: String,
+    partition: String,
     fence: (RowKey, u64),
     inner: RefCell<Inner>,
     work: Notify,
@@ -166,10 +166,10 @@
 }
 
 impl Journal {
-    /// Creates the journal of partition `part`. Every write is conditional on `fence`, a key and its version.
-    pub fn new(part: &str, fence: (RowKey, u64)) -> Self {
+    /// Creates the journal of partition `partition`. Every write is conditional on `fence`, a key and its version.
+    pub fn new(partition: &str, fence: (RowKey, u64)) -> Self {
         Self {
-            part: part.to_owned(),
+            partition: partition.to_owned(),
             fence,
             inner: RefCell::default(),
             work: Notify::new(),
@@ -201,16 +201,16 @@
     }
 
     /// Whether the journal accepts new work: the shard is not lost, and no transaction is in flight beyond the limit.
-    pub fn is_flowing(&self, now: Millis) -> bool {
-        let patience = self.patience();
+    pub fn accepts_work(&self, now: Millis) -> bool {
+        let stall_timeout = self.stall_timeout();
         let inner = self.inner.borrow();
         let waited = inner.in_flight_since.map(|since| now.since(since));
-        !inner.is_lost && waited.is_none_or(|waited| waited < patience)
+        !inner.is_lost && waited.is_none_or(|waited| waited < stall_timeout)
     }
 
     /// Time that an append may take before the store counts as unavailable: twice the duration of the last
     /// transaction, within bounds.
-    pub fn patience(&self) -> Duration {
+    pub fn stall_timeout(&self) -> Duration {
         let slow = self.inner.borrow().last_duration * 2;
         slow.clamp(MIN_STALL_TIMEOUT, MAX_STALL_TIMEOUT)
     }
@@ -243,12 +243,12 @@
     }
 
     /// Whether the store was fast in the last transaction, so that it has capacity beyond the journal's needs.
-    pub fn is_quick(&self) -> bool {
+    pub fn is_store_fast(&self) -> bool {
         self.inner.borrow().last_duration < FAST_TXN
     }
 
     /// Stops the journal and drops the queued events.
-    pub fn lose(&self) {
+    pub fn stop(&self) {
         let mut inner = self.inner.borrow_mut();
         inner.is_lost = true;
         inner.pending.clear();
@@ -261,7 +261,7 @@
     pub async fn recover(&self, cx: &Cx) -> eyre::Result<Ledger> {
         // Concurrent, since nothing is started meanwhile: on a store that is 60 times slower, each read takes a third
         // of a second.
-        let rows = cx.store.rows(JOURNAL_TABLE, &self.part, "");
+        let rows = cx.store.rows(JOURNAL_TABLE, &self.partition, "");
         let (snapshot, rows) = futures::join!(self.read_snapshot(cx), rows);
         let (mut ledger, covered) = snapshot?;
         let rows = rows.wrap_err("failed to read the journal")?;
@@ -297,7 +297,7 @@
     }
 
     async fn read_pointer(&self, cx: &Cx) -> eyre::Result<Option<SnapshotPointer>> {
-        let rows = cx.store.rows(SNAPSHOT_TABLE, &self.part, SNAPSHOT_KEY);
+        let rows = cx.store.rows(SNAPSHOT_TABLE, &self.partition, SNAPSHOT_KEY);
         let rows = rows.await.wrap_err("failed to read the snapshot pointer")?;
         let parse = |row: &Row| serde_json::from_slice(&row.value);
         let pointer = rows.first().map(parse).transpose();
@@ -320,7 +320,7 @@
             self.inner.borrow_mut().in_flight_since = Some(began);
             let first = self.inner.borrow().last_row + 1;
             if self.write_batch(cx, first, &batch.rows).await == WriteVerdict::Fenced {
-                self.lose();
+                self.stop();
                 return;
             }
             let took = cx.clock.now().since(began);
@@ -329,7 +329,7 @@
             let is_snapshot_due = self.note_written(last, took);
             for tx in batch.waiting {
                 // The receiver may have timed out and dropped its half.
-                let _ = tx.send(AppendEnd::Durable);
+                let _ = tx.send(AppendOutcome::Durable);
             }
             if is_snapshot_due {
                 self.plan_snapshot(last, state().into());
@@ -404,7 +404,7 @@
                 && let Some((_, tx)) = piggyback.take()
             {
                 // The receiver may have timed out and dropped its half.
-                let _ = tx.send(PiggybackEnd { end, sent_at });
+                let _ = tx.send(PiggybackReply { end, sent_at });
                 txn = self.txn(first, rows, None);
                 sent_at = cx.clock.now();
                 continue;
@@ -412,7 +412,7 @@
             let verdict = judge_write(&end, holds_fence, is_own);
             if verdict != WriteVerdict::SendAgain {
                 if let Some((_, tx)) = piggyback {
-                    let _ = tx.send(PiggybackEnd { end, sent_at });
+                    let _ = tx.send(PiggybackReply { end, sent_at });
                 }
                 cx.metrics.rows_written.inc_by(rows.len() as u64);
                 return verdict;
@@ -468,7 +468,7 @@
         let before = self.read_pointer(cx).await;
         let pointer = SnapshotPointer {
             row: number,
-            object: format!("{}-{number}-{:x}", self.part, self.fence.1),
+            object: format!("{}-{number}-{:x}", self.partition, self.fence.1),
         };
         let stored = cx.store.put_object(&pointer.object, state).await;
         if let Err(e) = stored {
@@ -482,7 +482,7 @@
             delete: Vec::new(),
         };
         // Unless the commit is confirmed, the rows are kept: without the new pointer, deleting them would lose events.
-        if !matches!(cx.store.commit(&txn).await, TxnEnd::Committed(_)) {
+        if !matches!(cx.store.commit(&txn).await, TxnOutcome::Committed(_)) {
             return;
         }
         let first = {
@@ -516,7 +516,7 @@
     fn key(&self, table: &'static str, key: &str) -> RowKey {
         RowKey {
             table,
-            part: self.part.clone(),
+            partition: self.partition.clone(),
             key: key.to_owned(),
         }
     }
@@ -525,7 +525,7 @@
 /// Removes as many appends as fit into one row, adds their senders to `waiting` and returns the encoded row.
 fn take_row(
     pending: &mut VecDeque<PendingAppend>,
-    waiting: &mut Vec<oneshot::Sender<AppendEnd>>,
+    waiting: &mut Vec<oneshot::Sender<AppendOutcome>>,
 ) -> Bytes {
     let head = RowHead {
         nonce: rand::random(),
--- a/src/lapisdrum/sched/layout.rs
+++ b/src/lapisdrum/sched/layout.rs
@@ -10,7 +10,7 @@
 
 use super::{
     Cx,
-    edge::{RowKey, Txn, TxnEnd, WorkerReport},
+    edge::{RowKey, Txn, TxnOutcome, WorkerReport},
     job::{JobId, JobSpec},
 };
 use eyre::WrapErr as _;
@@ -18,7 +18,7 @@
 use std::{rc::Rc, time::Duration};
 
 const LAYOUT_TABLE: &str = "layout";
-const LAYOUT_PART: &str = "layout";
+const LAYOUT_PARTITION: &str = "layout";
 const LAYOUT_KEY: &str = "shards";
 /// Time between two reads of the workers before the first layout is written: they are assumed to be complete when
 /// two successive reads return the same number. Workers register within a third of a second of their start.
@@ -47,7 +47,7 @@
 
 impl ShardId {
     /// The partition of the store that holds the shard's rows.
-    pub fn part(self) -> String {
+    pub fn partition(self) -> String {
         format!("shard-{}", self.0)
     }
 }
@@ -155,13 +155,16 @@
 fn key() -> RowKey {
     RowKey {
         table: LAYOUT_TABLE,
-        part: LAYOUT_PART.to_owned(),
+        partition: LAYOUT_PARTITION.to_owned(),
         key: LAYOUT_KEY.to_owned(),
     }
 }
 
 async fn read(cx: &Cx) -> eyre::Result<Option<(Layout, u64)>> {
-    let rows = cx.store.rows(LAYOUT_TABLE, LAYOUT_PART, LAYOUT_KEY).await;
+    let rows = cx
+        .store
+        .rows(LAYOUT_TABLE, LAYOUT_PARTITION, LAYOUT_KEY)
+        .await;
     let rows = rows.wrap_err("failed to read the layout")?;
     let Some(row) = rows.first() else {
         return Ok(None);
@@ -178,13 +181,13 @@
         delete: Vec::new(),
     };
     let end = cx.store.commit(&txn).await;
-    let is_done = matches!(end, TxnEnd::Committed(_));
+    let is_done = matches!(end, TxnOutcome::Committed(_));
     log::info!(shards = layout.shards, racks = layout.racks.len(), is_done; "layout written");
     Ok(())
 }
 
 /// Reads the layout, or writes the first one of a deployment. Retries until the layout is known.
-pub async fn learn(cx: &Cx) {
+pub async fn load_or_create(cx: &Cx) {
     while cx.layout.borrow().is_none() {
         let known = match read(cx).await {
             Ok(None) => create_first(cx).await,
--- a/src/lapisdrum/sched/lease.rs
+++ b/src/lapisdrum/sched/lease.rs
@@ -10,8 +10,8 @@
 
 use super::{
     Cx, ShardHandle,
-    edge::{CallError, Row, RowKey, Txn, TxnEnd},
-    journal::{Piggyback, PiggybackEnd, PiggybackOutcome},
+    edge::{CallError, Row, RowKey, Txn, TxnOutcome},
+    journal::{Piggyback, PiggybackOutcome, PiggybackReply},
     layout::ShardId,
     owner::Owner,
 };
@@ -222,7 +222,7 @@
 fn key(handle: &ShardHandle, key: &str) -> RowKey {
     RowKey {
         table: OWNERS_TABLE,
-        part: handle.part.clone(),
+        partition: handle.partition.clone(),
         key: key.to_owned(),
     }
 }
@@ -230,7 +230,7 @@
 /// Polls the leases in turn and takes over free shards, until the process ends. A daemon polls one shard at a time,
 /// so that its call rate does not grow with the number of shards.
 pub async fn run(cx: Cx) -> eyre::Result<()> {
-    super::layout::learn(&cx).await;
+    super::layout::load_or_create(&cx).await;
     let shards: Vec<_> = cx.layout.borrow().iter().flat_map(|l| l.all()).collect();
     let pause = (POLL / shards.len().max(1) as u32).max(MIN_PAUSE);
     for shard in poll_order(&shards, cx.me.incarnation).into_iter().cycle() {
@@ -257,7 +257,7 @@
 }
 
 async fn poll_shard(cx: &Cx, handle: &Rc<ShardHandle>) {
-    if let Err(e) = look(cx, handle).await {
+    if let Err(e) = read(cx, handle).await {
         cx.note_store(Err(&e));
     }
     let is_own = handle.owner.borrow().is_some();
@@ -283,7 +283,7 @@
     let wait: Duration = waits.into_iter().sum();
     tokio::time::sleep(wait).await;
     // Another daemon may have taken the shard over meanwhile; a failing attempt would delay its first journal rows.
-    if wait >= POLL && look(cx, handle).await.is_err() {
+    if wait >= POLL && read(cx, handle).await.is_err() {
         return;
     }
     if let Err(e) = try_take(cx, handle).await {
@@ -308,7 +308,7 @@
         Err(e) => e.is_refused,
     };
     if has_holder_ended {
-        log::info!(shard:% = handle.part, holder:% = holder.daemon; "owner is not there any more");
+        log::info!(shard:% = handle.partition, holder:% = holder.daemon; "owner is not there any more");
         handle.lease.borrow_mut().ended_version = Some(version);
     }
 }
@@ -325,9 +325,9 @@
 }
 
 /// Reads the lease and fence rows of a shard into [`ShardHandle::lease`].
-pub async fn look(cx: &Cx, handle: &ShardHandle) -> Result<(), CallError> {
+pub async fn read(cx: &Cx, handle: &ShardHandle) -> Result<(), CallError> {
     let asked_at = cx.clock.now();
-    let rows = cx.store.rows(OWNERS_TABLE, &handle.part, "").await?;
+    let rows = cx.store.rows(OWNERS_TABLE, &handle.partition, "").await?;
     cx.note_store(Ok(()));
     let before = handle.lease.borrow().fence;
     let now = cx.clock.now();
@@ -337,7 +337,7 @@
     let view = handle.lease.borrow().clone();
     if view.fence != before {
         let holder = view.row.map(|row| row.holder.daemon).unwrap_or_default();
-        log::info!(shard:% = handle.part, holder:% = holder, token = view.fence; "owner changed");
+        log::info!(shard:% = handle.partition, holder:% = holder, token = view.fence; "owner changed");
     }
     Ok(())
 }
@@ -367,12 +367,12 @@
     };
     let sent_at = cx.clock.now();
     let end = cx.store.commit(&txn).await;
-    log::info!(shard:% = handle.part, end:? = end, unchanged_ms = sent_at.since(seen.since).as_millis() as u64; "take-over tried");
-    if matches!(end, TxnEnd::Conflict(_) | TxnEnd::NotDone(_)) {
+    log::info!(shard:% = handle.partition, end:? = end, unchanged_ms = sent_at.since(seen.since).as_millis() as u64; "take-over tried");
+    if matches!(end, TxnOutcome::Conflict(_) | TxnOutcome::NotDone(_)) {
         return Ok(());
     }
     // Read the rows back even after a confirmed commit: the token is the version of the fence row.
-    look(cx, handle).await?;
+    read(cx, handle).await?;
     let view = handle.lease.borrow().clone();
     let is_ours = view.row.as_ref() == Some(&row) && view.fence > seen.fence;
     if !is_ours {
@@ -427,25 +427,25 @@
         true => owner.journal.carry(piggyback, PIGGYBACK_TIMEOUT).await,
         false => PiggybackOutcome::NotTaken(piggyback),
     };
-    let PiggybackEnd { end, sent_at } = match carry_outcome {
+    let PiggybackReply { end, sent_at } = match carry_outcome {
         PiggybackOutcome::Ended(end) => end,
         PiggybackOutcome::Lost => return false,
         PiggybackOutcome::NotTaken(piggyback) => renew_separately(cx, owner, piggyback).await,
     };
     match end {
-        TxnEnd::Committed(newest) => {
+        TxnOutcome::Committed(newest) => {
             cx.note_store(Ok(()));
             owner.lease_version.set(newest);
             owner.renewed_at.set(sent_at);
             return true;
         }
-        TxnEnd::Conflict(rows) => adopt_version_or_lose(cx, owner, &rows),
-        TxnEnd::NotDone(e) | TxnEnd::Unknown(e) => cx.note_store(Err(&e)),
+        TxnOutcome::Conflict(rows) => adopt_version_or_lose(cx, owner, &rows),
+        TxnOutcome::NotDone(e) | TxnOutcome::Unknown(e) => cx.note_store(Err(&e)),
     }
     false
 }
 
-async fn renew_separately(cx: &Cx, owner: &Rc<Owner>, piggyback: Piggyback) -> PiggybackEnd {
+async fn renew_separately(cx: &Cx, owner: &Rc<Owner>, piggyback: Piggyback) -> PiggybackReply {
     let txn = Txn {
         expect: vec![(piggyback.row.clone(), piggyback.version), owner.fence()],
         put: vec![(piggyback.row, piggyback.value)],
@@ -453,10 +453,10 @@
     };
     let sent_at = cx.clock.now();
     let end = cx.store.commit(&txn).await;
-    if matches!(end, TxnEnd::Committed(_) | TxnEnd::Conflict(_)) {
+    if matches!(end, TxnOutcome::Committed(_) | TxnOutcome::Conflict(_)) {
         owner.journal.note_answer(cx.clock.now().since(sent_at));
     }
-    PiggybackEnd { end, sent_at }
+    PiggybackReply { end, sent_at }
 }
 
 /// Resolves a conflict: adopts the version of an earlier renewal whose reply was lost, or gives the shard up if another
--- a/src/lapisdrum/sched/ledger.rs
+++ b/src/lapisdrum/sched/ledger.rs
@@ -5,8 +5,8 @@
 //! of the journal passes the same checks.
 
 use super::{
-    event::{Event, Loss, RunEnd, RunId, WorkerLife},
-    job::{Gang, JobId, JobSpec, QueueTerms, RunNumber, Step, StepId, TaskId},
+    event::{Event, Loss, RunEnd, RunId, WorkerIncarnation},
+    job::{Gang, JobId, JobSpec, QueueConfig, RunNumber, Step, StepId, TaskId},
     layout::ShardId,
 };
 use indexmap::IndexMap;
@@ -31,7 +31,7 @@
         /// Greater than the number of every earlier run of the task.
         pub number: RunNumber,
         /// Incarnation of the worker that the run was placed on.
-        pub on: WorkerLife,
+        pub on: WorkerIncarnation,
     }
 
     /// State of one task.
@@ -75,7 +75,7 @@
         /// The specification as submitted.
         pub spec: Rc<JobSpec>,
         /// Settings of the queue, as the catalogue had them at submission.
-        pub terms: QueueTerms,
+        pub terms: QueueConfig,
         /// Time of acceptance, in Unix milliseconds.
         pub accepted_unix_ms: u64,
         /// By number; an occurrence is added when one of its tasks is first placed or adopted.
@@ -212,7 +212,7 @@
         &mut self,
         id: JobId,
         spec: &Rc<JobSpec>,
-        terms: &QueueTerms,
+        terms: &QueueConfig,
         at_unix_ms: u64,
     ) -> Result<(), InvalidEvent> {
         if self.jobs.contains_key(&id) || self.sent.contains_key(&id) {
@@ -271,13 +271,13 @@
         self.jobs.get_mut(&id).ok_or(InvalidEvent::Job(id))
     }
 
-    fn place(&mut self, run: &RunId, on: &WorkerLife) -> Result<(), InvalidEvent> {
+    fn place(&mut self, run: &RunId, on: &WorkerIncarnation) -> Result<(), InvalidEvent> {
         let id = run.task;
         let job = self.job_mut(id.job)?;
         if job.phase != Phase::Active || id.occurrence >= job.spec.occurrences() {
             return Err(InvalidEvent::Job(id.job));
         }
-        if !job.may_begin(id.occurrence, usize::from(id.step)) {
+        if !job.may_start(id.occurrence, usize::from(id.step)) {
             return Err(InvalidEvent::Task(id));
         }
         let is_speculative = job.spec.steps[usize::from(id.step)].is_speculative;
@@ -369,7 +369,7 @@
 }
 
 impl Job {
-    fn new(spec: &Rc<JobSpec>, terms: &QueueTerms, at_unix_ms: u64) -> Self {
+    fn new(spec: &Rc<JobSpec>, terms: &QueueConfig, at_unix_ms: u64) -> Self {
         Self {
             spec: Rc::clone(spec),
             terms: terms.clone(),
@@ -384,7 +384,7 @@
     }
 
     /// Creates the state of another shard's job before any of its tasks is adopted.
-    fn guest(spec: &Rc<JobSpec>, terms: &QueueTerms, from: ShardId, at_unix_ms: u64) -> Self {
+    fn guest(spec: &Rc<JobSpec>, terms: &QueueConfig, from: ShardId, at_unix_ms: u64) -> Self {
         let mut job = Self::new(spec, terms, at_unix_ms);
         let tasks = |step: &Step| StepState {
             tasks: vec![Task::elsewhere(from); step.count as usize],
@@ -435,7 +435,7 @@
     }
 
     /// Number of tasks of a step in the first occurrence that this shard runs itself.
-    pub fn tasks_here(&self, step: usize) -> u64 {
+    pub fn own_task_count(&self, step: usize) -> u64 {
         self.count_tasks_except(step, |task| task.elsewhere.is_some())
     }
 
@@ -472,7 +472,7 @@
     }
 
     /// Whether every step that `step` depends on is done in this occurrence.
-    pub fn may_begin(&self, occurrence: u32, step: usize) -> bool {
+    pub fn may_start(&self, occurrence: u32, step: usize) -> bool {
         let Some(spec) = self.spec.steps.get(step) else {
             return false;
         };
--- a/src/lapisdrum/sched/metrics.rs
+++ b/src/lapisdrum/sched/metrics.rs
@@ -45,13 +45,13 @@
     /// Orders to start a run that were sent to workers.
     pub starts: Counter,
     /// Orders to start a run that got no reply.
-    pub orders_silent: Counter,
+    pub orders_unanswered: Counter,
     /// Orders to change a task's CPU limit.
-    pub paces: Counter,
+    pub cpu_limit_orders: Counter,
     /// Runs that ended without a report from their worker, or never started.
     pub runs_lost: Counter,
     /// Polls of workers.
-    pub looks: Counter,
+    pub polls: Counter,
     /// Take-overs of shards by this process.
     pub takeovers: Counter,
     /// Jobs that have not ended.
@@ -76,10 +76,10 @@
             row_seconds: Histogram::new(exponential_buckets(FIRST_ROW_BUCKET, 2.0, BUCKETS)),
             store_errors: Counter::default(),
             starts: Counter::default(),
-            orders_silent: Counter::default(),
-            paces: Counter::default(),
+            orders_unanswered: Counter::default(),
+            cpu_limit_orders: Counter::default(),
             runs_lost: Counter::default(),
-            looks: Counter::default(),
+            polls: Counter::default(),
             takeovers: Counter::default(),
             jobs_active: Gauge::default(),
             runs_live: Gauge::default(),
@@ -115,21 +115,25 @@
             "Orders to start a run that were sent to workers",
             self.starts.clone(),
         );
-        let silent = self.orders_silent.clone();
+        let orders_unanswered = self.orders_unanswered.clone();
         r.register(
             "orders_silent",
             "Orders to start a run that got no reply",
-            silent,
+            orders_unanswered,
+        );
+        let cpu_limit_orders = self.cpu_limit_orders.clone();
+        r.register(
+            "paces",
+            "Orders to change the CPU limit of a task",
+            cpu_limit_orders,
         );
-        let paces = self.paces.clone();
-        r.register("paces", "Orders to change the CPU limit of a task", paces);
         let lost = self.runs_lost.clone();
         r.register(
             "runs_lost",
             "Runs that ended without a report from their worker, or never started",
             lost,
         );
-        r.register("looks", "Polls of workers", self.looks.clone());
+        r.register("looks", "Polls of workers", self.polls.clone());
         r.register("takeovers", "Shards taken over", self.takeovers.clone());
         let active = self.jobs_active.clone();
         r.register("jobs_active", "Jobs that have not ended", active);
--- a/src/lapisdrum/sched/mod.rs
+++ b/src/lapisdrum/sched/mod.rs
@@ -5,7 +5,7 @@
 //! that any process may take over ([`lease`]). The owner persists its state as a journal in the store
 //! ([`journal`], [`ledger`]).
 //!
-//! [`job`], [`event`], [`ledger`] and [`settle`] do no I/O, nor does [`crate::policy::dispatch`]. [`owner`] drives
+//! [`job`], [`event`], [`ledger`] and [`resolution`] do no I/O, nor does [`crate::policy::dispatch`]. [`owner`] drives
 //! them, [`front`] forwards callers' requests to the shard's leaseholder ([`peer`]), and [`edge`] is the interface to
 //! store, workers and directory. Everything runs on one thread; state is never borrowed across an `await`.
 
@@ -23,8 +23,8 @@
 pub mod owner;
 pub mod peer;
 pub mod process;
-pub mod reach;
-pub mod settle;
+pub mod reachability;
+pub mod resolution;
 pub mod shape;
 
 use crate::{
@@ -36,7 +36,7 @@
 use layout::{Layout, ShardId};
 use lease::{Holder, LeaseView};
 use owner::Owner;
-use settle::LeaseLimits;
+use resolution::LeaseLimits;
 use std::{
     cell::{Cell, RefCell},
     net::SocketAddr,
@@ -80,7 +80,7 @@
     /// Number of the shard.
     pub shard: ShardId,
     /// The partition of the store that holds the shard's rows.
-    pub part: String,
+    pub partition: String,
     /// The ownership lease, as last read from the store.
     pub lease: RefCell<LeaseView>,
     /// Address of the owner that last left a call unanswered, and when it did.
@@ -106,7 +106,7 @@
     /// Client for calls to other processes.
     pub peers: peer::Peers,
     /// Reachability of the store and of other processes.
-    pub reach: reach::Reach,
+    pub reachability: reachability::Reachability,
     /// Counters and histograms of this process.
     pub metrics: metrics::Metrics,
     /// The catalogue in force in this process; none before the first read.
@@ -145,7 +145,7 @@
             workers,
             directory,
             peers: peer::Peers::default(),
-            reach: reach::Reach::default(),
+            reachability: reachability::Reachability::default(),
             metrics: metrics::Metrics::new(),
             catalogue: RefCell::default(),
             evacuations: RefCell::default(),
@@ -164,7 +164,7 @@
         let handle = handles.entry(shard).or_insert_with(|| {
             Rc::new(ShardHandle {
                 shard,
-                part: shard.part(),
+                partition: shard.partition(),
                 lease: RefCell::default(),
                 silent_owner: RefCell::default(),
                 owner: RefCell::default(),
@@ -205,7 +205,7 @@
     pub fn note_store(&self, answered: Result<(), &CallError>) {
         self.note_read_pace(answered);
         match answered {
-            Ok(()) => self.reach.note_store(self.clock.now()),
+            Ok(()) => self.reachability.note_store(self.clock.now()),
             Err(e) => {
                 self.metrics.store_errors.inc();
                 log::debug!(error:% = e; "store call failed");
--- a/src/lapisdrum/sched/owner/backlog.rs
+++ b/src/lapisdrum/sched/owner/backlog.rs
@@ -88,7 +88,7 @@
         self.reported_at = Some(now);
         let room = room();
         log::info!(
-            shard:% = owner.handle.part,
+            shard:% = owner.handle.partition,
             since_ms,
             serving_waiting = serving.waiting,
             serving_oldest_ms = serving.oldest_ms,
@@ -123,7 +123,7 @@
 
 /// Whether it is time to check again why a step waits.
 pub fn is_reason_due(owner: &Owner, step: &StepId, now: Millis) -> bool {
-    let waits = owner.waits.borrow();
+    let waits = owner.wait_reasons.borrow();
     waits
         .get(step)
         .is_none_or(|(_, checked_at)| now.since(*checked_at) >= REASON_INTERVAL)
@@ -140,7 +140,10 @@
     let (Some(why), true) = (shortage.main(), is_reason_due(owner, &waiting.step, now)) else {
         return;
     };
-    let before = owner.waits.borrow_mut().insert(waiting.step, (why, now));
+    let before = owner
+        .wait_reasons
+        .borrow_mut()
+        .insert(waiting.step, (why, now));
     if before.is_some_and(|(before, _)| before == why) {
         return;
     }
--- a/src/lapisdrum/sched/owner/send.rs
+++ b/src/lapisdrum/sched/owner/balance.rs
@@ -14,7 +14,7 @@
     event::Event,
     front,
     job::{JobId, JobSpec},
-    journal::AppendEnd,
+    journal::AppendOutcome,
     layout::{Layout, ShardId},
     ledger::{Job, Phase},
     peer::SubmitReply,
@@ -34,33 +34,33 @@
 }
 
 /// The reply to a submission that another shard has to accept; none if this shard has to.
-pub async fn elsewhere(
+pub async fn reply_if_sent(
     cx: &Cx,
     owner: &Rc<Owner>,
     job: JobId,
     spec: &JobSpec,
 ) -> Option<SubmitReply> {
     if let Some(other) = candidate(cx, owner, job, spec) {
-        let own = owner.lasting_load(cx);
+        let own = owner.long_running_load(cx);
         let handle = cx.handle(other);
-        let asked = tokio::time::timeout(LOAD_TIMEOUT, front::load_of(cx, &handle)).await;
+        let asked = tokio::time::timeout(LOAD_TIMEOUT, front::long_running_load(cx, &handle)).await;
         let theirs = asked.ok().flatten();
         let is_decided = !is_new(owner, job);
         if let (false, Some(own), Some(theirs)) = (is_decided, own, theirs)
             && is_less_loaded(own, theirs)
-            && owner.journal.is_flowing(cx.clock.now())
+            && owner.journal.accepts_work(cx.clock.now())
         {
-            log::info!(job:% = job, from:% = owner.handle.part, to:% = handle.part, own, theirs; "job is sent to another shard");
+            log::info!(job:% = job, from:% = owner.handle.partition, to:% = handle.partition, own, theirs; "job is sent to another shard");
             drop(owner.propose(cx, vec![sent(cx, job, other)]));
         }
     }
     let to = owner.ledger.borrow().sent.get(&job).map(|sent| sent.to)?;
     // An empty append is durable once all earlier ones are, including the decision.
-    let settled = owner.journal.append(&[]).end();
-    match tokio::time::timeout(ANSWER_WITHIN, settled).await {
-        Ok(AppendEnd::Durable) => Some(SubmitReply::Elsewhere(to)),
-        Err(_) if owner.journal.is_flowing(cx.clock.now()) => Some(SubmitReply::UnderWay),
-        Ok(AppendEnd::Lost) | Err(_) => Some(SubmitReply::Unknown),
+    let outcome = owner.journal.append(&[]).outcome();
+    match tokio::time::timeout(ANSWER_WITHIN, outcome).await {
+        Ok(AppendOutcome::Durable) => Some(SubmitReply::Elsewhere(to)),
+        Err(_) if owner.journal.accepts_work(cx.clock.now()) => Some(SubmitReply::UnderWay),
+        Ok(AppendOutcome::Lost) | Err(_) => Some(SubmitReply::Unknown),
     }
 }
 
@@ -101,14 +101,14 @@
     let steps = job.spec.steps.iter().enumerate();
     let lasting = steps.filter(|(_, step)| step.is_long_running);
     lasting
-        .map(|(at, step)| step.size.millicores * job.tasks_here(at))
+        .map(|(at, step)| step.size.millicores * job.own_task_count(at))
         .sum()
 }
 
 impl Owner {
     /// Processors that active jobs' long-running tasks ask for, in thousandths of the shard's capacity. None before the
     /// shard is recovered and while no worker is open for tasks.
-    pub fn lasting_load(&self, cx: &Cx) -> Option<u32> {
+    pub fn long_running_load(&self, cx: &Cx) -> Option<u32> {
         if !self.is_recovered() {
             return None;
         }
--- a/src/lapisdrum/sched/owner/delegate.rs
+++ b/src/lapisdrum/sched/owner/delegate.rs
@@ -17,8 +17,8 @@
         Cx,
         event::Event,
         front,
-        job::{Gang, JobId, JobSpec, QueueTerms, RunNumber, Step, TaskId},
-        journal::AppendEnd,
+        job::{Gang, JobId, JobSpec, QueueConfig, RunNumber, Step, TaskId},
+        journal::AppendOutcome,
         layout::ShardId,
         ledger::{Job, Phase},
         peer::AdoptReply,
@@ -72,7 +72,7 @@
         /// The job as submitted.
         pub spec: JobSpec,
         /// Settings of its queue, as the catalogue had them at submission.
-        pub terms: QueueTerms,
+        pub terms: QueueConfig,
         /// The shard that owns the job.
         pub from: ShardId,
         /// The tasks, each with the number of its last run.
@@ -189,7 +189,7 @@
     let others = layout.all().filter(|shard| *shard != owner.handle.shard);
     let asked = others.map(async |shard| {
         let handle = cx.handle(shard);
-        let offer = front::offer_of(cx, &handle, need, wanted);
+        let offer = front::free_capacity_offer(cx, &handle, need, wanted);
         let offered = tokio::time::timeout(OFFER_TIMEOUT, offer).await;
         // A shard that does not answer in time offers nothing in this round.
         (shard, offered.ok().flatten().unwrap_or_default())
@@ -208,13 +208,13 @@
         .filter(|t| still.contains_key(t))
         .collect();
     for task in &tasks {
-        log::info!(task:% = task, from:% = owner.handle.part, to = to.0; "task is delegated");
+        log::info!(task:% = task, from:% = owner.handle.partition, to = to.0; "task is delegated");
     }
     let events = tasks
         .iter()
         .map(|task| Event::Delegated { task: *task, to });
     let ticket = owner.propose(cx, events.collect());
-    if ticket.end().await == AppendEnd::Durable {
+    if ticket.outcome().await == AppendOutcome::Durable {
         let open = &mut owner.delegations.borrow_mut().open;
         open.extend(tasks.iter().map(|task| task.job));
     }
@@ -293,7 +293,7 @@
     }
 
     /// Has a job's end sent to the shards that have tasks of it.
-    pub fn pass_end_on(&self, job: JobId) {
+    pub fn send_job_end(&self, job: JobId) {
         let ledger = self.ledger.borrow();
         let job_state = ledger.jobs.get(&job);
         if job_state.is_some_and(|state| !state.delegated(job).is_empty()) {
@@ -311,7 +311,7 @@
     /// Offers capacity for up to `wanted` tasks, beyond what the shard's own interrupted tasks need. An offer counts as
     /// taken for a second, else several shards would delegate tasks to the same few hosts. None while the shard cannot
     /// place tasks.
-    pub fn offer_room(&self, cx: &Cx, need: &TaskNeed, wanted: u32) -> Option<u32> {
+    pub fn offer_capacity(&self, cx: &Cx, need: &TaskNeed, wanted: u32) -> Option<u32> {
         let room = self.capacity_for(cx, need)?;
         let now = cx.clock.now();
         let offered = &mut self.delegations.borrow_mut().offered;
@@ -357,10 +357,10 @@
     }
     let (job, is_over, at_unix_ms) = (tasks.job, tasks.is_over, cx.unix_ms());
     if owner.owns_job(job) {
-        log::error!(job:% = job, shard:% = owner.handle.part, from = tasks.from.0; "another shard delegated tasks of a job that this shard owns");
+        log::error!(job:% = job, shard:% = owner.handle.partition, from = tasks.from.0; "another shard delegated tasks of a job that this shard owns");
         return AdoptReply::NotOwner;
     }
-    log::info!(job:% = job, shard:% = owner.handle.part, from = tasks.from.0, tasks = tasks.tasks.len(), is_over; "tasks are adopted");
+    log::info!(job:% = job, shard:% = owner.handle.partition, from = tasks.from.0, tasks = tasks.tasks.len(), is_over; "tasks are adopted");
     let mut events = vec![Event::Adopted {
         job,
         spec: Rc::new(tasks.spec),
@@ -378,9 +378,9 @@
         owner.active.borrow_mut().insert(job);
         owner.wake.notify_one();
     }
-    owner.note_if_over(cx, job);
-    match ticket.end().await {
-        AppendEnd::Durable => AdoptReply::Adopted,
-        AppendEnd::Lost => AdoptReply::NotOwner,
+    owner.note_if_ended(cx, job);
+    match ticket.outcome().await {
+        AppendOutcome::Durable => AdoptReply::Adopted,
+        AppendOutcome::Lost => AdoptReply::NotOwner,
     }
 }
--- a/src/lapisdrum/sched/owner/directory.rs
+++ b/src/lapisdrum/sched/owner/directory.rs
@@ -1,6 +1,6 @@
 //! Polls the directory for the shard's workers.
 
-use super::{Owner, runs, session::Session, visit};
+use super::{Owner, poll, runs, session::Session};
 use crate::{
     policy::polling,
     sched::{
@@ -38,7 +38,10 @@
 }
 
 fn note(cx: &Cx, owner: &Rc<Owner>, reports: Vec<WorkerReport>) {
-    let named: IndexSet<String> = reports.iter().map(|r| r.life.worker.clone()).collect();
+    let named: IndexSet<String> = reports
+        .iter()
+        .map(|r| r.incarnation.worker.clone())
+        .collect();
     for report in reports {
         note_one(cx, owner, report);
     }
@@ -49,13 +52,13 @@
         }
     }
     owner.sessions.borrow_mut().retain(|_, session| {
-        session.is_registered || session.is_watched || !session.runs.is_empty()
+        session.is_registered || session.is_polled || !session.runs.is_empty()
     });
     owner.wake.notify_one();
 }
 
 fn note_one(cx: &Cx, owner: &Rc<Owner>, report: WorkerReport) {
-    let worker = report.life.worker.clone();
+    let worker = report.incarnation.worker.clone();
     let mut sessions = owner.sessions.borrow_mut();
     let session = sessions
         .entry(worker.clone())
@@ -65,14 +68,14 @@
         .as_ref()
         .is_some_and(|r| r.leaving_in.is_some());
     if !session.is_registered || was_leaving != report.leaving_in.is_some() {
-        log::info!(worker:% = worker, address:% = report.address, born = report.life.born, leaving_in:? = report.leaving_in; "worker registered");
+        log::info!(worker:% = worker, address:% = report.address, born = report.incarnation.started_unix_ms, leaving_in:? = report.leaving_in; "worker registered");
     }
     session.is_registered = true;
     let is_leaving = report.leaving_in.is_some();
     session.report = Some(Rc::new(report));
     drop(sessions);
-    visit::watch(cx, owner, &worker);
+    poll::start_polling(cx, owner, &worker);
     if is_leaving {
-        runs::leave_worker(cx, owner, &worker);
+        runs::stop_movable_runs(cx, owner, &worker);
     }
 }
--- a/src/lapisdrum/sched/owner/dispatch.rs
+++ b/src/lapisdrum/sched/owner/dispatch.rs
@@ -22,7 +22,7 @@
     sched::{
         Cx,
         edge::WorkerReport,
-        event::{Event, RunId, WorkerLife},
+        event::{Event, RunId, WorkerIncarnation},
         job::{Gang, JobId, RunNumber, Step, StepId, TaskId},
         ledger::{Job, Task},
     },
@@ -75,7 +75,7 @@
 impl Owner {
     /// Whether tasks may be placed: the shard is recovered and its journal keeps up with appends.
     pub fn may_place(&self, cx: &Cx) -> bool {
-        self.is_recovered() && self.journal.is_flowing(cx.clock.now())
+        self.is_recovered() && self.journal.accepts_work(cx.clock.now())
     }
 
     /// The workers to which new tasks may be sent.
@@ -206,7 +206,7 @@
                 step: at as u16,
             };
             let tasks = startable(job, &step, spec);
-            if tasks.is_empty() || !job.may_begin(occurrence, at) {
+            if tasks.is_empty() || !job.may_start(occurrence, at) {
                 continue;
             }
             let standing = Standing {
@@ -258,9 +258,9 @@
     let now = cx.clock.now();
     let sessions = owner.sessions.borrow();
     let host = |report: &'a Rc<WorkerReport>| {
-        let session = &sessions[&report.life.worker];
+        let session = &sessions[&report.incarnation.worker];
         Host {
-            id: &report.life.worker,
+            id: &report.incarnation.worker,
             pool: &report.pool,
             rack: report.rack.as_deref(),
             labels: &report.labels,
@@ -269,7 +269,7 @@
             best_effort_millicores: session.tally.best_effort_millicores,
             serving: strain::serving_tasks(
                 owner,
-                &report.life.worker,
+                &report.incarnation.worker,
                 report.capacity.millicores,
                 now,
             ),
@@ -285,7 +285,7 @@
 }
 
 /// A run and the worker that it is placed on.
-type Placed = (RunId, WorkerLife);
+type Placed = (RunId, WorkerIncarnation);
 
 fn need_of<'a>(owner: &Owner, job: &'a Job, spec: &'a Step, step: &StepId) -> Need<'a> {
     let name = spec.image.as_ref();
@@ -357,7 +357,7 @@
             task,
             run: number(*index),
         };
-        placed.push((run, reports[at].life.clone()));
+        placed.push((run, reports[at].incarnation.clone()));
     }
     if let Some((hosts_before, len)) = before
         && placed.len() - len < waiting.tasks.len()
@@ -456,7 +456,7 @@
         }
         owner.add_placed(cx, run, &on);
         owner
-            .begun_at
+            .started_at
             .borrow_mut()
             .entry(run.task.job)
             .or_insert(now);
--- a/src/lapisdrum/sched/owner/headroom.rs
+++ b/src/lapisdrum/sched/owner/headroom.rs
@@ -11,11 +11,11 @@
         place::{Host, Load},
         short_work::Class,
     },
-    sched::job::{QueueTerms, Step},
+    sched::job::{QueueConfig, Step},
 };
 use indexmap::IndexMap;
 
-fn class_of(terms: &QueueTerms) -> Class {
+fn class_of(terms: &QueueConfig) -> Class {
     Class {
         pool: terms.pool.clone(),
         priority: terms.priority,
@@ -23,7 +23,7 @@
 }
 
 /// The class under which a step's short tasks are counted; none for long-running and best-effort tasks.
-pub fn short_class(terms: &QueueTerms, step: &Step) -> Option<Class> {
+pub fn short_class(terms: &QueueConfig, step: &Step) -> Option<Class> {
     let is_short = !step.is_long_running && load_of(step) != Load::BestEffort;
     is_short.then(|| class_of(terms))
 }
@@ -37,7 +37,7 @@
 }
 
 /// Removes an ended run from what short tasks hold.
-pub fn note_over(owner: &Owner, record: &RunRecord) {
+pub fn note_ended(owner: &Owner, record: &RunRecord) {
     if let Some(class) = &record.short_class {
         let mut short_work = owner.short_work.borrow_mut();
         short_work.over(class, record.size.millicores);
@@ -58,7 +58,7 @@
 }
 
 /// How many thousandths of a core new long-running tasks of a queue may take in its pool.
-pub fn free_for_long_running(owner: &Owner, terms: &QueueTerms, hosts: &[Host]) -> u64 {
+pub fn free_for_long_running(owner: &Owner, terms: &QueueConfig, hosts: &[Host]) -> u64 {
     let class = class_of(terms);
     let in_pool = || hosts.iter().filter(|host| host.pool == class.pool);
     let capacity = in_pool().map(|host| host.capacity.millicores).sum();
--- a/src/lapisdrum/sched/owner/jobs.rs
+++ b/src/lapisdrum/sched/owner/jobs.rs
@@ -1,13 +1,13 @@
 //! Serves requests about jobs: submission, state, cancellation and the number of pending jobs.
 
-use super::{Owner, send};
+use super::{Owner, balance};
 use crate::{
     daemon::supervisor,
     sched::{
         Cx,
         event::Event,
-        job::{JobId, JobSpec, QueueTerms},
-        journal::AppendEnd,
+        job::{JobId, JobSpec, QueueConfig},
+        journal::AppendOutcome,
         ledger::{Job, Phase},
         peer::{CancelReply, JobState, ShowReply, SubmitReply},
         shape::Shape,
@@ -30,21 +30,21 @@
     owner: &Rc<Owner>,
     job: JobId,
     spec: Rc<JobSpec>,
-    terms: QueueTerms,
+    terms: QueueConfig,
     is_sent: bool,
 ) -> SubmitReply {
     if !owner.is_recovered() {
         return SubmitReply::NotOwner;
     }
-    if !is_sent && let Some(to) = send::elsewhere(cx, owner, job, &spec).await {
+    if !is_sent && let Some(to) = balance::reply_if_sent(cx, owner, job, &spec).await {
         return to;
     }
     let is_known = owner.ledger.borrow().jobs.contains_key(&job);
-    if !is_known && !owner.journal.is_flowing(cx.clock.now()) {
+    if !is_known && !owner.journal.accepts_work(cx.clock.now()) {
         return SubmitReply::Busy(STORE_AWAY_RETRY);
     }
     if !is_known && owner.is_evacuated(cx) {
-        log::info!(job:% = job, shard:% = owner.handle.part; "submission refused: every data centre is evacuated");
+        log::info!(job:% = job, shard:% = owner.handle.partition; "submission refused: every data centre is evacuated");
         return SubmitReply::Busy(EVACUATED_RETRY);
     }
     if !is_known {
@@ -56,13 +56,13 @@
     };
     let resolved = accepting.wait_for(Option::is_some);
     match tokio::time::timeout(ANSWER_WITHIN, resolved).await {
-        Ok(Ok(outcome)) if *outcome == Some(AppendEnd::Durable) => SubmitReply::Accepted,
-        Err(_) if owner.journal.is_flowing(cx.clock.now()) => SubmitReply::UnderWay,
+        Ok(Ok(outcome)) if *outcome == Some(AppendOutcome::Durable) => SubmitReply::Accepted,
+        Err(_) if owner.journal.accepts_work(cx.clock.now()) => SubmitReply::UnderWay,
         _ => SubmitReply::Unknown,
     }
 }
 
-fn accept(cx: &Cx, owner: &Rc<Owner>, job: JobId, spec: Rc<JobSpec>, terms: QueueTerms) {
+fn accept(cx: &Cx, owner: &Rc<Owner>, job: JobId, spec: Rc<JobSpec>, terms: QueueConfig) {
     let event = Event::Accepted {
         job,
         spec,
@@ -75,9 +75,9 @@
     owner.accepting.borrow_mut().insert(job, rx);
     let owner = Rc::clone(owner);
     supervisor::spawn("accept", async move {
-        let outcome = ticket.end().await;
+        let outcome = ticket.outcome().await;
         owner.accepting.borrow_mut().swap_remove(&job);
-        if outcome == AppendEnd::Durable {
+        if outcome == AppendOutcome::Durable {
             log_accepted(&owner, job);
         }
         tx.send_replace(Some(outcome));
@@ -91,7 +91,7 @@
         return;
     };
     let objective_ms = job.terms.objective_ms(job.spec.longest_chain_ms());
-    log::info!(job:% = id, queue:% = job.terms.queue, shard:% = owner.handle.part, steps:% = Shape::from(&*job.spec), objective_ms; "job accepted");
+    log::info!(job:% = id, queue:% = job.terms.queue, shard:% = owner.handle.partition, steps:% = Shape::from(&*job.spec), objective_ms; "job accepted");
 }
 
 /// Returns a job's state; an acceptance or end that is not durable yet is not shown.
@@ -140,15 +140,15 @@
         Some(Phase::Active) => {
             let at_unix_ms = cx.unix_ms();
             let ticket = owner.propose(cx, vec![Event::Cancelled { job, at_unix_ms }]);
-            owner.note_if_over(cx, job);
+            owner.note_if_ended(cx, job);
             ticket
         }
         // An empty append is durable once all earlier ones are; an earlier cancellation may not be durable yet.
         Some(_) => owner.journal.append(&[]),
     };
-    match tokio::time::timeout(owner.journal.patience(), ticket.end()).await {
-        Ok(AppendEnd::Durable) => CancelReply::Done,
-        Ok(AppendEnd::Lost) | Err(_) => CancelReply::Unknown,
+    match tokio::time::timeout(owner.journal.stall_timeout(), ticket.outcome()).await {
+        Ok(AppendOutcome::Durable) => CancelReply::Done,
+        Ok(AppendOutcome::Lost) | Err(_) => CancelReply::Unknown,
     }
 }
 
--- a/src/lapisdrum/sched/owner/learned.rs
+++ b/src/lapisdrum/sched/owner/learned.rs
@@ -36,7 +36,7 @@
 data! {
     /// Time up to which an owner's updates were received, on that owner's clock.
     #[derive(Copy)]
-    pub struct HeardUpto {
+    pub struct ReceivedVersions {
         /// Fencing token of the owner. Another owner has another clock, so its times cannot be compared.
         token: u64,
         /// Everything older was received.
@@ -44,9 +44,9 @@
     }
 
     /// Update that an owner sends to another.
-    pub struct Told {
+    pub struct LearnedUpdate {
         /// Time up to which the update is complete; sent with the next call.
-        pub upto: HeardUpto,
+        pub upto: ReceivedVersions,
         /// Estimates that are new or changed since the last update.
         pub learned: Learned,
     }
@@ -54,23 +54,27 @@
 
 /// Estimates that this owner measured itself since `upto`, or all of them if `upto` is from another owner. None before
 /// the shard is recovered.
-pub fn tell(cx: &Cx, owner: &Owner, upto: Option<HeardUpto>) -> Option<Told> {
+pub fn updates_since(
+    cx: &Cx,
+    owner: &Owner,
+    upto: Option<ReceivedVersions>,
+) -> Option<LearnedUpdate> {
     if !owner.is_recovered() {
         return None;
     }
-    let is_of_owner = |upto: &HeardUpto| upto.token == owner.token();
+    let is_of_owner = |upto: &ReceivedVersions| upto.token == owner.token();
     let since = upto.filter(is_of_owner).map(|upto| upto.at);
-    let upto = HeardUpto {
+    let upto = ReceivedVersions {
         token: owner.token(),
         at: cx.clock.now(),
     };
     let learned = Learned::since(&owner.pressure.borrow(), since.unwrap_or_default());
-    Some(Told { upto, learned })
+    Some(LearnedUpdate { upto, learned })
 }
 
 /// Requests updates from the owners of other shards until the shard is lost.
-pub async fn hear(cx: Cx, owner: Rc<Owner>) {
-    let mut heard: IndexMap<ShardId, HeardUpto> = IndexMap::new();
+pub async fn receive_updates(cx: Cx, owner: Rc<Owner>) {
+    let mut received: IndexMap<ShardId, ReceivedVersions> = IndexMap::new();
     let mut turn = 0;
     while owner.is_serving() {
         tokio::time::sleep(REQUEST_INTERVAL).await;
@@ -78,16 +82,16 @@
             continue;
         };
         turn += 1;
-        let upto = heard.get(&shard).copied();
-        let Some(told) = front::learned_of(&cx, &cx.handle(shard), upto).await else {
+        let upto = received.get(&shard).copied();
+        let Some(update) = front::interference_update(&cx, &cx.handle(shard), upto).await else {
             continue;
         };
-        heard.insert(shard, told.upto);
+        received.insert(shard, update.upto);
         owner
             .pressure
             .borrow_mut()
-            .adopt(u32::from(shard.0), &told.learned);
-        log::debug!(shard:% = owner.handle.part, from:% = shard.part(), pairs = told.learned.pairs(); "interference estimates received");
+            .adopt(u32::from(shard.0), &update.learned);
+        log::debug!(shard:% = owner.handle.partition, from:% = shard.partition(), pairs = update.learned.pairs(); "interference estimates received");
     }
 }
 
@@ -98,10 +102,10 @@
 }
 
 /// Loads the estimates that the previous owner stored.
-pub async fn resume(cx: &Cx, owner: &Owner) {
+pub async fn load_estimates(cx: &Cx, owner: &Owner) {
     let rows = cx
         .store
-        .rows(LEARNED_TABLE, &owner.handle.part, PRESSURE_KEY)
+        .rows(LEARNED_TABLE, &owner.handle.partition, PRESSURE_KEY)
         .await;
     let row = rows.ok().and_then(|rows| rows.into_iter().next());
     let learned = row.and_then(|row| serde_json::from_slice::<Learned>(&row.value).ok());
@@ -109,19 +113,19 @@
         Some(learned) => {
             let resumed = Pressure::resumed(&learned);
             *owner.pressure.borrow_mut() = resumed;
-            log::info!(shard:% = owner.handle.part; "interference estimates loaded");
+            log::info!(shard:% = owner.handle.partition; "interference estimates loaded");
         }
-        None => log::info!(shard:% = owner.handle.part; "no interference estimates to load"),
+        None => log::info!(shard:% = owner.handle.partition; "no interference estimates to load"),
     }
 }
 
 /// Writes the estimates to the store until the shard is lost.
-pub async fn hand_on(cx: Cx, owner: Rc<Owner>) {
+pub async fn store_estimates(cx: Cx, owner: Rc<Owner>) {
     let mut written = Vec::new();
     while owner.is_serving() {
         tokio::time::sleep(WRITE_INTERVAL).await;
         // On a slow store, the few transactions of the partition are left to the journal.
-        if !owner.journal.is_quick() {
+        if !owner.journal.is_store_fast() {
             continue;
         }
         let learned = Learned::from(&*owner.pressure.borrow());
@@ -136,7 +140,7 @@
 async fn write(cx: &Cx, owner: &Owner, value: &[u8]) {
     let row = RowKey {
         table: LEARNED_TABLE,
-        part: owner.handle.part.clone(),
+        partition: owner.handle.partition.clone(),
         key: PRESSURE_KEY.to_owned(),
     };
     let txn = Txn {
--- a/src/lapisdrum/sched/owner/mod.rs
+++ b/src/lapisdrum/sched/owner/mod.rs
@@ -2,34 +2,34 @@
 //!
 //! An owner first reads the journal, then *claims* each worker: it polls the worker under its own fencing
 //! token, after which the worker refuses orders of earlier owners, and receives the list of runs there. It
-//! starts nothing on a worker before that. [`directory`] follows the list of workers, [`visit`] polls
+//! starts nothing on a worker before that. [`directory`] follows the list of workers, [`poll`] polls
 //! each of them, [`runs`] sends orders and resolves their outcome, [`dispatch`] places tasks, [`jobs`]
 //! serves callers.
 
 pub mod backlog;
+pub mod balance;
 pub mod delegate;
 pub mod directory;
 pub mod dispatch;
 pub mod headroom;
 pub mod jobs;
 pub mod learned;
-pub mod predecessor;
+pub mod poll;
+pub mod previous_owner;
 pub mod runs;
-pub mod send;
 pub mod session;
 pub mod strain;
 pub mod upkeep;
-pub mod visit;
 
 use super::{
     Cx, ShardHandle,
     edge::RowKey,
     event::{Event, RunId},
     job::{JobId, StepId, TaskId},
-    journal::{AppendEnd, Journal, Ticket},
+    journal::{AppendOutcome, Journal, Ticket},
     lease::{self, Holder, LeaseView},
     ledger::{Ledger, Phase},
-    settle::{Habit, LeaseBound},
+    resolution::{LateExecution, LeaseBound},
 };
 use crate::{
     core::time::{Millis, millis},
@@ -74,13 +74,13 @@
     /// When the take-over transaction was sent.
     pub taken_at: Millis,
     /// The previous owner; none for the first one.
-    pub predecessor: Option<Holder>,
+    pub previous_owner: Option<Holder>,
     /// Latest time at which the previous owner can have renewed its lease.
-    pub predecessor_renewed_at: Millis,
+    pub previous_owner_renewed_at: Millis,
     /// Latest time at which the previous owner can have taken the shard.
-    pub predecessor_took_at: Millis,
+    pub previous_owner_took_at: Millis,
     /// No earlier owner sent a lease after this time; set once the previous owner is known to have ended.
-    pub predecessor_gone_at: Cell<Option<Millis>>,
+    pub previous_owner_ended_at: Cell<Option<Millis>>,
     /// When a worker last left an order unanswered and answered a later call.
     late_execution_at: Cell<Option<Millis>>,
     /// Version of the lease row that this owner last wrote.
@@ -100,7 +100,7 @@
     /// Jobs that have not ended.
     pub active: RefCell<IndexSet<JobId>>,
     /// Jobs whose acceptance is not durable yet; the channel receives the outcome.
-    pub accepting: RefCell<IndexMap<JobId, watch::Receiver<Option<AppendEnd>>>>,
+    pub accepting: RefCell<IndexMap<JobId, watch::Receiver<Option<AppendOutcome>>>>,
     /// Jobs whose end is not durable yet; callers still see them as active.
     pub ending: RefCell<IndexSet<JobId>>,
     /// Workers on which a task has failed; other workers are tried first.
@@ -112,9 +112,9 @@
     /// Duration estimates of jobs; each owner starts without any.
     pub forecast: RefCell<Forecast>,
     /// When the first task of each active job was placed, for jobs that this owner started.
-    pub begun_at: RefCell<IndexMap<JobId, Millis>>,
+    pub started_at: RefCell<IndexMap<JobId, Millis>>,
     /// Why steps wait, and when that was last determined.
-    pub waits: RefCell<IndexMap<StepId, (Unfit, Millis)>>,
+    pub wait_reasons: RefCell<IndexMap<StepId, (Unfit, Millis)>>,
     /// Processors that short tasks hold and wait for.
     pub short_work: RefCell<ShortWork>,
     /// Totals of the tasks that wait for free capacity, for the log.
@@ -142,13 +142,13 @@
         let (fence, lease_version) = ((fence, now.fence), now.version);
         Rc::new(Self {
             handle: Rc::clone(handle),
-            journal: Journal::new(&handle.part, fence.clone()),
+            journal: Journal::new(&handle.partition, fence.clone()),
             fence,
             taken_at: sent_at,
-            predecessor: seen.row.as_ref().map(|row| row.holder.clone()),
-            predecessor_renewed_at: seen.since,
-            predecessor_took_at: seen.fence_since,
-            predecessor_gone_at: Cell::new(None),
+            previous_owner: seen.row.as_ref().map(|row| row.holder.clone()),
+            previous_owner_renewed_at: seen.since,
+            previous_owner_took_at: seen.fence_since,
+            previous_owner_ended_at: Cell::new(None),
             late_execution_at: Cell::new(None),
             lease_version: Cell::new(lease_version),
             renewed_at: Cell::new(sent_at),
@@ -163,8 +163,8 @@
             pressure: RefCell::default(),
             loads: RefCell::default(),
             forecast: RefCell::default(),
-            begun_at: RefCell::default(),
-            waits: RefCell::default(),
+            started_at: RefCell::default(),
+            wait_reasons: RefCell::default(),
             short_work: RefCell::default(),
             backlog: RefCell::default(),
             left_in_evacuated: RefCell::default(),
@@ -211,26 +211,26 @@
 
     /// Until when runs of earlier owners may be alive on a worker that has not answered this owner yet.
     fn inherited_bound(&self, cx: &Cx) -> LeaseBound {
-        let mut bound = LeaseBound::inherited(self.predecessor_renewed_at, &cx.cfg.leases);
-        if let Some(at) = self.predecessor_gone_at.get() {
-            bound.predecessor_gone(at);
+        let mut bound = LeaseBound::inherited(self.previous_owner_renewed_at, &cx.cfg.leases);
+        if let Some(at) = self.previous_owner_ended_at.get() {
+            bound.previous_owner_ended(at);
         }
         bound
     }
 
     /// Whether workers have recently carried out unanswered orders late.
-    pub fn late_execution(&self, now: Millis) -> Habit {
+    pub fn late_execution(&self, now: Millis) -> LateExecution {
         let is_recent = |at| now.since(at) < LATE_EXECUTION_MEMORY;
         match self.late_execution_at.get().is_some_and(is_recent) {
-            true => Habit::Late,
-            false => Habit::Prompt,
+            true => LateExecution::Seen,
+            false => LateExecution::NotSeen,
         }
     }
 
     /// Notes that a worker left an order unanswered and answered a later call.
     pub fn note_late_execution(&self, cx: &Cx, worker: &str) {
         let now = cx.clock.now();
-        if self.late_execution(now) == Habit::Prompt {
+        if self.late_execution(now) == LateExecution::NotSeen {
             log::warn!(worker; "orders may be carried out late");
         }
         self.late_execution_at.set(Some(now));
@@ -241,7 +241,7 @@
         if self.status.replace(Status::Lost) == Status::Lost {
             return;
         }
-        self.journal.lose();
+        self.journal.stop();
         self.wake.notify_one();
         let mut held = self.handle.owner.borrow_mut();
         let is_held = held
@@ -250,7 +250,7 @@
         if is_held {
             *held = None;
         }
-        log::warn!(shard:% = self.handle.part, token = self.token(), why; "shard is lost");
+        log::warn!(shard:% = self.handle.partition, token = self.token(), why; "shard is lost");
     }
 
     /// Applies events to the ledger and appends the valid ones to the journal. An invalid event comes from a
@@ -269,7 +269,7 @@
     }
 
     /// Removes a job that has ended from the active ones; callers see its end once that is durable.
-    pub fn note_if_over(self: &Rc<Self>, cx: &Cx, job: JobId) {
+    pub fn note_if_ended(self: &Rc<Self>, cx: &Cx, job: JobId) {
         let phase = self.ledger.borrow().jobs.get(&job).map(|job| job.phase);
         let is_over = phase.is_some_and(|phase| phase != Phase::Active);
         if !is_over || !self.active.borrow_mut().swap_remove(&job) {
@@ -281,13 +281,16 @@
         let ticket = self.journal.append(&[]);
         let (cx, owner) = (Rc::clone(cx), Rc::clone(self));
         supervisor::spawn("job-over", async move {
-            if ticket.end().await != AppendEnd::Durable {
+            if ticket.outcome().await != AppendOutcome::Durable {
                 return;
             }
             owner.ending.borrow_mut().swap_remove(&job);
             owner.loads.borrow_mut().retain(|step, _| step.job != job);
-            owner.waits.borrow_mut().retain(|step, _| step.job != job);
-            owner.pass_end_on(job);
+            owner
+                .wait_reasons
+                .borrow_mut()
+                .retain(|step, _| step.job != job);
+            owner.send_job_end(job);
             owner.note_ended(&cx, job);
             runs::stop_all_of(&cx, &owner, job);
         });
@@ -295,12 +298,12 @@
 
     /// Updates the duration estimates of a queue with a completed job.
     fn note_duration(&self, cx: &Cx, id: JobId) {
-        let begun_at = self.begun_at.borrow_mut().swap_remove(&id);
+        let started_at = self.started_at.borrow_mut().swap_remove(&id);
         let ledger = self.ledger.borrow();
         let job = ledger.jobs.get(&id);
         let job = job.filter(|job| job.phase == Phase::Completed && job.spec.schedule.is_none());
-        if let (Some(job), Some(begun_at)) = (job, begun_at) {
-            let took_ms = millis(cx.clock.now().since(begun_at));
+        if let (Some(job), Some(started_at)) = (job, started_at) {
+            let took_ms = millis(cx.clock.now().since(started_at));
             let chain_ms = job.spec.longest_chain_ms();
             let mut forecast = self.forecast.borrow_mut();
             forecast.note(&job.terms.queue, chain_ms, took_ms);
@@ -334,7 +337,7 @@
 
 async fn recover(cx: &Cx, owner: &Rc<Owner>) -> bool {
     while owner.is_serving() {
-        let learned = learned::resume(cx, owner);
+        let learned = learned::load_estimates(cx, owner);
         match futures::join!(owner.journal.recover(cx), learned).0 {
             Ok(ledger) => {
                 adopt(cx, owner, ledger);
@@ -365,7 +368,7 @@
     }
     stop_runs_of_ended_jobs(cx, owner);
     let took_ms = cx.clock.now().since(owner.taken_at).as_millis() as u64;
-    log::info!(shard:% = owner.handle.part, token = owner.token(), jobs, runs, took_ms; "shard recovered");
+    log::info!(shard:% = owner.handle.partition, token = owner.token(), jobs, runs, took_ms; "shard recovered");
 }
 
 /// Stops runs of ended jobs: the previous owner may have ended between a job's end and the stop orders.
@@ -406,15 +409,15 @@
         ),
         (
             "predecessor",
-            predecessor::follow(Rc::clone(cx), Rc::clone(owner)).boxed_local(),
+            previous_owner::follow(Rc::clone(cx), Rc::clone(owner)).boxed_local(),
         ),
         (
             "learned",
-            learned::hand_on(Rc::clone(cx), Rc::clone(owner)).boxed_local(),
+            learned::store_estimates(Rc::clone(cx), Rc::clone(owner)).boxed_local(),
         ),
         (
             "learned-by-others",
-            learned::hear(Rc::clone(cx), Rc::clone(owner)).boxed_local(),
+            learned::receive_updates(Rc::clone(cx), Rc::clone(owner)).boxed_local(),
         ),
     ];
     for (name, component) in components {
--- a/src/lapisdrum/sched/owner/visit.rs
+++ b/src/lapisdrum/sched/owner/poll.rs
@@ -16,12 +16,12 @@
     policy::dispatch::place::Load,
     sched::{
         Cx,
-        edge::{ListedEnd, Lists, LookOrder, OrderEnd, Refusal},
+        edge::{ListedEnd, OrderOutcome, PollOrder, PollResponse, Refusal},
         event::{Event, Loss, RunEnd, RunId},
         job::JobId,
-        journal::AppendEnd,
+        journal::AppendOutcome,
         lease,
-        settle::{Order, RunVerdict, Sight, judge_run},
+        resolution::{Observation, Order, RunVerdict, judge_run},
     },
 };
 use futures::{FutureExt, future::LocalBoxFuture};
@@ -47,9 +47,9 @@
 const OVERRUN_SLACK_MS: u64 = 300;
 
 /// Polls a worker until the shard is lost or the worker is no longer worth polling.
-pub fn watch(cx: &Cx, owner: &Rc<Owner>, worker: &str) {
-    let was_watched = owner.session(worker, |s| std::mem::replace(&mut s.is_watched, true));
-    if was_watched != Some(false) {
+pub fn start_polling(cx: &Cx, owner: &Rc<Owner>, worker: &str) {
+    let was_polled = owner.session(worker, |s| std::mem::replace(&mut s.is_polled, true));
+    if was_polled != Some(false) {
         return;
     }
     let (cx, owner, worker) = (Rc::clone(cx), Rc::clone(owner), worker.to_owned());
@@ -59,7 +59,7 @@
                 tokio::time::sleep(UNRESPONSIVE_RETRY).await;
             }
         }
-        owner.session(&worker, |session| session.is_watched = false);
+        owner.session(&worker, |session| session.is_polled = false);
     });
 }
 
@@ -117,7 +117,7 @@
     let Some(address) = owner.address_of(worker) else {
         return false;
     };
-    let order = LookOrder {
+    let order = PollOrder {
         token: owner.token(),
         acked_upto: owner.session(worker, |s| s.ackable()).unwrap_or_default(),
         lease_until,
@@ -125,10 +125,10 @@
     };
     let sent_at = cx.clock.now();
     if lease_until.is_some() {
-        owner.session(worker, |session| session.bound.sent());
+        owner.session(worker, |session| session.bound.note_sent());
     }
-    cx.metrics.looks.inc();
-    let outcome = cx.workers.look(&address, worker, &order).await;
+    cx.metrics.polls.inc();
+    let outcome = cx.workers.poll(&address, worker, &order).await;
     if lease_until.is_some() {
         note_lease_call(cx, owner, worker, sent_at, &outcome);
     }
@@ -136,23 +136,23 @@
         return false;
     }
     match outcome {
-        OrderEnd::Done(response) => {
+        OrderOutcome::Done(response) => {
             note_response(cx, owner, worker, sent_at, response).await;
             true
         }
-        OrderEnd::Refused(Refusal::NewerOwner) => {
+        OrderOutcome::Refused(Refusal::NewerOwner) => {
             note_newer_owner(cx, owner, worker);
             false
         }
-        OrderEnd::Refused(Refusal::OtherLife) => {
+        OrderOutcome::Refused(Refusal::OtherLife) => {
             note_replaced(cx, owner, worker);
             false
         }
-        OrderEnd::Refused(why) => {
+        OrderOutcome::Refused(why) => {
             note_unresponsive(cx, owner, worker, &format!("{why:?}"));
             false
         }
-        OrderEnd::Unsent(e) | OrderEnd::Silent(e) => {
+        OrderOutcome::Unsent(e) | OrderOutcome::Silent(e) => {
             note_unresponsive(cx, owner, worker, &e.message);
             false
         }
@@ -187,14 +187,20 @@
     log::warn!(worker, token = owner.token(); "worker refuses the fencing token of this owner");
     let (cx, owner) = (Rc::clone(cx), Rc::clone(owner));
     supervisor::spawn("check-lease", async move {
-        let lease_read = lease::look(&cx, &owner.handle).await;
+        let lease_read = lease::read(&cx, &owner.handle).await;
         if lease_read.is_ok() && owner.handle.lease.borrow().fence != owner.token() {
             owner.lose("a worker has seen a newer owner");
         }
     });
 }
 
-async fn note_response(cx: &Cx, owner: &Rc<Owner>, worker: &str, sent_at: Millis, response: Lists) {
+async fn note_response(
+    cx: &Cx,
+    owner: &Rc<Owner>,
+    worker: &str,
+    sent_at: Millis,
+    response: PollResponse,
+) {
     let now = cx.clock.now();
     let Some(incarnation) = note_incarnation(owner, worker, &response, now) else {
         return;
@@ -202,7 +208,7 @@
     let acked = note_ends(cx, owner, worker, &incarnation, &response.ended, now);
     if incarnation.is_newest {
         note_running(cx, owner, worker, &incarnation, sent_at, &response, now);
-        strain::note(cx, owner, worker, &response, now);
+        strain::note_poll_response(cx, owner, worker, &response, now);
     }
     if let Some(acked) = acked {
         // On a time-out the next poll lists the same ends again, and they are skipped.
@@ -212,7 +218,7 @@
 
 /// The worker incarnation that sent a poll response.
 struct Incarnation {
-    born: u64,
+    started_unix_ms: u64,
     /// False if a response with a later worker clock was handled before.
     is_newest: bool,
 }
@@ -220,24 +226,27 @@
 fn note_incarnation(
     owner: &Rc<Owner>,
     worker: &str,
-    response: &Lists,
+    response: &PollResponse,
     now: Millis,
 ) -> Option<Incarnation> {
     let noted = owner.session(worker, |session| {
-        let reported = session.report.as_ref().map_or(0, |report| report.life.born);
-        let born = response.born.unwrap_or(reported);
+        let reported = session
+            .report
+            .as_ref()
+            .map_or(0, |report| report.incarnation.started_unix_ms);
+        let started_unix_ms = response.started_unix_ms.unwrap_or(reported);
         let before = session.claimed_incarnation;
-        if before.is_some_and(|before| born < before) {
+        if before.is_some_and(|before| started_unix_ms < before) {
             return None;
         }
-        if before != Some(born) {
-            session.claimed_incarnation = Some(born);
+        if before != Some(started_unix_ms) {
+            session.claimed_incarnation = Some(started_unix_ms);
             session.acked_upto = 0;
             session.appended_upto = 0;
             session.response_clock = WorkerMillis::default();
             session.clock = None;
             session.leased_at = None;
-            session.bound.claimed(now);
+            session.bound.note_claimed(now);
         }
         let was_silent_ms = session.unresponsive_ms(now);
         session.note_clock(response.clock, now);
@@ -246,11 +255,18 @@
         if is_newest {
             session.response_clock = response.clock;
         }
-        Some((Incarnation { born, is_newest }, before, was_silent_ms))
+        Some((
+            Incarnation {
+                started_unix_ms,
+                is_newest,
+            },
+            before,
+            was_silent_ms,
+        ))
     })?;
     let (incarnation, before, was_silent_ms) = noted?;
-    if before != Some(incarnation.born) {
-        log::info!(worker, born = incarnation.born, before:? = before, token = owner.token(), runs = response.running.len(); "worker claimed");
+    if before != Some(incarnation.started_unix_ms) {
+        log::info!(worker, born = incarnation.started_unix_ms, before:? = before, token = owner.token(), runs = response.running.len(); "worker claimed");
         owner.wake.notify_one();
     } else if was_silent_ms > 0 {
         log::info!(worker, was_silent_ms; "worker answers again");
@@ -302,13 +318,17 @@
         runs::stop_copies(cx, owner, &end.run.task);
     }
     for job in jobs {
-        owner.note_if_over(cx, job);
+        owner.note_if_ended(cx, job);
     }
-    let (owner, worker, born) = (Rc::clone(owner), worker.to_owned(), incarnation.born);
+    let (owner, worker, started_unix_ms) = (
+        Rc::clone(owner),
+        worker.to_owned(),
+        incarnation.started_unix_ms,
+    );
     let acked = actix_rt::spawn(async move {
-        if ticket.end().await == AppendEnd::Durable {
+        if ticket.outcome().await == AppendOutcome::Durable {
             owner.session(&worker, |session| {
-                if session.claimed_incarnation == Some(born) {
+                if session.claimed_incarnation == Some(started_unix_ms) {
                     session.acked_upto = session.acked_upto.max(upto);
                 }
                 session.acked.notify_waiters();
@@ -375,7 +395,7 @@
     worker: &str,
     incarnation: &Incarnation,
     sent_at: Millis,
-    response: &Lists,
+    response: &PollResponse,
     now: Millis,
 ) {
     let listed: IndexMap<RunId, u32> = response
@@ -385,10 +405,10 @@
         .collect();
     for (run, record) in runs_on(owner, worker) {
         let percent = listed.get(&run).copied();
-        let observation = Sight {
+        let observation = Observation {
             sent_at,
             is_listed: percent.is_some(),
-            is_same_life: record.on.born == incarnation.born,
+            is_same_incarnation: record.on.started_unix_ms == incarnation.started_unix_ms,
         };
         match judge_run(record.known, observation) {
             RunVerdict::Runs => note_progress(owner, &run, percent.unwrap_or_default(), now),
@@ -419,7 +439,7 @@
     let Some(record) = runs.get_mut(run) else {
         return;
     };
-    if matches!(record.known.order, Order::Silent | Order::Inherited) {
+    if matches!(record.known.order, Order::Unanswered | Order::Inherited) {
         record.known.order = Order::Answered(now);
     }
     if record.progress.is_none_or(|(before, _)| before != percent) {
--- a/src/lapisdrum/sched/owner/predecessor.rs
+++ b/src/lapisdrum/sched/owner/previous_owner.rs
@@ -17,14 +17,18 @@
 
 /// Probes the previous owner's address until that owner has ended, or its hold has passed and the result is irrelevant.
 pub async fn follow(cx: Cx, owner: Rc<Owner>) {
-    let Some(before) = owner.predecessor.clone().filter(|before| *before != cx.me) else {
+    let Some(before) = owner
+        .previous_owner
+        .clone()
+        .filter(|before| *before != cx.me)
+    else {
         return;
     };
-    let until = owner.predecessor_renewed_at + cx.cfg.leases.owner_hold;
+    let until = owner.previous_owner_renewed_at + cx.cfg.leases.owner_hold;
     while owner.is_serving() && cx.clock.now() < until {
         match cx.peers.who(&before.address, PROBE_TIMEOUT).await {
             Ok(now) if now.run.incarnation != before.incarnation => {
-                owner.note_predecessor_gone(&cx, cx.clock.now());
+                owner.note_previous_owner_ended(&cx, cx.clock.now());
                 return;
             }
             // The same incarnation still runs, or there is no reply.
@@ -36,13 +40,13 @@
 impl Owner {
     /// Notes that the previous owner had ended by `at`. The owner before that one may still renew leases within its own
     /// hold, which started before its successor took the shard.
-    pub fn note_predecessor_gone(&self, cx: &Cx, at: Millis) {
-        let at = at.max(self.predecessor_took_at + cx.cfg.leases.owner_hold);
-        let before = self.predecessor.as_ref().map(|before| &before.daemon);
-        log::info!(shard:% = self.handle.part, daemon:? = before, nothing_sent_after = at.0; "owner before is gone");
-        self.predecessor_gone_at.set(Some(at));
+    pub fn note_previous_owner_ended(&self, cx: &Cx, at: Millis) {
+        let at = at.max(self.previous_owner_took_at + cx.cfg.leases.owner_hold);
+        let before = self.previous_owner.as_ref().map(|before| &before.daemon);
+        log::info!(shard:% = self.handle.partition, daemon:? = before, nothing_sent_after = at.0; "owner before is gone");
+        self.previous_owner_ended_at.set(Some(at));
         for session in self.sessions.borrow_mut().values_mut() {
-            session.bound.predecessor_gone(at);
+            session.bound.previous_owner_ended(at);
         }
     }
 }
--- a/src/lapisdrum/sched/owner/runs.rs
+++ b/src/lapisdrum/sched/owner/runs.rs
@@ -1,6 +1,6 @@
 //! Runs on workers: sends the orders to start and stop them, and resolves each order's outcome.
 
-use super::{Owner, headroom, session::Session, visit};
+use super::{Owner, headroom, poll, session::Session};
 use crate::{
     core::{
         size::Size,
@@ -10,12 +10,12 @@
     policy::dispatch::{place::Load, pressure::Image, short_work::Class},
     sched::{
         Cx,
-        edge::{OrderEnd, Refusal, StartOrder},
-        event::{Event, Loss, RunId, WorkerLife},
+        edge::{OrderOutcome, Refusal, StartOrder},
+        event::{Event, Loss, RunId, WorkerIncarnation},
         job::{JobId, Step, TaskId},
-        journal::{AppendEnd, Ticket},
+        journal::{AppendOutcome, Ticket},
         ledger::Phase,
-        settle::{Order, RunKnowledge, Stop},
+        resolution::{Order, RunKnowledge, Stop},
     },
 };
 use std::{rc::Rc, time::Duration};
@@ -27,7 +27,7 @@
 #[derive(Clone, Debug)]
 pub struct RunRecord {
     /// The worker incarnation on which it was placed.
-    pub on: WorkerLife,
+    pub on: WorkerIncarnation,
     /// Processors, memory and accelerators that its step asks for.
     pub size: Size,
     /// Whether it reserves processors, serves users or is best-effort.
@@ -73,7 +73,7 @@
 
 impl Owner {
     /// Adds a live run that was read from the journal.
-    pub fn add_inherited(&self, cx: &Cx, run: RunId, on: &WorkerLife) {
+    pub fn add_inherited(&self, cx: &Cx, run: RunId, on: &WorkerIncarnation) {
         let known = RunKnowledge {
             order: Order::Inherited,
             stop: Stop::No,
@@ -82,7 +82,7 @@
     }
 
     /// Adds a run that this owner has placed; its start order is not sent yet.
-    pub fn add_placed(&self, cx: &Cx, run: RunId, on: &WorkerLife) {
+    pub fn add_placed(&self, cx: &Cx, run: RunId, on: &WorkerIncarnation) {
         let known = RunKnowledge {
             order: Order::NotSent,
             stop: Stop::No,
@@ -90,7 +90,7 @@
         self.add_run(cx, run, on, known);
     }
 
-    fn add_run(&self, cx: &Cx, run: RunId, on: &WorkerLife, known: RunKnowledge) {
+    fn add_run(&self, cx: &Cx, run: RunId, on: &WorkerIncarnation, known: RunKnowledge) {
         let ledger = self.ledger.borrow();
         let Some(job) = ledger.jobs.get(&run.task.job) else {
             return;
@@ -137,7 +137,7 @@
             session.tally.remove(&record.size, record.load);
             session.runs.swap_remove(run);
         }
-        headroom::note_over(self, &record);
+        headroom::note_ended(self, &record);
         self.wake.notify_one();
         Some(record)
     }
@@ -170,7 +170,7 @@
 pub fn start_when_durable(cx: &Cx, owner: &Rc<Owner>, runs: Vec<RunId>, ticket: Ticket) {
     let (cx, owner) = (Rc::clone(cx), Rc::clone(owner));
     supervisor::spawn("starts", async move {
-        if ticket.end().await != AppendEnd::Durable {
+        if ticket.outcome().await != AppendOutcome::Durable {
             return;
         }
         let starts = runs.into_iter().map(|run| start(&cx, &owner, run));
@@ -183,8 +183,8 @@
         owner.note_lost(cx, run, Loss::NotStarted);
         return;
     };
-    owner.set_order(&run, Order::UnderWay);
-    owner.session(&worker, |session| session.bound.sent());
+    owner.set_order(&run, Order::InFlight);
+    owner.session(&worker, |session| session.bound.note_sent());
     let sent_at = cx.clock.now();
     let placed_at = owner.record(&run, |record| record.since);
     let waited_ms = millis(sent_at.since(placed_at.unwrap_or(sent_at)));
@@ -195,28 +195,28 @@
     log::info!(task:% = run.task, run = run.run.0, worker:% = worker, token = order.token, waited_ms, took_ms, outcome:? = outcome; "start ordered");
     note_lease_call(cx, owner, &worker, sent_at, &outcome);
     match outcome {
-        OrderEnd::Done(clock) => {
+        OrderOutcome::Done(clock) => {
             owner.session(&worker, |session| session.note_clock(clock, now));
             owner.set_order(&run, Order::Answered(now));
         }
-        OrderEnd::Refused(why) => {
+        OrderOutcome::Refused(why) => {
             note_refused(cx, owner, &worker, why);
             owner.note_lost(cx, run, Loss::NotStarted);
         }
-        OrderEnd::Unsent(_) => {
+        OrderOutcome::Unsent(_) => {
             owner.session(&worker, |s| {
                 s.unresponsive_since = s.unresponsive_since.or(Some(now))
             });
             owner.note_lost(cx, run, Loss::NotStarted);
         }
-        OrderEnd::Silent(_) => {
-            cx.metrics.orders_silent.inc();
-            owner.set_order(&run, Order::Silent);
+        OrderOutcome::Silent(_) => {
+            cx.metrics.orders_unanswered.inc();
+            owner.set_order(&run, Order::Unanswered);
             // No further task is placed on the worker until it has answered a call.
             owner.session(&worker, |s| {
                 s.unresponsive_since = s.unresponsive_since.or(Some(now))
             });
-            if visit::poll_now(cx, owner, &worker).await {
+            if poll::poll_now(cx, owner, &worker).await {
                 owner.note_late_execution(cx, &worker);
             }
         }
@@ -229,25 +229,25 @@
     owner: &Owner,
     worker: &str,
     sent_at: Millis,
-    outcome: &OrderEnd<T>,
+    outcome: &OrderOutcome<T>,
 ) {
     let now = cx.clock.now();
     owner.session(worker, |session| match outcome {
-        OrderEnd::Done(_) => {
-            session.bound.answered(now);
+        OrderOutcome::Done(_) => {
+            session.bound.note_answered(now);
             session.leased_at = session.leased_at.max(Some(sent_at));
         }
         // A worker may refuse an order and accept its lease all the same.
-        OrderEnd::Refused(_) => session.bound.answered(now),
-        OrderEnd::Unsent(_) => session.bound.void(),
-        OrderEnd::Silent(_) => session.bound.silent(sent_at),
+        OrderOutcome::Refused(_) => session.bound.note_answered(now),
+        OrderOutcome::Unsent(_) => session.bound.note_no_effect(),
+        OrderOutcome::Silent(_) => session.bound.note_unanswered(sent_at),
     });
 }
 
 fn note_refused(cx: &Cx, owner: &Rc<Owner>, worker: &str, why: Refusal) {
     let now = cx.clock.now();
     match why {
-        Refusal::NewerOwner => visit::note_newer_owner(cx, owner, worker),
+        Refusal::NewerOwner => poll::note_newer_owner(cx, owner, worker),
         Refusal::Unhealthy => {
             owner.session(worker, |session| session.failures = (u32::MAX, now));
         }
@@ -268,7 +268,7 @@
     let on = owner.runs.borrow().get(&run)?.on.clone();
     let now = cx.clock.now();
     let (address, lease_until) = owner.session(&on.worker, |session| {
-        let is_same_incarnation = session.claimed_incarnation == Some(on.born);
+        let is_same_incarnation = session.claimed_incarnation == Some(on.started_unix_ms);
         let report = session.report.as_ref()?;
         let end = session.lease_end(now, cx.cfg.leases.sent())?;
         let is_responsive = session.unresponsive_since.is_none();
@@ -325,7 +325,7 @@
 /// Sends stop orders for a run until its worker confirms one or the run has ended.
 pub fn order_stop(cx: &Cx, owner: &Rc<Owner>, run: RunId, why: &'static str) {
     let before = owner.record(&run, |record| {
-        std::mem::replace(&mut record.known.stop, Stop::UnderWay)
+        std::mem::replace(&mut record.known.stop, Stop::InFlight)
     });
     if before != Some(Stop::No) {
         if let Some(before) = before {
@@ -356,16 +356,16 @@
     let outcome = cx.workers.stop(&address, &worker, run, owner.token()).await;
     let now = cx.clock.now();
     match outcome {
-        OrderEnd::Done(clock) => {
+        OrderOutcome::Done(clock) => {
             owner.session(&worker, |session| session.note_clock(clock, now));
             owner.record(&run, |record| record.known.stop = Stop::Confirmed(now));
             true
         }
-        OrderEnd::Refused(Refusal::NewerOwner) => {
-            visit::note_newer_owner(cx, owner, &worker);
+        OrderOutcome::Refused(Refusal::NewerOwner) => {
+            poll::note_newer_owner(cx, owner, &worker);
             false
         }
-        OrderEnd::Refused(_) | OrderEnd::Unsent(_) | OrderEnd::Silent(_) => false,
+        OrderOutcome::Refused(_) | OrderOutcome::Unsent(_) | OrderOutcome::Silent(_) => false,
     }
 }
 
@@ -387,7 +387,7 @@
 
 /// Stops long-running and checkpointing tasks on a worker that is leaving, so that they restart elsewhere.
 /// Other tasks are as likely to complete before the worker leaves as they would be elsewhere.
-pub fn leave_worker(cx: &Cx, owner: &Rc<Owner>, worker: &str) {
+pub fn stop_movable_runs(cx: &Cx, owner: &Rc<Owner>, worker: &str) {
     let runs = owner.runs.borrow();
     let here = runs.iter().filter(|(_, record)| record.on.worker == worker);
     let moved = here.filter(|(_, r)| r.is_long_running || r.is_checkpointing);
--- a/src/lapisdrum/sched/owner/session.rs
+++ b/src/lapisdrum/sched/owner/session.rs
@@ -10,7 +10,7 @@
         place::{Load, reserved_by},
         pressure::Presser,
     },
-    sched::{edge::WorkerReport, event::RunId, job::StepId, settle::LeaseBound},
+    sched::{edge::WorkerReport, event::RunId, job::StepId, resolution::LeaseBound},
 };
 use indexmap::{IndexMap, IndexSet};
 use std::{rc::Rc, time::Duration};
@@ -106,7 +106,7 @@
     /// Totals of `runs`.
     pub tally: Tally,
     /// Smoothed residual of each step's utilisation here: inferred from latency tails, less the predicted one.
-    pub surprises: IndexMap<StepId, f64>,
+    pub residuals: IndexMap<StepId, f64>,
     /// Ended best-effort tasks that still affect the reported latency tails.
     pub departed: Vec<Departed>,
     /// No best-effort task is placed here before this time.
@@ -116,7 +116,7 @@
     /// Failures in a row, and the time of the last one or of the reset.
     pub failures: (u32, Millis),
     /// Whether a task that polls it is running.
-    pub is_watched: bool,
+    pub is_polled: bool,
 }
 
 impl Session {
@@ -136,29 +136,29 @@
             unresponsive_since: None,
             runs: IndexSet::new(),
             tally: Tally::default(),
-            surprises: IndexMap::new(),
+            residuals: IndexMap::new(),
             departed: Vec::new(),
             best_effort_closed_until: Millis::default(),
             overload: Overload::default(),
             failures: (0, Millis::default()),
-            is_watched: false,
+            is_polled: false,
         }
     }
 
     /// Adds a measured residual of a step's utilisation to its moving average.
-    pub fn note_surprise(&mut self, step: StepId, residual: f64) {
-        let average = self.surprises.entry(step).or_default();
+    pub fn note_residual(&mut self, step: StepId, residual: f64) {
+        let average = self.residuals.entry(step).or_default();
         *average += (residual.clamp(-MAX_RESIDUAL, MAX_RESIDUAL) - *average) * RESIDUAL_WEIGHT;
     }
 
     /// Removes the residuals of steps that no longer run here.
-    pub fn forget_surprises(&mut self, is_here: impl Fn(&StepId) -> bool) {
-        self.surprises.retain(|step, _| is_here(step));
+    pub fn remove_residuals(&mut self, is_here: impl Fn(&StepId) -> bool) {
+        self.residuals.retain(|step, _| is_here(step));
     }
 
     /// Smoothed residual of a step's utilisation here; 0 if none was measured.
-    pub fn surprise(&self, step: &StepId) -> f64 {
-        self.surprises.get(step).copied().unwrap_or_default()
+    pub fn residual(&self, step: &StepId) -> f64 {
+        self.residuals.get(step).copied().unwrap_or_default()
     }
 
     /// Number up to which the worker may forget ends; 0 while it does not answer. A worker that restarts under
@@ -199,7 +199,7 @@
     /// The worker's report if new tasks may be placed on it.
     pub fn open_for_tasks(&self) -> Option<&Rc<WorkerReport>> {
         let report = self.report.as_ref()?;
-        let is_claimed = self.claimed_incarnation == Some(report.life.born);
+        let is_claimed = self.claimed_incarnation == Some(report.incarnation.started_unix_ms);
         let is_staying = report.leaving_in.is_none();
         let is_open = is_claimed && is_staying && self.is_registered;
         (is_open && self.unresponsive_since.is_none()).then_some(report)
--- a/src/lapisdrum/sched/owner/strain.rs
+++ b/src/lapisdrum/sched/owner/strain.rs
@@ -17,10 +17,10 @@
     },
     sched::{
         Cx,
-        edge::{Lists, OrderEnd},
+        edge::{OrderOutcome, PollResponse},
         event::RunId,
         job::StepId,
-        settle::{Order, Stop},
+        resolution::{Order, Stop},
     },
 };
 use indexmap::IndexMap;
@@ -46,8 +46,14 @@
 const CLOSED_AFTER_CLEARING: Duration = Duration::from_millis(3_000);
 
 /// Updates the interference model with a worker's poll response, and mitigates interference on that worker.
-pub fn note(cx: &Cx, owner: &Rc<Owner>, worker: &str, lists: &Lists, now: Millis) {
-    note_tails(owner, worker, lists, now);
+pub fn note_poll_response(
+    cx: &Cx,
+    owner: &Rc<Owner>,
+    worker: &str,
+    response: &PollResponse,
+    now: Millis,
+) {
+    note_tails(owner, worker, response, now);
     let over_for = note_overload(owner, worker, now);
     let (runs, leftover, serving) = on_host(owner, worker, now);
     if leftover.is_empty() || serving.is_empty() {
@@ -81,15 +87,15 @@
 }
 
 /// Updates the interference model and the loads of serving tasks with the tail latencies of a poll response.
-fn note_tails(owner: &Owner, worker: &str, lists: &Lists, now: Millis) {
+fn note_tails(owner: &Owner, worker: &str, response: &PollResponse, now: Millis) {
     let beside = visible_aggressors(owner, worker, now);
     let mut runs = owner.runs.borrow_mut();
     let mut pressure = owner.pressure.borrow_mut();
     if pressure.refit_if_due(now) {
-        log::info!(shard:% = owner.handle.part, period_s:? = pressure.period_s(); "period of serving loads");
+        log::info!(shard:% = owner.handle.partition, period_s:? = pressure.period_s(); "period of serving loads");
     }
     let mut by_step: IndexMap<StepId, Tails> = IndexMap::new();
-    for listed in &lists.running {
+    for listed in &response.running {
         let Some(record) = runs.get_mut(&listed.run) else {
             continue;
         };
@@ -106,12 +112,12 @@
         tails.all_ms.push(tail_ms);
     }
     owner.session(worker, |session| {
-        session.forget_surprises(|step| by_step.contains_key(step))
+        session.remove_residuals(|step| by_step.contains_key(step))
     });
     for (step, mut tails) in by_step.into_iter().filter(|(_, tails)| tails.is_new) {
-        let surprise = pressure.note(&mut tails.victim, &beside, &tails.all_ms, now);
-        if let Some(surprise) = surprise {
-            owner.session(worker, |session| session.note_surprise(step, surprise));
+        let residual = pressure.note(&mut tails.victim, &beside, &tails.all_ms, now);
+        if let Some(residual) = residual {
+            owner.session(worker, |session| session.note_residual(step, residual));
         }
         owner.loads.borrow_mut().insert(step, tails.victim.load);
     }
@@ -275,7 +281,7 @@
             let like = serving.entry(step).or_insert_with(|| Serving {
                 victim,
                 tasks: 0,
-                surprise: session.surprise(&step),
+                residual: session.residual(&step),
             });
             like.tasks += 1;
         }
@@ -319,13 +325,13 @@
         let step = run.task.step_id();
         let like = serving.entry(step).or_insert_with(|| {
             let load = pressure.load_path(&victim, now);
-            let surprise = session.surprise(&step);
+            let residual = session.residual(&step);
             let limit = pressure.limit(&victim);
             Strained {
                 victim,
                 millicores: 0,
                 load: load[..LOAD_POINTS].iter().copied().fold(0.0, f64::max),
-                outlook: Outlook::unpressed(0, limit, load.map(|load| load + surprise)),
+                outlook: Outlook::unpressed(0, limit, load.map(|load| load + residual)),
             }
         });
         like.millicores += record.size.millicores;
@@ -395,17 +401,17 @@
     let (Some(address), Some(before)) = (owner.address_of(worker), before) else {
         return;
     };
-    cx.metrics.paces.inc();
+    cx.metrics.cpu_limit_orders.inc();
     log::info!(task:% = run.task, run = run.run.0, worker, before, percent; "pace ordered");
     let (cx, owner, worker) = (Rc::clone(cx), Rc::clone(owner), worker.to_owned());
     supervisor::spawn("pace", async move {
         let token = owner.token();
         let end = cx
             .workers
-            .pace(&address, &worker, run, percent, token)
+            .set_cpu_limit(&address, &worker, run, percent, token)
             .await;
         // Without a confirmed order the old limit counts, so that a later poll response can order it again.
-        if !matches!(end, OrderEnd::Done(_))
+        if !matches!(end, OrderOutcome::Done(_))
             && let Some(record) = owner.runs.borrow_mut().get_mut(&run)
         {
             record.pace = before;
--- a/src/lapisdrum/sched/owner/upkeep.rs
+++ b/src/lapisdrum/sched/owner/upkeep.rs
@@ -7,7 +7,7 @@
     event::{Event, Loss, RunId},
     job::JobId,
     ledger::{Phase, SentJob},
-    settle::{Order, Stop},
+    resolution::{Order, Stop},
 };
 use indexmap::IndexMap;
 use std::{rc::Rc, time::Duration};
@@ -46,7 +46,7 @@
         let is_unresponsive =
             session.unresponsive_since.is_some() || session.claimed_incarnation.is_none();
         let is_sent = record.known.order != Order::NotSent;
-        is_sent && is_unresponsive && session.bound.is_over(now, late_execution, &cx.cfg.leases)
+        is_sent && is_unresponsive && session.bound.has_ended(now, late_execution, &cx.cfg.leases)
     };
     let runs: Vec<RunId> = owner.runs.borrow().keys().copied().collect();
     let lapsed: Vec<RunId> = runs.into_iter().filter(is_lapsed).collect();
@@ -93,7 +93,7 @@
     let old = old.map(|(id, _)| *id).chain(sent.map(|(id, _)| *id));
     let old: Vec<JobId> = old.take(MAX_FORGOTTEN_PER_ROUND).collect();
     drop(ledger);
-    if old.is_empty() || !owner.journal.is_flowing(cx.clock.now()) {
+    if old.is_empty() || !owner.journal.accepts_work(cx.clock.now()) {
         return;
     }
     let events = old.into_iter().map(|job| Event::Forgotten { job });
@@ -117,7 +117,7 @@
     for (data_centre, count) in &*owner.left_in_evacuated.borrow() {
         let had_some = before.get(data_centre).is_none_or(|before| *before > 0);
         if *count == 0 && had_some {
-            log::info!(data_centre:%, shard:% = owner.handle.part; "nothing of the shard runs in the evacuated data centre");
+            log::info!(data_centre:%, shard:% = owner.handle.partition; "nothing of the shard runs in the evacuated data centre");
         }
     }
 }
--- a/src/lapisdrum/sched/peer.rs
+++ b/src/lapisdrum/sched/peer.rs
@@ -2,13 +2,13 @@
 
 use super::{
     Cx,
-    job::{JobId, JobSpec, QueueTerms},
+    job::{JobId, JobSpec, QueueConfig},
     layout::ShardId,
     lease::Holder,
     owner::{
         delegate::{self, GuestTasks, TaskNeed},
         jobs,
-        learned::{self, HeardUpto, Told},
+        learned::{self, LearnedUpdate, ReceivedVersions},
     },
 };
 use actix_rt::net::TcpListener;
@@ -30,7 +30,7 @@
 
 data! {
     /// Request to the owner of a shard.
-    pub enum Ask {
+    pub enum OwnerRequest {
         /// Accept a job.
         Submit {
             /// Id of the job.
@@ -38,7 +38,7 @@
             /// Specification as submitted.
             spec: JobSpec,
             /// Settings of the job's queue in the sender's catalogue.
-            terms: QueueTerms,
+            terms: QueueConfig,
             /// Whether the job's home shard has transferred the job to this one.
             is_sent: bool,
         },
@@ -51,34 +51,34 @@
         /// Return the share of the shard's processors that long-running tasks request.
         Load,
         /// Return what the interference model has estimated since the versions received, or all of it.
-        Learned(Option<HeardUpto>),
+        Learned(Option<ReceivedVersions>),
         /// Offer free capacity for up to this number of tasks of a kind.
         Room(TaskNeed, u32),
         /// Run tasks that another shard delegates.
         Adopt(GuestTasks),
     }
 
-    /// Reply to an [`Ask`].
-    pub enum Answer {
-        /// Reply to [`Ask::Submit`].
+    /// Reply to an [`OwnerRequest`].
+    pub enum OwnerReply {
+        /// Reply to [`OwnerRequest::Submit`].
         Submitted(SubmitReply),
-        /// Reply to [`Ask::Show`].
+        /// Reply to [`OwnerRequest::Show`].
         Shown(ShowReply),
-        /// Reply to [`Ask::Cancel`].
+        /// Reply to [`OwnerRequest::Cancel`].
         Cancelled(CancelReply),
-        /// Reply to [`Ask::Pending`]; `None` if the callee is not certain to own the shard.
+        /// Reply to [`OwnerRequest::Pending`]; `None` if the callee is not certain to own the shard.
         Pending(Option<u64>),
-        /// Reply to [`Ask::Load`], in thousandths; `None` if the callee does not own the shard or has no workers yet.
+        /// Reply to [`OwnerRequest::Load`], in thousandths; `None` if the callee does not own the shard or has no workers yet.
         Load(Option<u32>),
-        /// Reply to [`Ask::Learned`]; `None` if the callee does not own the shard or has not recovered it yet.
-        Learned(Option<Told>),
-        /// Reply to [`Ask::Room`], the number of tasks; `None` if the callee does not own the shard or places no tasks.
+        /// Reply to [`OwnerRequest::Learned`]; `None` if the callee does not own the shard or has not recovered it yet.
+        Learned(Option<LearnedUpdate>),
+        /// Reply to [`OwnerRequest::Room`], the number of tasks; `None` if the callee does not own the shard or places no tasks.
         Room(Option<u32>),
-        /// Reply to [`Ask::Adopt`].
+        /// Reply to [`OwnerRequest::Adopt`].
         Adopted(AdoptReply),
     }
 
-    /// Outcome of [`Ask::Adopt`].
+    /// Outcome of [`OwnerRequest::Adopt`].
     #[derive(Copy)]
     pub enum AdoptReply {
         /// The adoption is durable.
@@ -87,7 +87,7 @@
         NotOwner,
     }
 
-    /// Outcome of [`Ask::Submit`].
+    /// Outcome of [`OwnerRequest::Submit`].
     pub enum SubmitReply {
         /// The acceptance is durable.
         Accepted,
@@ -103,7 +103,7 @@
         Unknown,
     }
 
-    /// Outcome of [`Ask::Show`].
+    /// Outcome of [`OwnerRequest::Show`].
     pub enum ShowReply {
         /// The job's current state.
         State(JobState),
@@ -113,7 +113,7 @@
         NotOwner,
     }
 
-    /// Outcome of [`Ask::Cancel`].
+    /// Outcome of [`OwnerRequest::Cancel`].
     pub enum CancelReply {
         /// The job has ended.
         Done,
@@ -169,7 +169,7 @@
 #[tarpc::service]
 pub trait OwnerService {
     /// Sends a request to the owner of a shard.
-    async fn ask(shard: ShardId, ask: Ask) -> Answer;
+    async fn ask(shard: ShardId, ask: OwnerRequest) -> OwnerReply;
     /// Returns the identity of this process.
     async fn who() -> Identity;
 }
@@ -180,7 +180,7 @@
 }
 
 impl OwnerService for Server {
-    async fn ask(self, _: context::Context, shard: ShardId, ask: Ask) -> Answer {
+    async fn ask(self, _: context::Context, shard: ShardId, ask: OwnerRequest) -> OwnerReply {
         answer(&self.cx, shard, ask).await
     }
 
@@ -193,21 +193,23 @@
 }
 
 /// Executes a request if this process owns the shard; otherwise the reply says that it does not.
-pub async fn answer(cx: &Cx, shard: ShardId, ask: Ask) -> Answer {
+pub async fn answer(cx: &Cx, shard: ShardId, ask: OwnerRequest) -> OwnerReply {
     let owner = cx.handle(shard).owner.borrow().clone();
     match (ask, owner) {
-        (Ask::Submit { .. }, None) => Answer::Submitted(SubmitReply::NotOwner),
-        (Ask::Show(_), None) => Answer::Shown(ShowReply::NotOwner),
-        (Ask::Cancel(_), None) => Answer::Cancelled(CancelReply::NotOwner),
-        (Ask::Pending(_), None) => Answer::Pending(None),
-        (Ask::Load, None) => Answer::Load(None),
-        (Ask::Learned(_), None) => Answer::Learned(None),
-        (Ask::Room(..), None) => Answer::Room(None),
-        (Ask::Adopt(_), None) => Answer::Adopted(AdoptReply::NotOwner),
-        (Ask::Learned(upto), Some(owner)) => Answer::Learned(learned::tell(cx, &owner, upto)),
-        (Ask::Load, Some(owner)) => Answer::Load(owner.lasting_load(cx)),
+        (OwnerRequest::Submit { .. }, None) => OwnerReply::Submitted(SubmitReply::NotOwner),
+        (OwnerRequest::Show(_), None) => OwnerReply::Shown(ShowReply::NotOwner),
+        (OwnerRequest::Cancel(_), None) => OwnerReply::Cancelled(CancelReply::NotOwner),
+        (OwnerRequest::Pending(_), None) => OwnerReply::Pending(None),
+        (OwnerRequest::Load, None) => OwnerReply::Load(None),
+        (OwnerRequest::Learned(_), None) => OwnerReply::Learned(None),
+        (OwnerRequest::Room(..), None) => OwnerReply::Room(None),
+        (OwnerRequest::Adopt(_), None) => OwnerReply::Adopted(AdoptReply::NotOwner),
+        (OwnerRequest::Learned(upto), Some(owner)) => {
+            OwnerReply::Learned(learned::updates_since(cx, &owner, upto))
+        }
+        (OwnerRequest::Load, Some(owner)) => OwnerReply::Load(owner.long_running_load(cx)),
         (
-            Ask::Submit {
+            OwnerRequest::Submit {
                 job,
                 spec,
                 terms,
@@ -216,15 +218,21 @@
             Some(owner),
         ) => {
             let submitted = jobs::submit(cx, &owner, job, Rc::new(spec), terms, is_sent);
-            Answer::Submitted(submitted.await)
+            OwnerReply::Submitted(submitted.await)
+        }
+        (OwnerRequest::Room(need, wanted), Some(owner)) => {
+            OwnerReply::Room(owner.offer_capacity(cx, &need, wanted))
+        }
+        (OwnerRequest::Adopt(tasks), Some(owner)) => {
+            OwnerReply::Adopted(delegate::adopt(cx, &owner, tasks).await)
+        }
+        (OwnerRequest::Show(job), Some(owner)) => OwnerReply::Shown(jobs::show(cx, &owner, job)),
+        (OwnerRequest::Cancel(job), Some(owner)) => {
+            OwnerReply::Cancelled(jobs::cancel(cx, &owner, job).await)
         }
-        (Ask::Room(need, wanted), Some(owner)) => Answer::Room(owner.offer_room(cx, &need, wanted)),
-        (Ask::Adopt(tasks), Some(owner)) => {
-            Answer::Adopted(delegate::adopt(cx, &owner, tasks).await)
+        (OwnerRequest::Pending(queue), Some(owner)) => {
+            OwnerReply::Pending(jobs::pending(cx, &owner, &queue))
         }
-        (Ask::Show(job), Some(owner)) => Answer::Shown(jobs::show(cx, &owner, job)),
-        (Ask::Cancel(job), Some(owner)) => Answer::Cancelled(jobs::cancel(cx, &owner, job).await),
-        (Ask::Pending(queue), Some(owner)) => Answer::Pending(jobs::pending(cx, &owner, &queue)),
     }
 }
 
@@ -260,9 +268,9 @@
         &self,
         address: &str,
         shard: ShardId,
-        ask: Ask,
+        ask: OwnerRequest,
         limit: Duration,
-    ) -> Result<Answer, PeerError> {
+    ) -> Result<OwnerReply, PeerError> {
         let call = async |client: OwnerServiceClient, cx| client.ask(cx, shard, ask).await;
         self.exchange(address, limit, call).await
     }
--- a/src/lapisdrum/sched/process.rs
+++ b/src/lapisdrum/sched/process.rs
@@ -1,6 +1,6 @@
 //! Start and graceful shutdown of the process.
 
-use super::{Cx, lease, operators, peer, reach};
+use super::{Cx, lease, operators, peer, reachability};
 use crate::daemon::supervisor;
 use actix_rt::net::TcpListener;
 use eyre::WrapErr as _;
@@ -17,7 +17,7 @@
     log::info!(daemon:% = cx.me.daemon, incarnation = cx.me.incarnation, data_centre:% = cx.cfg.data_centre, peers:% = address; "started");
     supervisor::spawn("peers", peer::serve(Rc::clone(cx), listener));
     supervisor::spawn("operators", operators::follow(Rc::clone(cx)));
-    supervisor::spawn("reach", reach::follow(Rc::clone(cx)));
+    supervisor::spawn("reach", reachability::follow(Rc::clone(cx)));
     let lease_cx = Rc::clone(cx);
     supervisor::spawn("lease-watch", async move {
         // Runs until the process ends.
--- a/src/lapisdrum/sched/reach.rs
+++ b/src/lapisdrum/sched/reachability.rs
@@ -33,7 +33,7 @@
 
 /// Last answers of the store and of other daemons.
 #[derive(Default)]
-pub struct Reach {
+pub struct Reachability {
     store_answered_at: Cell<Millis>,
     others_answered_at: Cell<Option<Millis>>,
     /// Data centres of the daemons that have answered, by the daemons' addresses.
@@ -41,7 +41,7 @@
     is_isolated: Cell<bool>,
 }
 
-impl Reach {
+impl Reachability {
     /// Records an answer of the store, which ends an isolation.
     pub fn note_store(&self, now: Millis) {
         self.store_answered_at.set(now);
@@ -80,17 +80,17 @@
     let mut discovered_at: Option<Millis> = None;
     loop {
         let now = cx.clock.now();
-        let discovery_interval = match cx.reach.others_answered_at.get() {
+        let discovery_interval = match cx.reachability.others_answered_at.get() {
             Some(_) => DISCOVERY_INTERVAL,
             None => FIRST_DISCOVERY_INTERVAL,
         };
         let is_discovery_due = discovered_at.is_none_or(|at| now.since(at) >= discovery_interval);
-        if cx.reach.is_store_unreachable(now) || is_discovery_due {
+        if cx.reachability.is_store_unreachable(now) || is_discovery_due {
             call_all(&cx).await;
             discovered_at = Some(now);
         }
-        let is_isolated = cx.reach.detect_isolation(cx.clock.now());
-        if cx.reach.is_isolated.replace(is_isolated) != is_isolated {
+        let is_isolated = cx.reachability.detect_isolation(cx.clock.now());
+        if cx.reachability.is_isolated.replace(is_isolated) != is_isolated {
             log::warn!(is_isolated; "isolation changed");
         }
         tokio::time::sleep(CHECK_INTERVAL).await;
@@ -105,7 +105,8 @@
     for (address, answer) in futures::future::join_all(asked).await {
         if let Ok(who) = answer {
             let (own, now) = (&cx.cfg.data_centre, cx.clock.now());
-            cx.reach.note_daemon(own, &address, &who.data_centre, now);
+            cx.reachability
+                .note_daemon(own, &address, &who.data_centre, now);
         }
     }
 }
@@ -121,7 +122,7 @@
         let holder: Option<&Holder> = lease.row.as_ref().map(|row| &row.holder);
         all.extend(holder.map(|holder| holder.address.clone()));
     }
-    all.extend(cx.reach.known.borrow().keys().cloned());
+    all.extend(cx.reachability.known.borrow().keys().cloned());
     all.shift_remove(&cx.me.address);
     all
 }
--- a/src/lapisdrum/sched/settle.rs
+++ b/src/lapisdrum/sched/resolution.rs
@@ -6,7 +6,7 @@
 //! the caller wait or ask.
 
 use super::{
-    edge::{Row, TxnEnd},
+    edge::{Row, TxnOutcome},
     event::Loss,
 };
 use crate::core::time::Millis;
@@ -30,17 +30,17 @@
 /// Without the nonce, a row of the next owner at the same key would be taken for this owner's write, and callers would
 /// get confirmations of jobs that are not stored.
 pub fn judge_write(
-    end: &TxnEnd,
+    end: &TxnOutcome,
     holds_fence: impl Fn(&[Row]) -> bool,
     is_own: impl Fn(&[Row]) -> bool,
 ) -> WriteVerdict {
     match end {
-        TxnEnd::Committed(_) => WriteVerdict::Committed,
-        TxnEnd::Conflict(rows) if is_own(rows) => WriteVerdict::Committed,
-        TxnEnd::Conflict(rows) if !holds_fence(rows) => WriteVerdict::Fenced,
+        TxnOutcome::Committed(_) => WriteVerdict::Committed,
+        TxnOutcome::Conflict(rows) if is_own(rows) => WriteVerdict::Committed,
+        TxnOutcome::Conflict(rows) if !holds_fence(rows) => WriteVerdict::Fenced,
         // The fence is held, but another writer's row is at the key: a second process uses the same fence.
-        TxnEnd::Conflict(_) => WriteVerdict::Fenced,
-        TxnEnd::NotDone(_) | TxnEnd::Unknown(_) => WriteVerdict::SendAgain,
+        TxnOutcome::Conflict(_) => WriteVerdict::Fenced,
+        TxnOutcome::NotDone(_) | TxnOutcome::Unknown(_) => WriteVerdict::SendAgain,
     }
 }
 
@@ -49,13 +49,13 @@
 /// changed by an earlier attempt of this owner whose reply was lost; to treat that as another owner's write would end
 /// a valid ownership.
 pub fn is_piggyback_stale(
-    end: &TxnEnd,
+    end: &TxnOutcome,
     holds_fence: impl Fn(&[Row]) -> bool,
     are_keys_free: impl Fn(&[Row]) -> bool,
 ) -> bool {
     match end {
-        TxnEnd::Conflict(rows) => holds_fence(rows) && are_keys_free(rows),
-        TxnEnd::Committed(_) | TxnEnd::NotDone(_) | TxnEnd::Unknown(_) => false,
+        TxnOutcome::Conflict(rows) => holds_fence(rows) && are_keys_free(rows),
+        TxnOutcome::Committed(_) | TxnOutcome::NotDone(_) | TxnOutcome::Unknown(_) => false,
     }
 }
 
@@ -65,11 +65,11 @@
     /// Not sent, since the placement is not durable yet.
     NotSent,
     /// Sent and still waiting for a reply.
-    UnderWay,
+    InFlight,
     /// The worker confirmed at this time that it has the run.
     Answered(Millis),
     /// The call ended without a reply; the order may still be carried out.
-    Silent,
+    Unanswered,
     /// Sent by an earlier owner, whose token the worker refuses once it has seen this owner's.
     Inherited,
 }
@@ -80,7 +80,7 @@
     /// No stop was ordered.
     No,
     /// Sent, without a conclusive reply so far.
-    UnderWay,
+    InFlight,
     /// The worker confirmed the stop at this time: a run that has not started by then will never start there.
     Confirmed(Millis),
 }
@@ -96,13 +96,13 @@
 
 /// What a poll response of a worker shows about a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Sight {
+pub struct Observation {
     /// Time at which the poll was sent.
     pub sent_at: Millis,
     /// Whether the worker lists the run as running.
     pub is_listed: bool,
     /// Whether the worker still has the incarnation that the run was placed on.
-    pub is_same_life: bool,
+    pub is_same_incarnation: bool,
 }
 
 /// What a poll response implies for a run.
@@ -119,32 +119,32 @@
 }
 
 /// Resolves a run by a poll response of its worker.
-pub fn judge_run(known: RunKnowledge, sight: Sight) -> RunVerdict {
-    if sight.is_listed {
+pub fn judge_run(known: RunKnowledge, observation: Observation) -> RunVerdict {
+    if observation.is_listed {
         return RunVerdict::Runs;
     }
-    let gone = match sight.is_same_life {
+    let loss = match observation.is_same_incarnation {
         true => Loss::NotThere,
         false => Loss::Reborn,
     };
     // The response to a poll that was in flight when the worker confirmed the order may be older than the order; so may
     // that to a poll that was sent in the same millisecond.
     if let Stop::Confirmed(at) = known.stop
-        && sight.sent_at > at
+        && observation.sent_at > at
     {
-        return RunVerdict::Lost(gone);
+        return RunVerdict::Lost(loss);
     }
     match known.order {
-        Order::NotSent | Order::UnderWay => RunVerdict::Wait,
-        Order::Answered(at) if sight.sent_at > at => RunVerdict::Lost(gone),
+        Order::NotSent | Order::InFlight => RunVerdict::Wait,
+        Order::Answered(at) if observation.sent_at > at => RunVerdict::Lost(loss),
         Order::Answered(_) => RunVerdict::Wait,
         // The poll carried this owner's token, so the worker refuses orders of earlier owners that are in flight.
-        Order::Inherited => RunVerdict::Lost(gone),
+        Order::Inherited => RunVerdict::Lost(loss),
         // A worker that restarts under the same id has lost all tokens and stopped runs: an order still in flight would
         // be carried out by the new incarnation too.
-        Order::Silent => match known.stop {
+        Order::Unanswered => match known.stop {
             Stop::No => RunVerdict::OrderStop,
-            Stop::UnderWay | Stop::Confirmed(_) => RunVerdict::Wait,
+            Stop::InFlight | Stop::Confirmed(_) => RunVerdict::Wait,
         },
     }
 }
@@ -181,10 +181,10 @@
     }
 
     /// Longest time after sending at which an unanswered order may take effect.
-    fn lateness(&self, habit: Habit) -> Duration {
-        match habit {
-            Habit::Prompt => self.transit,
-            Habit::Late => self.latest_effect,
+    fn lateness(&self, late_execution: LateExecution) -> Duration {
+        match late_execution {
+            LateExecution::NotSeen => self.transit,
+            LateExecution::Seen => self.latest_effect,
         }
     }
 }
@@ -195,11 +195,11 @@
 /// that leaves an order unanswered and answers the next call may carry the order out late. To wait for that after every
 /// crash would keep tasks down for 18 s instead of 7 s.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Habit {
+pub enum LateExecution {
     /// No worker left an order unanswered and answered a later call.
-    Prompt,
+    NotSeen,
     /// A worker left an order unanswered and answered a later call.
-    Late,
+    Seen,
 }
 
 /// Bound on the time until which runs may be alive on a worker under the leases that were sent to it.
@@ -211,7 +211,7 @@
     /// Time of the last reply to a lease of this owner.
     answered_at: Option<Millis>,
     /// Time at which the last lease without a reply was sent.
-    silent_at: Option<Millis>,
+    unanswered_at: Option<Millis>,
     in_flight: u32,
 }
 
@@ -222,49 +222,54 @@
         Self {
             inherited_until: Some(renewed_at + limits.owner_hold),
             answered_at: None,
-            silent_at: None,
+            unanswered_at: None,
             in_flight: 0,
         }
     }
 
     /// Records that the previous owner had ended by `at`, so that it sent no lease later.
-    pub fn predecessor_gone(&mut self, at: Millis) {
+    pub fn previous_owner_ended(&mut self, at: Millis) {
         self.inherited_until = self.inherited_until.map(|until| until.min(at));
     }
 
     /// Records that a call with a lease is sent.
-    pub fn sent(&mut self) {
+    pub fn note_sent(&mut self) {
         self.in_flight += 1;
     }
 
     /// Records that a call with a lease was answered at `at`, so that it does not take effect later.
-    pub fn answered(&mut self, at: Millis) {
-        self.void();
+    pub fn note_answered(&mut self, at: Millis) {
+        self.note_no_effect();
         self.answered_at = self.answered_at.max(Some(at));
     }
 
     /// Records that a call with a lease certainly had no effect.
-    pub fn void(&mut self) {
+    pub fn note_no_effect(&mut self) {
         self.in_flight = self.in_flight.saturating_sub(1);
     }
 
     /// Records that a call with a lease, sent at `sent_at`, got no reply.
-    pub fn silent(&mut self, sent_at: Millis) {
-        self.void();
-        self.silent_at = self.silent_at.max(Some(sent_at));
+    pub fn note_unanswered(&mut self, sent_at: Millis) {
+        self.note_no_effect();
+        self.unanswered_at = self.unanswered_at.max(Some(sent_at));
     }
 
     /// Records the first reply under this owner's token, at `at`: from then on the worker refuses calls of the previous
     /// owner, and leases that it sent earlier end at most one lease after `at`.
-    pub fn claimed(&mut self, at: Millis) {
+    pub fn note_claimed(&mut self, at: Millis) {
         self.inherited_until = None;
         self.answered_at = self.answered_at.max(Some(at));
     }
 
     /// Whether no run can be alive on the worker any more.
-    pub fn is_over(&self, now: Millis, habit: Habit, limits: &LeaseLimits) -> bool {
-        let lateness = limits.lateness(habit);
-        let late = [self.inherited_until, self.silent_at];
+    pub fn has_ended(
+        &self,
+        now: Millis,
+        late_execution: LateExecution,
+        limits: &LeaseLimits,
+    ) -> bool {
+        let lateness = limits.lateness(late_execution);
+        let late = [self.inherited_until, self.unanswered_at];
         let late = late.into_iter().flatten().map(|at| at + lateness);
         let ends = late.chain(self.answered_at);
         let latest = ends.max().unwrap_or_default() + limits.longest_on_own_clock();
--- a/tests/testsuite/model/handover.rs
+++ b/tests/testsuite/model/handover.rs
@@ -7,7 +7,7 @@
 use super::explore::{Search, explore};
 use crate::sched::world::{step, terms};
 use lapisdrum::sched::{
-    event::{Event, Loss, RunId, WorkerLife},
+    event::{Event, Loss, RunId, WorkerIncarnation},
     job::{JobId, JobSpec, RawJob, RunNumber, TaskId},
     layout::ShardId,
     ledger::{Ledger, Phase},
@@ -230,9 +230,9 @@
         task: TASK,
         run: last.next(),
     };
-    let on = WorkerLife {
+    let on = WorkerIncarnation {
         worker: format!("w{shard}"),
-        born: 1,
+        started_unix_ms: 1,
     };
     let placed = state.after(shard, &[Event::Placed { run, on }])?;
     Some((format!("place {shard}"), placed))
--- a/tests/testsuite/sched/evacuation.rs
+++ b/tests/testsuite/sched/evacuation.rs
@@ -13,7 +13,7 @@
         evacuation::{Change, Evacuations},
         job::JobId,
         layout::ShardId,
-        peer::{self, Answer, Ask, JobState, SubmitReply},
+        peer::{self, JobState, OwnerReply, OwnerRequest, SubmitReply},
     },
 };
 use std::{rc::Rc, time::Duration};
@@ -209,7 +209,7 @@
         assert_matches!(world.submit(&cx, 1, steps).await, SubmitReply::Accepted);
         world.restore("karen");
         sleep(KNOWN).await;
-        let ask = Ask::Submit {
+        let ask = OwnerRequest::Submit {
             job: JobId(2),
             spec: spec("work"),
             terms: terms(),
@@ -217,7 +217,7 @@
         };
         world.expect(2, vec![step(1, 100, &[])]);
         let accepted = peer::answer(&cx, ShardId(0), ask).await;
-        assert_matches!(accepted, Answer::Submitted(SubmitReply::Accepted));
+        assert_matches!(accepted, OwnerReply::Submitted(SubmitReply::Accepted));
         completed(&world, &cx, 2).await;
         world.check();
     });
--- a/tests/testsuite/sched/faults.rs
+++ b/tests/testsuite/sched/faults.rs
@@ -8,9 +8,9 @@
 use lapisdrum::sched::{
     edge::RowKey,
     job::{JobId, TaskId},
-    journal::{AppendEnd, JOURNAL_TABLE, Journal},
+    journal::{AppendOutcome, JOURNAL_TABLE, Journal},
     layout::ShardId,
-    peer::{self, Answer, Ask, CancelReply, JobState, ShowReply, SubmitReply},
+    peer::{self, CancelReply, JobState, OwnerReply, OwnerRequest, ShowReply, SubmitReply},
 };
 use std::{rc::Rc, time::Duration};
 use tokio::time::{Instant, sleep};
@@ -457,7 +457,7 @@
         let cx = world.daemon("a");
         let place = |table, key: &str| RowKey {
             table,
-            part: "main".to_owned(),
+            partition: "main".to_owned(),
             key: key.to_owned(),
         };
         let fence = place("owners", "fence");
@@ -468,7 +468,7 @@
         let ticket = journal.append(&[]);
         let (writing, writer) = (Rc::clone(&journal), Rc::clone(&cx));
         actix_rt::spawn(async move { writing.write_all(&writer, Vec::new).await });
-        assert_eq!(ticket.end().await, AppendEnd::Lost);
+        assert_eq!(ticket.outcome().await, AppendOutcome::Lost);
     });
 }
 
@@ -487,10 +487,11 @@
         let submitted = world.submit(&second, 1, vec![step(1, 60_000, &[])]).await;
         assert_matches!(submitted, SubmitReply::Accepted);
         assert_matches!(world.cancel(&first, 1).await, CancelReply::NotOwner);
-        let shown = peer::answer(&first, ShardId(0), Ask::Show(JobId(1))).await;
-        assert_matches!(shown, Answer::Shown(ShowReply::NotOwner));
-        let counted = peer::answer(&first, ShardId(0), Ask::Pending("maps".to_owned())).await;
-        assert_matches!(counted, Answer::Pending(None));
+        let shown = peer::answer(&first, ShardId(0), OwnerRequest::Show(JobId(1))).await;
+        assert_matches!(shown, OwnerReply::Shown(ShowReply::NotOwner));
+        let counted =
+            peer::answer(&first, ShardId(0), OwnerRequest::Pending("maps".to_owned())).await;
+        assert_matches!(counted, OwnerReply::Pending(None));
         assert_matches!(world.cancel(&second, 1).await, CancelReply::Done);
         assert_matches!(world.cancel(&second, 2).await, CancelReply::UnknownJob);
     });
@@ -514,7 +515,7 @@
     owned(&second, LIMIT).await;
     if is_gone_known {
         let owner = second.owners().remove(0);
-        owner.note_predecessor_gone(&second, second.clock.now());
+        owner.note_previous_owner_ended(&second, second.clock.now());
     }
     let limit = Duration::from_secs(20);
     until("it runs again", limit, async || {
--- a/tests/testsuite/sched/journal.rs
+++ b/tests/testsuite/sched/journal.rs
@@ -8,10 +8,10 @@
     core::time::Millis,
     sched::{
         Cx,
-        edge::{Txn, TxnEnd},
+        edge::{Txn, TxnOutcome},
         event::Event,
         job::JobId,
-        journal::{AppendEnd, Journal},
+        journal::{AppendOutcome, Journal},
     },
 };
 use std::{cell::Cell, rc::Rc, time::Duration};
@@ -28,7 +28,7 @@
         put: vec![(fence.clone(), "a".into())],
         delete: Vec::new(),
     };
-    let TxnEnd::Committed(version) = cx.store.commit(&raised).await else {
+    let TxnOutcome::Committed(version) = cx.store.commit(&raised).await else {
         panic!("the fence is not raised");
     };
     let journal = Rc::new(Journal::new(PART, (fence, version)));
@@ -61,7 +61,7 @@
             let (began, ticket) = (Instant::now(), journal.append(&[event(job)]));
             let longest = Rc::clone(&longest);
             actix_rt::spawn(async move {
-                assert_eq!(ticket.end().await, AppendEnd::Durable);
+                assert_eq!(ticket.outcome().await, AppendOutcome::Durable);
                 longest.set(longest.get().max(began.elapsed()));
             });
             sleep(Duration::from_millis(15)).await;
@@ -81,19 +81,19 @@
         let (cx, journal) = journal(&world).await;
         for job in 0..400 {
             assert_eq!(
-                journal.append(&[event(job)]).end().await,
-                AppendEnd::Durable
+                journal.append(&[event(job)]).outcome().await,
+                AppendOutcome::Durable
             );
         }
         world.set_store("a", StoreMood::Slow);
         let began = Instant::now();
         assert_eq!(
-            journal.append(&[event(400)]).end().await,
-            AppendEnd::Durable
+            journal.append(&[event(400)]).outcome().await,
+            AppendOutcome::Durable
         );
         let took = began.elapsed();
         assert!(took < Duration::from_millis(1_000), "{took:?}");
-        assert!(journal.is_flowing(cx.clock.now()));
+        assert!(journal.accepts_work(cx.clock.now()));
     });
 }
 
@@ -106,13 +106,13 @@
         world.set_store("a", StoreMood::Slow);
         let tickets: Vec<_> = (0..200).map(|job| journal.append(&[event(job)])).collect();
         for ticket in tickets {
-            assert_eq!(ticket.end().await, AppendEnd::Durable);
+            assert_eq!(ticket.outcome().await, AppendOutcome::Durable);
         }
-        journal.lose();
+        journal.stop();
         let next = Journal::new(PART, world.fence(PART));
         let ledger = next.recover(&cx).await.expect("a ledger");
         let jobs: Vec<u64> = ledger.jobs.keys().map(|id| id.0).collect();
         assert_eq!(jobs, (0..200).collect::<Vec<u64>>());
-        assert!(next.is_flowing(Millis(0)));
+        assert!(next.accepts_work(Millis(0)));
     });
 }
--- a/tests/testsuite/sched/layout.rs
+++ b/tests/testsuite/sched/layout.rs
@@ -10,14 +10,14 @@
     sched::{
         Cx,
         edge::{Queue, WorkerReport},
-        event::{Event, WorkerLife},
+        event::{Event, WorkerIncarnation},
         front::{self, Outcome},
         job::{JobId, JobSpec, RawJob, Step},
         layout::{Layout, ShardId},
         lease,
         ledger::{InvalidEvent, Ledger},
         owner::Owner,
-        peer::{self, Answer, Ask, JobState, SubmitReply},
+        peer::{self, JobState, OwnerReply, OwnerRequest, SubmitReply},
     },
 };
 use proptest::prelude::*;
@@ -28,9 +28,9 @@
 
 fn worker(id: usize, pool: &str, rack: &str) -> WorkerReport {
     WorkerReport {
-        life: WorkerLife {
+        incarnation: WorkerIncarnation {
             worker: format!("i{id}"),
-            born: 1,
+            started_unix_ms: 1,
         },
         pool: pool.to_owned(),
         address: "127.0.0.1:1".to_owned(),
@@ -303,8 +303,8 @@
         let again = front::submit(&cx, &queue, job, spec).await;
         assert_eq!(again, Outcome::Done(()), "a repeat finds it");
         let elsewhere = layout.home_by_id(job);
-        let asked = peer::answer(&cx, elsewhere, Ask::Pending("maps".to_owned())).await;
-        assert_matches!(asked, Answer::Pending(Some(0)));
+        let asked = peer::answer(&cx, elsewhere, OwnerRequest::Pending("maps".to_owned())).await;
+        assert_matches!(asked, OwnerReply::Pending(Some(0)));
         assert_matches!(front::show(&cx, job).await, Outcome::Done(_));
         assert_eq!(front::cancel(&cx, job).await, Outcome::Done(()));
         assert_eq!(front::cancel(&cx, JobId(99)).await, Outcome::NoSuchJob);
@@ -316,7 +316,7 @@
             Outcome::Refused(_),
             "a shard without an owner may know it"
         );
-        assert!(lease::look(&cx, &handle).await.is_ok());
+        assert!(lease::read(&cx, &handle).await.is_ok());
     });
 }
 
@@ -346,7 +346,7 @@
         until("the workers are claimed", LIMIT, async || {
             cx.owners()
                 .iter()
-                .all(|owner| owner.lasting_load(&cx).is_some())
+                .all(|owner| owner.long_running_load(&cx).is_some())
         })
         .await;
         let crowded = (1..).filter(|id| home(&cx, *id) == ShardId(0));
--- a/tests/testsuite/sched/ledger.rs
+++ b/tests/testsuite/sched/ledger.rs
@@ -3,7 +3,7 @@
 use super::world::{step, terms};
 use assert_matches::assert_matches;
 use lapisdrum::sched::{
-    event::{Event, Loss, RunEnd, RunId, WorkerLife},
+    event::{Event, Loss, RunEnd, RunId, WorkerIncarnation},
     job::{Gang, InvalidJob, JobId, JobSpec, RawJob, RunNumber, Schedule, Step, TaskId},
     ledger::{InvalidEvent, Ledger, Phase},
 };
@@ -47,9 +47,9 @@
 fn placed(run: RunId) -> Event {
     Event::Placed {
         run,
-        on: WorkerLife {
+        on: WorkerIncarnation {
             worker: "w0".to_owned(),
-            born: 1,
+            started_unix_ms: 1,
         },
     }
 }
--- a/tests/testsuite/sched/ownership.rs
+++ b/tests/testsuite/sched/ownership.rs
@@ -15,7 +15,7 @@
         layout::ShardId,
         lease::{Holder, LEASE, LeaseRow, LeaseView},
         peer::{JobState, SubmitReply},
-        process, reach,
+        process, reachability,
     },
 };
 use std::{cell::Cell, net::SocketAddr, rc::Rc, time::Duration};
@@ -298,15 +298,15 @@
         let (owner, relay) = world.daemon_behind_relay("a", "westlands");
         owned(&owner, LIMIT).await;
         let cut_off = world.daemon("b");
-        actix_rt::spawn(reach::follow(Rc::clone(&cut_off)));
+        actix_rt::spawn(reachability::follow(Rc::clone(&cut_off)));
         sleep(Duration::from_secs(3)).await;
-        assert!(!cut_off.reach.is_isolated());
+        assert!(!cut_off.reachability.is_isolated());
         world.set_store("b", StoreMood::Away);
         relay.cut();
         until(
             "it finds itself alone",
             Duration::from_millis(1_800),
-            async || cut_off.reach.is_isolated(),
+            async || cut_off.reachability.is_isolated(),
         )
         .await;
         let began = Instant::now();
@@ -315,7 +315,7 @@
         assert!(began.elapsed() < Duration::from_millis(20));
         world.set_store("b", StoreMood::Up);
         until("it is ready again", LIMIT, async || {
-            !cut_off.reach.is_isolated()
+            !cut_off.reachability.is_isolated()
         })
         .await;
     });
@@ -361,13 +361,13 @@
         let owner = world.daemon_in("a", "westlands");
         owned(&owner, LIMIT).await;
         let other = world.daemon("b");
-        actix_rt::spawn(reach::follow(Rc::clone(&other)));
+        actix_rt::spawn(reachability::follow(Rc::clone(&other)));
         sleep(Duration::from_secs(1)).await;
         world.set_store("a", StoreMood::Away);
         world.set_store("b", StoreMood::Away);
         for _ in 0..40 {
             sleep(Duration::from_millis(100)).await;
-            assert!(!other.reach.is_isolated());
+            assert!(!other.reachability.is_isolated());
         }
     });
 }
--- a/tests/testsuite/sched/settle.rs
+++ b/tests/testsuite/sched/resolution.rs
@@ -4,12 +4,12 @@
 use lapisdrum::{
     core::time::Millis,
     sched::{
-        edge::{CallError, Row, TxnEnd},
+        edge::{CallError, Row, TxnOutcome},
         event::Loss,
         owner::session::Session,
-        settle::{
-            Habit, LeaseBound, Order, RunKnowledge, RunVerdict, Sight, Stop, WriteVerdict,
-            is_piggyback_stale, judge_run, judge_write,
+        resolution::{
+            LateExecution, LeaseBound, Observation, Order, RunKnowledge, RunVerdict, Stop,
+            WriteVerdict, is_piggyback_stale, judge_run, judge_write,
         },
     },
 };
@@ -24,7 +24,7 @@
     }
 }
 
-fn judge(end: &TxnEnd, holds_fence: bool) -> WriteVerdict {
+fn judge(end: &TxnOutcome, holds_fence: bool) -> WriteVerdict {
     judge_write(
         end,
         |_| holds_fence,
@@ -36,26 +36,29 @@
 /// is; taken for ours, the next owner's row would have callers told that jobs are accepted which are not.
 #[test]
 fn only_our_own_row_at_our_place_counts() {
-    assert_eq!(judge(&TxnEnd::Committed(3), true), WriteVerdict::Committed);
     assert_eq!(
-        judge(&TxnEnd::Conflict(vec![row(b"own")]), false),
+        judge(&TxnOutcome::Committed(3), true),
         WriteVerdict::Committed
     );
     assert_eq!(
-        judge(&TxnEnd::Conflict(vec![row(b"other")]), true),
+        judge(&TxnOutcome::Conflict(vec![row(b"own")]), false),
+        WriteVerdict::Committed
+    );
+    assert_eq!(
+        judge(&TxnOutcome::Conflict(vec![row(b"other")]), true),
         WriteVerdict::Fenced
     );
     assert_eq!(
-        judge(&TxnEnd::Conflict(vec![row(b"other")]), false),
+        judge(&TxnOutcome::Conflict(vec![row(b"other")]), false),
         WriteVerdict::Fenced
     );
     let silence = CallError::new("no answer");
     assert_eq!(
-        judge(&TxnEnd::Unknown(silence.clone()), true),
+        judge(&TxnOutcome::Unknown(silence.clone()), true),
         WriteVerdict::SendAgain
     );
     assert_eq!(
-        judge(&TxnEnd::NotDone(silence), true),
+        judge(&TxnOutcome::NotDone(silence), true),
         WriteVerdict::SendAgain
     );
 }
@@ -65,14 +68,14 @@
     stop: Stop,
     sent_at: u64,
     is_listed: bool,
-    is_same_life: bool,
+    is_same_incarnation: bool,
 ) -> RunVerdict {
-    let sight = Sight {
+    let observation = Observation {
         sent_at: Millis(sent_at),
         is_listed,
-        is_same_life,
+        is_same_incarnation,
     };
-    judge_run(RunKnowledge { order, stop }, sight)
+    judge_run(RunKnowledge { order, stop }, observation)
 }
 
 /// A look is sent, the worker answers an order to start in the same millisecond, and the look's answer,
@@ -97,27 +100,45 @@
 /// once that is confirmed, the worker never runs it.
 #[test]
 fn a_silent_start_is_settled_by_a_stop_alone() {
-    for is_same_life in [true, false] {
+    for is_same_incarnation in [true, false] {
         assert_eq!(
-            verdict(Order::Silent, Stop::No, 500, false, is_same_life),
+            verdict(Order::Unanswered, Stop::No, 500, false, is_same_incarnation),
             RunVerdict::OrderStop
         );
         assert_eq!(
-            verdict(Order::Silent, Stop::UnderWay, 500, false, is_same_life),
+            verdict(
+                Order::Unanswered,
+                Stop::InFlight,
+                500,
+                false,
+                is_same_incarnation
+            ),
             RunVerdict::Wait
         );
         let confirmed = Stop::Confirmed(Millis(400));
         assert_eq!(
-            verdict(Order::Silent, confirmed, 400, false, is_same_life),
+            verdict(
+                Order::Unanswered,
+                confirmed,
+                400,
+                false,
+                is_same_incarnation
+            ),
             RunVerdict::Wait
         );
         assert!(matches!(
-            verdict(Order::Silent, confirmed, 401, false, is_same_life),
+            verdict(
+                Order::Unanswered,
+                confirmed,
+                401,
+                false,
+                is_same_incarnation
+            ),
             RunVerdict::Lost(_)
         ));
     }
     assert_eq!(
-        verdict(Order::Silent, Stop::No, 500, true, true),
+        verdict(Order::Unanswered, Stop::No, 500, true, true),
         RunVerdict::Runs
     );
 }
@@ -125,7 +146,7 @@
 /// Nothing is concluded about a run whose order is not sent or under way.
 #[test]
 fn an_order_under_way_is_waited_for() {
-    for order in [Order::NotSent, Order::UnderWay] {
+    for order in [Order::NotSent, Order::InFlight] {
         assert_eq!(verdict(order, Stop::No, 500, false, true), RunVerdict::Wait);
     }
 }
@@ -138,21 +159,21 @@
     let limits = limits();
     let at = |ms: u64| Millis(ms);
     let mut bound = LeaseBound::inherited(at(0), &limits);
-    bound.claimed(at(1_000));
-    bound.sent();
+    bound.note_claimed(at(1_000));
+    bound.note_sent();
     assert!(
-        !bound.is_over(at(60_000), Habit::Prompt, &limits),
+        !bound.has_ended(at(60_000), LateExecution::NotSeen, &limits),
         "a call is under way"
     );
-    bound.answered(at(2_000));
-    assert!(!bound.is_over(at(8_000), Habit::Prompt, &limits));
-    assert!(bound.is_over(at(8_200), Habit::Prompt, &limits));
-    bound.sent();
-    bound.silent(at(3_000));
-    assert!(!bound.is_over(at(9_800), Habit::Prompt, &limits));
-    assert!(bound.is_over(at(9_950), Habit::Prompt, &limits));
-    assert!(!bound.is_over(at(21_000), Habit::Late, &limits));
-    assert!(bound.is_over(at(21_700), Habit::Late, &limits));
+    bound.note_answered(at(2_000));
+    assert!(!bound.has_ended(at(8_000), LateExecution::NotSeen, &limits));
+    assert!(bound.has_ended(at(8_200), LateExecution::NotSeen, &limits));
+    bound.note_sent();
+    bound.note_unanswered(at(3_000));
+    assert!(!bound.has_ended(at(9_800), LateExecution::NotSeen, &limits));
+    assert!(bound.has_ended(at(9_950), LateExecution::NotSeen, &limits));
+    assert!(!bound.has_ended(at(21_000), LateExecution::Seen, &limits));
+    assert!(bound.has_ended(at(21_700), LateExecution::Seen, &limits));
 }
 
 /// A new owner can't reach a worker. The earlier owner may have renewed it until its hold was over.
@@ -161,8 +182,12 @@
     let limits = limits();
     let bound = LeaseBound::inherited(Millis(10_000), &limits);
     let hold = Millis(10_000) + limits.owner_hold + limits.longest;
-    assert!(!bound.is_over(hold, Habit::Prompt, &limits));
-    assert!(bound.is_over(hold + Duration::from_secs(1), Habit::Prompt, &limits));
+    assert!(!bound.has_ended(hold, LateExecution::NotSeen, &limits));
+    assert!(bound.has_ended(
+        hold + Duration::from_secs(1),
+        LateExecution::NotSeen,
+        &limits
+    ));
 }
 
 /// A worker falls silent and may be in a new life when it answers next, in which it numbers its ends from 1.
@@ -180,16 +205,16 @@
 /// another owner has come, and with a row at our place the journal rows themselves are in question.
 #[test]
 fn a_conflict_is_about_the_rider_only_with_our_fence_and_a_free_place() {
-    let judge = |end: &TxnEnd, holds_fence, is_place_free| {
+    let judge = |end: &TxnOutcome, holds_fence, is_place_free| {
         is_piggyback_stale(end, |_| holds_fence, |_| is_place_free)
     };
-    let conflict = TxnEnd::Conflict(vec![row(b"lease")]);
+    let conflict = TxnOutcome::Conflict(vec![row(b"lease")]);
     assert!(judge(&conflict, true, true));
     assert!(!judge(&conflict, false, true));
     assert!(!judge(&conflict, true, false));
-    assert!(!judge(&TxnEnd::Committed(3), true, true));
+    assert!(!judge(&TxnOutcome::Committed(3), true, true));
     assert!(!judge(
-        &TxnEnd::Unknown(CallError::new("no answer")),
+        &TxnOutcome::Unknown(CallError::new("no answer")),
         true,
         true
     ));
--- a/tests/testsuite/sched/strain.rs
+++ b/tests/testsuite/sched/strain.rs
@@ -251,7 +251,7 @@
     let serving = [Serving {
         victim: victim(serving),
         tasks: 4,
-        surprise: 0.0,
+        residual: 0.0,
     }];
     relief::decide(&sight, &serving, leftover)
 }
--- a/tests/testsuite/sched/takeover.rs
+++ b/tests/testsuite/sched/takeover.rs
@@ -7,15 +7,15 @@
 use assert_matches::assert_matches;
 use lapisdrum::sched::{
     Cx,
-    edge::{RowKey, Txn, TxnEnd},
+    edge::{RowKey, Txn, TxnOutcome},
     event::Event,
     job::JobId,
-    journal::{AppendEnd, JOURNAL_TABLE, Journal},
+    journal::{AppendOutcome, JOURNAL_TABLE, Journal},
     layout::ShardId,
     lease::LEASE,
     ledger::Ledger,
     peer::{CancelReply, JobState, SubmitReply},
-    reach,
+    reachability,
 };
 use std::{net::SocketAddr, rc::Rc, time::Duration};
 use tokio::time::sleep;
@@ -123,12 +123,12 @@
         let (owner, relay) = world.daemon_behind_relay("a", "westlands");
         owned(&owner, LIMIT).await;
         let other = world.daemon("b");
-        actix_rt::spawn(reach::follow(Rc::clone(&other)));
+        actix_rt::spawn(reachability::follow(Rc::clone(&other)));
         sleep(Duration::from_secs(3)).await;
         relay.cut();
         for _ in 0..40 {
             sleep(Duration::from_millis(100)).await;
-            assert!(!other.reach.is_isolated());
+            assert!(!other.reachability.is_isolated());
         }
     });
 }
@@ -145,7 +145,7 @@
             put: vec![(fence.clone(), "a".into())],
             ..Txn::default()
         };
-        let TxnEnd::Committed(version) = cx.store.commit(&raise).await else {
+        let TxnOutcome::Committed(version) = cx.store.commit(&raise).await else {
             panic!("the fence is not raised");
         };
         let journal = Rc::new(Journal::new("shard-0", (fence, version)));
@@ -161,7 +161,7 @@
         let mut covered = None;
         for job in 0..500 {
             let ticket = journal.append(&[accepted(job)]);
-            assert_eq!(ticket.end().await, AppendEnd::Durable);
+            assert_eq!(ticket.outcome().await, AppendOutcome::Durable);
             let rows = cx.store.rows(JOURNAL_TABLE, "shard-0", "").await;
             covered = covered.or(rows.expect("rows").into_iter().next());
         }
@@ -172,14 +172,14 @@
         assert!(left.first().is_some_and(|row| row.key > first.key));
         let again = RowKey {
             table: JOURNAL_TABLE,
-            part: "shard-0".to_owned(),
+            partition: "shard-0".to_owned(),
             key: first.key,
         };
         let put = Txn {
             put: vec![(again, first.value)],
             ..Txn::default()
         };
-        assert_matches!(cx.store.commit(&put).await, TxnEnd::Committed(_));
+        assert_matches!(cx.store.commit(&put).await, TxnOutcome::Committed(_));
         let ledger = journal.recover(&cx).await.expect("a ledger");
         assert_eq!(ledger.jobs.len(), left.len());
     });
--- a/tests/testsuite/sched/world.rs
+++ b/tests/testsuite/sched/world.rs
@@ -17,15 +17,16 @@
     sched::{
         Cx, Node, NodeSettings,
         edge::{
-            CallError, Catalogue, Directory, ListedEnd, ListedRun, Lists, LookOrder, OperatorState,
-            OrderEnd, Queue, Refusal, RowKey, StartOrder, Txn, TxnEnd, WorkerReport, Workers,
+            CallError, Catalogue, Directory, ListedEnd, ListedRun, OperatorState, OrderOutcome,
+            PollOrder, PollResponse, Queue, Refusal, RowKey, StartOrder, Txn, TxnOutcome,
+            WorkerReport, Workers,
         },
-        event::{RunEnd, RunId, WorkerLife},
-        job::{JobId, JobSpec, QueueTerms, RawJob, RunNumber, Step, TaskId},
+        event::{RunEnd, RunId, WorkerIncarnation},
+        job::{JobId, JobSpec, QueueConfig, RawJob, RunNumber, Step, TaskId},
         layout::ShardId,
         lease, operators,
-        peer::{self, Answer, Ask, CancelReply, JobState, ShowReply, SubmitReply},
-        settle::LeaseLimits,
+        peer::{self, CancelReply, JobState, OwnerReply, OwnerRequest, ShowReply, SubmitReply},
+        resolution::LeaseLimits,
     },
 };
 pub(crate) use relay::Relay;
@@ -178,8 +179,8 @@
 }
 
 /// The queue that all jobs of these tests go to.
-pub(crate) fn terms() -> QueueTerms {
-    QueueTerms {
+pub(crate) fn terms() -> QueueConfig {
+    QueueConfig {
         queue: "maps".to_owned(),
         pool: "pool".to_owned(),
         priority: 0,
@@ -342,16 +343,16 @@
     }
 
     /// The fence row of a part and its version.
-    pub(crate) fn fence(&self, part: &str) -> (RowKey, u64) {
+    pub(crate) fn fence(&self, partition: &str) -> (RowKey, u64) {
         let fence = RowKey {
             table: "owners",
-            part: part.to_owned(),
+            partition: partition.to_owned(),
             key: "fence".to_owned(),
         };
         let rows = self.rows.borrow();
         let key = (
             fence.table.to_owned(),
-            fence.part.clone(),
+            fence.partition.clone(),
             fence.key.clone(),
         );
         let version = rows.rows.get(&key).map_or(0, |(_, version)| *version);
@@ -490,7 +491,7 @@
             ..Txn::default()
         };
         let end = self.rows.borrow_mut().commit(&txn);
-        assert!(matches!(end, TxnEnd::Committed(_)), "{end:?}");
+        assert!(matches!(end, TxnOutcome::Committed(_)), "{end:?}");
     }
 
     /// Transactions that took effect.
@@ -519,24 +520,24 @@
     }
 
     /// Carries an order to start out.
-    fn carry_out(&self, id: &str, order: &StartOrder) -> OrderEnd<WorkerMillis> {
+    fn carry_out(&self, id: &str, order: &StartOrder) -> OrderOutcome<WorkerMillis> {
         self.settle_all();
         let now = Instant::now();
         let fails = self.failing.borrow().contains(&order.run.task.job);
         let spec = self.jobs.borrow().get(&order.run.task.job).cloned();
         let Some(steps) = spec else {
             self.breach(format!("{} was never submitted", order.run.task));
-            return OrderEnd::Refused(Refusal::Malformed);
+            return OrderOutcome::Refused(Refusal::Malformed);
         };
         let step = steps[usize::from(order.run.task.step)].clone();
         {
             let mut workers = self.workers.borrow_mut();
             let worker = workers.get_mut(id).expect("a worker");
             if let Err(why) = worker.admit(order, now) {
-                return OrderEnd::Refused(why);
+                return OrderOutcome::Refused(why);
             }
             if worker.running.contains_key(&order.run) {
-                return OrderEnd::Done(worker.clock(now));
+                return OrderOutcome::Done(worker.clock(now));
             }
         }
         self.check_start(&order.run, &steps, &step, id);
@@ -565,7 +566,7 @@
         }
         let started = (now, order.run, id.to_owned());
         self.starts.borrow_mut().push(started);
-        OrderEnd::Done(worker.clock(now))
+        OrderOutcome::Done(worker.clock(now))
     }
 
     fn check_start(&self, run: &RunId, steps: &[Step], step: &Step, id: &str) {
@@ -741,10 +742,10 @@
         _: &'a str,
         id: &'a str,
         order: &'a StartOrder,
-    ) -> LocalBoxFuture<'a, OrderEnd<WorkerMillis>> {
+    ) -> LocalBoxFuture<'a, OrderOutcome<WorkerMillis>> {
         async move {
             if !self.reach(id).await {
-                return OrderEnd::Silent(silence());
+                return OrderOutcome::Silent(silence());
             }
             self.world.check_evacuation(id, &order.run);
             let (mood, born) = {
@@ -767,7 +768,7 @@
                 }
             });
             sleep(SILENCE).await;
-            OrderEnd::Silent(silence())
+            OrderOutcome::Silent(silence())
         }
         .boxed_local()
     }
@@ -778,17 +779,17 @@
         id: &'a str,
         run: RunId,
         token: u64,
-    ) -> LocalBoxFuture<'a, OrderEnd<WorkerMillis>> {
+    ) -> LocalBoxFuture<'a, OrderOutcome<WorkerMillis>> {
         async move {
             if !self.reach(id).await {
-                return OrderEnd::Silent(silence());
+                return OrderOutcome::Silent(silence());
             }
             self.world.settle_all();
             let now = Instant::now();
             let mut workers = self.world.workers.borrow_mut();
             let worker = workers.get_mut(id).expect("a worker");
             if let Err(why) = worker.see_token(token) {
-                return OrderEnd::Refused(why);
+                return OrderOutcome::Refused(why);
             }
             match worker.running.get_mut(&run) {
                 Some(running) => running.stop_at = Some(now + STOP),
@@ -797,20 +798,20 @@
                     *last = (*last).max(run.run);
                 }
             }
-            OrderEnd::Done(worker.clock(now))
+            OrderOutcome::Done(worker.clock(now))
         }
         .boxed_local()
     }
 
-    fn look<'a>(
+    fn poll<'a>(
         &'a self,
         _: &'a str,
         id: &'a str,
-        order: &'a LookOrder,
-    ) -> LocalBoxFuture<'a, OrderEnd<Lists>> {
+        order: &'a PollOrder,
+    ) -> LocalBoxFuture<'a, OrderOutcome<PollResponse>> {
         async move {
             if !self.reach(id).await {
-                return OrderEnd::Silent(silence());
+                return OrderOutcome::Silent(silence());
             }
             let began = Instant::now();
             loop {
@@ -823,7 +824,7 @@
                         break;
                     }
                     if let Err(why) = worker.see_token(order.token) {
-                        return OrderEnd::Refused(why);
+                        return OrderOutcome::Refused(why);
                     }
                     if let Some(until) = order.lease_until {
                         // One that has passed extends nothing.
@@ -842,29 +843,29 @@
                         .extend(done.map(|end| end.run.task));
                     worker.ended.retain(|end| end.number > order.acked_upto);
                     if !worker.ended.is_empty() || now - began >= order.wait {
-                        return OrderEnd::Done(worker.lists(now));
+                        return OrderOutcome::Done(worker.lists(now));
                     }
                 }
                 sleep(WAIT_STEP).await;
             }
             sleep(SILENCE).await;
-            OrderEnd::Silent(silence())
+            OrderOutcome::Silent(silence())
         }
         .boxed_local()
     }
 
-    fn pace<'a>(
+    fn set_cpu_limit<'a>(
         &'a self,
         _: &'a str,
         id: &'a str,
         _: RunId,
         _: u32,
         _: u64,
-    ) -> LocalBoxFuture<'a, OrderEnd<WorkerMillis>> {
+    ) -> LocalBoxFuture<'a, OrderOutcome<WorkerMillis>> {
         async move {
             match self.reach(id).await {
-                true => OrderEnd::Done(self.world.workers.borrow()[id].clock(Instant::now())),
-                false => OrderEnd::Silent(silence()),
+                true => OrderOutcome::Done(self.world.workers.borrow()[id].clock(Instant::now())),
+                false => OrderOutcome::Silent(silence()),
             }
         }
         .boxed_local()
@@ -872,15 +873,15 @@
 }
 
 impl Worker {
-    fn lists(&self, now: Instant) -> Lists {
+    fn lists(&self, now: Instant) -> PollResponse {
         let running = self.running.iter().map(|(run, running)| ListedRun {
             run: *run,
             checkpoint: None,
             percent: running.percent(now),
             gauge: 0,
         });
-        Lists {
-            born: Some(self.born),
+        PollResponse {
+            started_unix_ms: Some(self.born),
             clock: self.clock(now),
             running: running.collect(),
             ended: self.ended.clone(),
@@ -895,9 +896,9 @@
             let workers = self.world.workers.borrow();
             let listed = workers.iter().filter(|(_, w)| w.is_listed && !w.is_dead);
             let report = |(id, worker): (&String, &Worker)| WorkerReport {
-                life: WorkerLife {
+                incarnation: WorkerIncarnation {
                     worker: id.clone(),
-                    born: worker.born,
+                    started_unix_ms: worker.born,
                 },
                 pool: "pool".to_owned(),
                 address: format!("{id}:1"),
@@ -962,7 +963,7 @@
             schedule: None,
         };
         let spec = JobSpec::try_from(raw).expect("a good job");
-        let ask = Ask::Submit {
+        let ask = OwnerRequest::Submit {
             job,
             spec,
             terms: terms(),
@@ -972,9 +973,9 @@
         loop {
             match peer::answer(cx, home(cx, id), ask.clone()).await {
                 // Asked again as the front does.
-                Answer::Submitted(SubmitReply::UnderWay)
+                OwnerReply::Submitted(SubmitReply::UnderWay)
                     if began.elapsed() < Duration::from_millis(1_500) => {}
-                Answer::Submitted(reply) => return reply,
+                OwnerReply::Submitted(reply) => return reply,
                 other => panic!("{other:?}"),
             }
         }
@@ -982,16 +983,16 @@
 
     /// Cancels a job at the owner.
     pub(crate) async fn cancel(&self, cx: &Cx, id: u64) -> CancelReply {
-        match peer::answer(cx, home(cx, id), Ask::Cancel(JobId(id))).await {
-            Answer::Cancelled(reply) => reply,
+        match peer::answer(cx, home(cx, id), OwnerRequest::Cancel(JobId(id))).await {
+            OwnerReply::Cancelled(reply) => reply,
             other => panic!("{other:?}"),
         }
     }
 
     /// A job's state as the owner shows it.
     pub(crate) async fn state(&self, cx: &Cx, id: u64) -> Option<JobState> {
-        match peer::answer(cx, home(cx, id), Ask::Show(JobId(id))).await {
-            Answer::Shown(ShowReply::State(state)) => Some(state),
+        match peer::answer(cx, home(cx, id), OwnerRequest::Show(JobId(id))).await {
+            OwnerReply::Shown(ShowReply::State(state)) => Some(state),
             _ => None,
         }
     }
--- a/tests/testsuite/sched/world/store.rs
+++ b/tests/testsuite/sched/world/store.rs
@@ -6,7 +6,7 @@
 };
 use futures::{FutureExt, future::LocalBoxFuture};
 use lapisdrum::sched::{
-    edge::{CallError, Row, RowKey, Store, Txn, TxnEnd},
+    edge::{CallError, Row, RowKey, Store, Txn, TxnOutcome},
     lease::OWNERS_TABLE,
 };
 use std::rc::Rc;
@@ -43,13 +43,13 @@
 
     /// A transaction on a slow store: those of a part go one after another, and who waits too long for its turn is
     /// turned away. A caller that has given up is told nothing; what it sent takes effect all the same.
-    async fn commit_slowly(&self, txn: &Txn) -> TxnEnd {
+    async fn commit_slowly(&self, txn: &Txn) -> TxnOutcome {
         let (work, answer) = self.world.slow_txn.get();
         let now = Instant::now();
         let turn = self.world.rows.borrow().turn_of(txn).max(now);
         if turn - now > LONGEST_QUEUE {
             sleep(work).await;
-            return TxnEnd::NotDone(CallError::new("too many wait"));
+            return TxnOutcome::NotDone(CallError::new("too many wait"));
         }
         let done_at = turn + work;
         self.world.rows.borrow_mut().take_turn(txn, done_at);
@@ -65,15 +65,15 @@
             world.rows.borrow_mut().commit(&late);
         });
         sleep(CALLER_PATIENCE).await;
-        TxnEnd::Unknown(silence())
+        TxnOutcome::Unknown(silence())
     }
 }
 
 impl Store for StoreHandle {
-    fn commit<'a>(&'a self, txn: &'a Txn) -> LocalBoxFuture<'a, TxnEnd> {
+    fn commit<'a>(&'a self, txn: &'a Txn) -> LocalBoxFuture<'a, TxnOutcome> {
         async move {
             if !self.is_there().await {
-                return TxnEnd::Unknown(silence());
+                return TxnOutcome::Unknown(silence());
             }
             if self.mood() == StoreMood::Slow {
                 return self.commit_slowly(txn).await;
@@ -81,7 +81,7 @@
             let end = self.world.rows.borrow_mut().commit(txn);
             if self.mood() == StoreMood::LosesAnswers {
                 sleep(SILENCE).await;
-                return TxnEnd::Unknown(silence());
+                return TxnOutcome::Unknown(silence());
             }
             end
         }
@@ -91,7 +91,7 @@
     fn rows<'a>(
         &'a self,
         table: &'a str,
-        part: &'a str,
+        partition: &'a str,
         from: &'a str,
     ) -> LocalBoxFuture<'a, Result<Vec<Row>, CallError>> {
         async move {
@@ -109,7 +109,7 @@
             let mut found: Vec<Row> = rows
                 .rows
                 .iter()
-                .filter(|((t, p, k), _)| t == table && p == part && k.as_str() >= from)
+                .filter(|((t, p, k), _)| t == table && p == partition && k.as_str() >= from)
                 .map(|((t, _, k), (value, version))| Row {
                     table: t.clone(),
                     key: k.clone(),
@@ -165,11 +165,11 @@
 }
 
 fn key(row: &RowKey) -> (String, String, String) {
-    (row.table.to_owned(), row.part.clone(), row.key.clone())
+    (row.table.to_owned(), row.partition.clone(), row.key.clone())
 }
 
 fn part_of(txn: &Txn) -> &str {
-    txn.expect.first().map_or("", |(row, _)| &row.part)
+    txn.expect.first().map_or("", |(row, _)| &row.partition)
 }
 
 impl Rows {
@@ -183,13 +183,13 @@
         self.busy_until.insert(part_of(txn).to_owned(), done_at);
     }
 
-    pub(super) fn commit(&mut self, txn: &Txn) -> TxnEnd {
+    pub(super) fn commit(&mut self, txn: &Txn) -> TxnOutcome {
         let holds = txn
             .expect
             .iter()
             .all(|(row, version)| self.rows.get(&key(row)).map_or(0, |(_, v)| *v) == *version);
         if txn.put.iter().any(|(_, value)| value.len() > ROW_BYTES) {
-            return TxnEnd::NotDone(CallError::new("a value is too long"));
+            return TxnOutcome::NotDone(CallError::new("a value is too long"));
         }
         if !holds {
             let expected = txn.expect.iter();
@@ -202,7 +202,7 @@
                     version,
                 })
             });
-            return TxnEnd::Conflict(found.collect());
+            return TxnOutcome::Conflict(found.collect());
         }
         self.version += 1;
         self.commits += 1;
@@ -213,6 +213,6 @@
         for row in &txn.delete {
             self.rows.swap_remove(&key(row));
         }
-        TxnEnd::Committed(self.version)
+        TxnOutcome::Committed(self.version)
     }
 }
