--- a/src/lapisdrum/policy/dispatch/forecast.rs
+++ b/src/lapisdrum/policy/dispatch/forecast.rs
@@ -1,28 +1,28 @@
-//! How long a queue's jobs really take, against the work that is estimated on their longest chain.
+//! Estimates the duration of a queue's jobs from the estimated work on their critical path.
 //!
-//! Load pattern: batch graphs of wide steps at more than the hosts can do. A step is over when the slowest
-//! of its tasks is, best-effort tasks run slower than alone, and some move; so even on a calm day a job may take
-//! almost twice the estimate of its chain from first start to end. A scheduler that goes by the estimate begins
-//! jobs after a burst that can't be on time any more. Each queue's factor follows what its jobs took lately, so
-//! that it also tells of hosts that have become slow or crowded.
+//! Load pattern: batch graphs of wide steps that together exceed the hosts' capacity. A step ends with its slowest
+//! task, best-effort tasks run slower than alone, and some are moved; so even under low load a job may take almost
+//! twice the estimate of its critical path. A scheduler that relies on the estimate starts jobs after a burst that
+//! can no longer meet their deadlines. Each queue's factor tracks the recent durations of its jobs, and so also
+//! reflects slow or crowded hosts.
 
 use indexmap::IndexMap;
 
-/// The factor of a queue of which no job has ended.
+/// Factor of a queue before its first job has ended.
 const FIRST_FACTOR: f64 = 1.5;
-/// Part by which one job moves its queue's factor: some twenty jobs, a second or two of traffic.
+/// Smoothing factor per job: a queue's factor follows its last twenty or so jobs, a second or two of traffic.
 const STEP: f64 = 0.05;
-/// A single job's factor counts within these bounds: one that stood still for a minute tells of that minute.
+/// Bounds of a single job's factor, so that a job that was stalled for a minute does not distort the estimate.
 const BOUNDS: (f64, f64) = (1.0, 3.0);
 
-/// What was learned of each queue.
+/// Measured ratio of duration to critical path, by queue.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Forecast {
     factors: IndexMap<String, f64>,
 }
 
 impl Forecast {
-    /// Notes that a job took so long from its first start to its end; both in milliseconds.
+    /// Updates a queue's factor with a job: estimated critical path, and time from its first start to its end, in ms.
     pub fn note(&mut self, queue: &str, chain_ms: u64, took_ms: u64) {
         if chain_ms == 0 {
             return;
@@ -32,7 +32,7 @@
         *factor += (seen - *factor) * STEP;
     }
 
-    /// How long a chain of a queue's jobs is expected to take, in milliseconds.
+    /// Returns the expected duration of a critical path with this estimate, in milliseconds.
     pub fn expected_ms(&self, queue: &str, chain_ms: u64) -> u64 {
         let factor = self.factors.get(queue).copied().unwrap_or(FIRST_FACTOR);
         (chain_ms as f64 * factor) as u64
--- a/src/lapisdrum/policy/dispatch/outlook.rs
+++ b/src/lapisdrum/policy/dispatch/outlook.rs
@@ -1,9 +1,9 @@
-//! Forecasts the utilisation of serving tasks, and what their missed targets cost.
+//! Forecasts the utilisation of serving tasks and the cost of their missed latency targets.
 //!
 //! Load pattern: serving loads rise and fall by half while best-effort tasks are placed, run for a second or two and
 //! end. A decision by the present utilisation alone stops a task that has almost finished, or admits one at the start
 //! of a rise. So utilisation is forecast for some points ahead, without the tasks that will have ended by then, and
-//! every decision is weighed in one unit: the value of a second of one best-effort task.
+//! all costs are in seconds of run time of one best-effort task.
 
 use std::time::Duration;
 
@@ -18,7 +18,7 @@
 const MISS_COST: f64 = 0.4;
 /// A target counts as partly missed within this many standard deviations around its limit.
 const MISS_BAND_DEVIATIONS: f64 = 1.5;
-/// Variance of a utilisation forecast without aggressors.
+/// Variance of a utilisation forecast without aggressors, and the least of any forecast.
 const MIN_VARIANCE: f64 = 0.001;
 /// Standard deviation of interference relative to its mean: tasks of one image differ, and change within seconds.
 const INTERFERENCE_DEVIATION: f64 = 0.35;
@@ -98,12 +98,12 @@
         self.beyond().sum()
     }
 
-    /// A target may be missed from this far below `limit`, and is certainly missed from as far above it.
+    /// Returns half the width of the utilisation band around `limit`: below it a target is met, above it missed.
     fn margin(&self) -> f64 {
         MISS_BAND_DEVIATIONS * self.variance.sqrt()
     }
 
-    /// For each point, how far the utilisation is above the level from which a target may be missed.
+    /// For each point, the utilisation in excess of the level from which a target may be missed.
     fn beyond(&self) -> impl Iterator<Item = f64> {
         let likely = self.limit - self.margin();
         self.strain
--- a/src/lapisdrum/policy/dispatch/overload.rs
+++ b/src/lapisdrum/policy/dispatch/overload.rs
@@ -1,25 +1,25 @@
-//! For how long the serving tasks of a host have been over their targets.
+//! Measures for how long the serving tasks of a host have exceeded their latency targets.
 //!
-//! Load pattern: a tail stays over its target while one best-effort task after another works beside it. Counted by
-//! task, or only while there is one, the time begins anew with each, and the bound that a deployment sets for all
-//! of it is passed unnoticed. So the time runs from the first tail over its target until all are well below,
-//! whatever runs there. A single rough figure just below doesn't end it.
+//! Load pattern: a tail stays over its target while best-effort tasks start and end on its host. If the time were
+//! measured per best-effort task, or only while there is one, it would restart with each, and exceed the deployment's
+//! bound undetected. So it runs from the first tail over its target until all are clearly below, whatever runs on the
+//! host; a single noisy sample just below a target doesn't end it.
 
 use crate::core::time::Millis;
 use std::time::Duration;
 
-/// A tail that was over its target is taken to be so down to this part of it.
+/// An overload ends when all tails are at or below this fraction of their targets.
 const STILL_OVER: f64 = 0.94;
 
-/// What is known of one host's tails.
+/// Overload state of one host.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Overload {
     since: Option<Millis>,
 }
 
 impl Overload {
-    /// Notes the newest tails of the host's serving tasks, each as a part of its target, and tells for how long
-    /// one has been over; none while none is.
+    /// Updates the state with the latest tails of the host's serving tasks, each as a fraction of its target. Returns
+    /// how long the overload has lasted; none if there is none.
     pub fn note(&mut self, tails: impl IntoIterator<Item = f64>, now: Millis) -> Option<Duration> {
         let over = match self.since {
             Some(_) => STILL_OVER,
--- a/src/lapisdrum/policy/dispatch/pressure/evidence.rs
+++ b/src/lapisdrum/policy/dispatch/pressure/evidence.rs
@@ -1,21 +1,21 @@
-//! What measurements say of one pair of images, as sums: evidence of several owners adds up.
+//! Measured interference between two images, kept as sums so that the evidence of several owners can be added.
 
 use super::Guess;
 
-/// Evidence beyond this precision changes nothing: presses move within seconds.
+/// Maximum precision of a pair's evidence: interference changes within seconds, so that more evidence adds nothing.
 const MOST_PRECISION: f64 = 60.0;
 
-/// Sums over the measurements of a pair's press.
+/// Precision-weighted sums over the interference measurements of one pair.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Evidence {
-    /// The sum of the measurements' precisions: one over the variance of each.
+    /// The sum of the precisions (inverse variances) of all measurements.
     pub precision: f64,
-    /// The sum of what they told, each times its precision.
+    /// The sum of the measured values, each times its precision.
     pub weighted: f64,
 }
 
 impl Evidence {
-    /// Adds a measurement of `press`, with this variance, by a task with this share of the host.
+    /// Adds a measurement of the interference `press`, caused by a task that uses `share` of the host's processors.
     pub fn note(&mut self, share: f64, press: f64, variance: f64) {
         self.precision += share * share / variance;
         self.weighted += share * press / variance;
@@ -24,13 +24,13 @@
         }
     }
 
-    /// What is left of it when each measurement counts for this part.
+    /// Scales the weight of all measurements by the factor `part`.
     pub fn fade(&mut self, part: f64) {
         self.precision *= part;
         self.weighted *= part;
     }
 
-    /// Both together.
+    /// Returns the combined evidence.
     #[must_use]
     pub fn plus(&self, other: &Self) -> Self {
         Self {
@@ -39,12 +39,12 @@
         }
     }
 
-    /// The mean of what was measured; none where there is no measurement.
+    /// Returns the mean interference for a task that uses the whole host; none without a measurement.
     pub fn mean(&self) -> Option<f64> {
         (self.precision > 0.0).then(|| (self.weighted / self.precision).max(0.0))
     }
 
-    /// What is to be believed, given what is expected without it.
+    /// Returns the posterior estimate for the prior `expected`.
     pub fn believed(&self, expected: &Guess) -> Guess {
         let prior = 1.0 / expected.variance;
         let precision = self.precision + prior;
--- a/src/lapisdrum/policy/dispatch/pressure/learned.rs
+++ b/src/lapisdrum/policy/dispatch/pressure/learned.rs
@@ -1,18 +1,18 @@
-//! What was learned, in the form in which owners tell it: to a successor by the store, to each other by a call.
+//! The serialised interference model, which a shard's owner stores for the next owner and sends to other owners.
 //!
-//! Without it each take-over begins with ten seconds in which pairs are tried again on serving tasks, and each of
-//! several shards learns every pair by itself.
+//! Without it, pairs are measured again on serving tasks in the first ten seconds after each takeover, and each of
+//! several shards has to measure every pair itself.
 
 use super::{Evidence, Image, Pressure};
 use crate::core::time::Millis;
 
-/// Most pairs that are told at once, those with the most evidence first: a row or an answer stays below 60 KB.
+/// Maximum number of pairs in one row or reply, which keeps it below 60 KB. Pairs with the most evidence go first.
 const MOST_PAIRS: usize = 800;
-/// Figures are told in thousandths.
+/// Values are serialised in thousandths.
 const MILLI: f64 = 1_000.0;
 
 data! {
-    /// Evidence of one pair.
+    /// Measured interference of one pair; images are indexes into [`Learned`]'s list.
     pub struct LearnedPair {
         victim: u16,
         presser: u16,
@@ -20,13 +20,13 @@
         precision_milli: u32,
     }
 
-    /// What an owner has learned by itself.
+    /// The interference model of one owner, without the evidence that it received from others.
     #[derive(Default)]
     pub struct Learned {
         images: Vec<String>,
         pairs: Vec<LearnedPair>,
         idle_tails_us: Vec<Option<u32>>,
-        /// The period in which serving loads swing.
+        /// Period of the serving loads.
         period_ms: Option<u32>,
     }
 }
@@ -36,7 +36,6 @@
 }
 
 impl LearnedPair {
-    /// The evidence that it tells.
     pub(super) fn evidence(&self) -> Evidence {
         let precision = f64::from(self.precision_milli) / MILLI;
         Evidence {
@@ -47,7 +46,7 @@
 }
 
 impl Learned {
-    /// What of an owner's own evidence is new since this moment.
+    /// Returns the evidence of pairs that this owner measured at or after `since`, with all idle tails.
     pub fn since(known: &Pressure, since: Millis) -> Self {
         let mut pairs: Vec<LearnedPair> = known
             .own_pairs()
@@ -71,12 +70,12 @@
         }
     }
 
-    /// Pairs told.
+    /// Returns the number of pairs.
     pub fn pairs(&self) -> usize {
         self.pairs.len()
     }
 
-    /// The pairs, by the numbers that `known` gives their images; what names no image is passed over.
+    /// Returns the pairs by the image numbers of `known`; pairs with an invalid image index are skipped.
     pub(super) fn pairs_in(&self, known: &mut Pressure) -> Vec<(Image, Image, Evidence)> {
         let images: Vec<Image> = self.images.iter().map(|name| known.image(name)).collect();
         let image = |number: u16| images.get(usize::from(number)).copied();
@@ -86,12 +85,12 @@
             .collect()
     }
 
-    /// The period in which serving loads swing, in seconds.
+    /// Returns the period of the serving loads, in seconds.
     pub(super) fn period_s(&self) -> Option<f64> {
         self.period_ms.map(|ms| f64::from(ms) / MILLI)
     }
 
-    /// Idle tails by image, in milliseconds.
+    /// Returns the idle tails by image, in milliseconds.
     pub(super) fn idle_tails_in(&self, known: &mut Pressure) -> Vec<(Image, f64)> {
         let tails = self.images.iter().zip(&self.idle_tails_us);
         tails
--- a/src/lapisdrum/policy/dispatch/pressure/load.rs
+++ b/src/lapisdrum/policy/dispatch/pressure/load.rs
@@ -1,30 +1,30 @@
-//! The load of serving tasks, followed from measured strain.
+//! Tracks and forecasts the load of serving tasks from their measured utilisation.
 //!
-//! All tasks of a step share their load, so one that nothing presses tells it for the others. A tail is
-//! [`TAIL_AGE`] old when it is read and the load swings by half within seconds. While no period is known
-//! ([`super::season`]) level and slope are followed; with one, a mean and a wave around it, which tells the load
-//! for as long as a best-effort task runs.
+//! All tasks of a step share their load, so a task without aggressors measures it for the others. A latency tail is
+//! [`TAIL_AGE`] old when it is read, and load changes by half within seconds. While no period is known
+//! ([`super::season`]), level and slope are tracked; with one, a mean and a sinusoid around it, which forecast the
+//! load for the run time of a best-effort task.
 
 use crate::core::time::Millis;
 use nalgebra::{Matrix3, RowVector3, Vector3};
 use std::{f64::consts::TAU, time::Duration};
 
-/// A serving task's own load before anything is measured, and its variance.
+/// Load of a serving task before it is measured, and its variance.
 const FIRST_LOAD: (f64, f64) = (0.45, 0.03);
-/// Variance of a load's slope before anything is measured, per second squared: a swing by half in seven
-/// seconds is a slope of up to 0.1 a second.
+/// Variance of a load's slope before it is measured, per second squared: a change by half in seven seconds is a
+/// slope of up to 0.1 per second.
 const FIRST_SLOPE_VARIANCE: f64 = 0.005;
-/// Growth of the slope's variance a second: the same swing bends by up to 0.045 a second squared.
+/// Growth of the slope's variance per second: in the same change the slope changes by up to 0.045 per second squared.
 const SLOPE_DRIFT: f64 = 0.0015;
-/// Steepest slope of a load that is believed, a second.
+/// Maximum slope of a load, per second; steeper estimates are clamped.
 const STEEPEST: f64 = 0.12;
-/// Loads are told within these bounds: what an extrapolation says beyond them is its error.
+/// Bounds of a load forecast: extrapolation beyond them is an error.
 const LOAD_BOUNDS: (f64, f64) = (0.1, 0.72);
-/// A tail tells of this long ago on average: it is measured over half a second and comes with a look.
+/// Mean age of a latency tail when it is read, in seconds: it covers half a second and arrives with a poll.
 const TAIL_AGE: f64 = 0.15;
-/// Variance of a mean and of both parts of a wave before they are measured.
+/// Variances of the mean and of each sinusoid component before they are measured.
 const FIRST_WAVE_VARIANCE: (f64, f64) = (0.01, 0.03);
-/// Growth of these variances a second: waves differ from each other.
+/// Growth of these variances per second: oscillations are not exactly periodic.
 const WAVE_DRIFT: (f64, f64) = (0.0002, 0.001);
 
 /// The load that all tasks of a serving step share.
@@ -35,20 +35,20 @@
     heard_at: Option<Millis>,
 }
 
-/// Level and slope a second.
+/// A linear load model: level, and slope per second.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Trend {
     level: f64,
     slope: f64,
-    /// Variances of level and slope, and their covariance between.
+    /// Variance of the level, covariance of level and slope, variance of the slope.
     doubt: (f64, f64, f64),
 }
 
-/// A mean and a wave around it.
+/// A periodic load model: a mean and a sinusoid around it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Wave {
     period_s: f64,
-    /// The mean, what the wave adds now, and what it adds a quarter of a period from now.
+    /// The mean, and the sinusoid's values now and a quarter of a period from now.
     state: Vector3<f64>,
     doubt: Matrix3<f64>,
 }
@@ -69,13 +69,13 @@
 }
 
 impl ServingLoad {
-    /// The load when it was last measured, or what is taken for it before.
+    /// Returns the load at the last measurement, or the initial estimate before the first one.
     pub fn level(&self) -> f64 {
         self.wave
             .map_or(self.trend.level, |wave| wave.level_in(0.0))
     }
 
-    /// The load expected so long after `now`.
+    /// Returns the forecast load at `now + ahead`.
     pub(super) fn ahead(&self, now: Millis, ahead: Duration) -> f64 {
         let Some(heard_at) = self.heard_at else {
             return self.level();
@@ -89,13 +89,13 @@
         told.clamp(LOAD_BOUNDS.0, LOAD_BOUNDS.1)
     }
 
-    /// Variance of the level.
+    /// Returns the variance of [`Self::level`].
     pub(super) fn variance(&self) -> f64 {
         self.wave
             .map_or(self.trend.doubt.0, |wave| wave.level_variance())
     }
 
-    /// Carries what is known on to `now`. With a period, the wave begins where the trend is.
+    /// Advances the estimate to `now`. A new sinusoid starts from the level and slope of the linear model.
     pub(super) fn carry(&mut self, now: Millis, period_s: Option<f64>) {
         let aged_s = self.heard_at.map_or(0.0, |at| now.since(at).as_secs_f64());
         self.heard_at = Some(now);
@@ -107,7 +107,7 @@
         });
     }
 
-    /// Corrects what is known by a load that was measured with this variance.
+    /// Corrects the estimate with a measured load of this variance.
     pub(super) fn correct(&mut self, measured: f64, variance: f64) {
         self.trend.correct(measured, variance);
         if let Some(wave) = &mut self.wave {
@@ -154,7 +154,7 @@
         }
     }
 
-    /// What each part of the state is after this time.
+    /// Returns the state transition matrix for this time: a rotation of the sinusoid's two components.
     fn turned(&self, after_s: f64) -> Matrix3<f64> {
         let (sin, cos) = (TAU * after_s / self.period_s).sin_cos();
         Matrix3::new(1.0, 0.0, 0.0, 0.0, cos, sin, 0.0, -sin, cos)
@@ -188,5 +188,5 @@
     }
 }
 
-/// The load is the mean and what the wave adds now.
+/// Observation vector: the load is the mean plus the sinusoid's present value.
 const SEEN: RowVector3<f64> = RowVector3::new(1.0, 1.0, 0.0);
--- a/src/lapisdrum/policy/dispatch/pressure/mod.rs
+++ b/src/lapisdrum/policy/dispatch/pressure/mod.rs
@@ -1,16 +1,16 @@
-//! How much tasks that use best-effort processors press on tasks that serve users beside them, learned
-//! from late and rough latency tails.
+//! Estimates the interference of best-effort tasks with serving tasks on the same host, from delayed and noisy
+//! latency tails.
 //!
-//! Load pattern: hosts whose processors are mostly reserved by serving tasks which use half of them, and
-//! batch work that may use the rest. Some pairs of images disturb each other and most do not; the serving
-//! load swings by half within seven seconds. Without a model the batch work either stays off four fifths
-//! of the room or drives tails to ten times their target.
+//! Load pattern: serving tasks reserve most processors of a host and use half of them; batch work may use the rest.
+//! Some pairs of images interfere and most do not; serving load changes by half within seven seconds. Without a
+//! model, batch work either leaves four fifths of the free capacity unused or drives tails to ten times their
+//! target.
 //!
-//! A tail behaves like a queue's: `base / (1 - strain)`. Strain adds up: the serving task's own load
-//! ([`load`]), and for each best-effort task beside it that task's share of the host's processors times a factor of
-//! the two images. A measurement corrects each unknown in proportion to its doubt (a Kalman filter; the unknowns
-//! are taken as independent of each other). What pairs have shown is kept as [`evidence`], to which other owners
-//! add theirs; what is expected of a pair that has hardly met comes from the others ([`profile`]).
+//! A tail follows the queueing formula `base / (1 - utilisation)`. Utilisation is the sum of the serving task's own
+//! load ([`load`]) and, for each aggressor, its share of the host's processors times a factor of the two images. A
+//! measurement corrects each unknown in proportion to its variance (a Kalman filter that treats the unknowns as
+//! independent). Measurements of a pair are kept as [`evidence`], to which those of other owners are added; the
+//! prior of a pair with little evidence is derived from other pairs ([`profile`]).
 
 pub mod evidence;
 pub mod learned;
@@ -28,49 +28,49 @@
 use season::Season;
 use std::time::Duration;
 
-/// Time between two fits of the profiles.
+/// Minimum time between two fits of the profiles.
 const REFIT_EVERY: Duration = Duration::from_millis(500);
-/// Within this time evidence comes to count for a third: presses change.
+/// Time constant of the exponential decay of evidence: interference changes over time.
 const FADE_TIME: Duration = Duration::from_secs(40);
-/// A pair with less evidence is expected as the profiles say alone.
+/// Minimum precision at which the evidence of a pair is used to fit the profiles.
 const LEAST_PRECISION: f64 = 0.05;
-/// A press of which nothing is known.
+/// Default prior of a pair; replaced by the prediction of the profiles when the pair is added.
 const PRIOR: Guess = Guess {
     mean: 0.5,
     variance: 0.3,
 };
-/// Variance of a strain that one tail tells: tails of tasks that run alone scatter too.
+/// Variance of the utilisation inferred from one tail: tails of tasks without aggressors scatter too.
 const NOISE: f64 = 0.003;
-/// The part of it that all tasks of a step on one host have in common.
+/// Variance that all tasks of a step on one host share, in addition to [`NOISE`].
 const SHARED_NOISE: f64 = 0.001;
-/// Scatter of a press relative to itself: presses move within seconds. A load is thereby learned from tasks that
-/// nothing presses much; learned from the others alike, it takes a part of the presses for load.
+/// Standard deviation of interference relative to its mean: interference changes within seconds. It reduces the
+/// weight of tasks under strong interference in the load estimate, which would count part of the interference as load.
 const PRESS_SCATTER: f64 = 0.7;
-/// A tail is at least this part of its target when nothing presses, until smaller ones were seen.
+/// Initial estimate of the tail without utilisation, as a fraction of its target.
 const FIRST_BASE: f64 = 0.2;
-/// Strain of a task at its idlest: no task is ever quite idle.
+/// Utilisation at which the idle tail is measured: no task is ever completely idle.
 const IDLE_STRAIN: f64 = 0.22;
-/// The idle tail is taken for this quantile of an image's tails. Their least is an outlier of the rough figure, and
-/// makes all loads read too high.
+/// The idle tail is estimated as this quantile of an image's tails. Their minimum is an outlier, and would make all
+/// load estimates too high.
 const IDLE_QUANTILE: f64 = 0.04;
-/// Part by which one tail moves the estimate of that quantile: it settles within some 200 tails.
+/// Relative step by which one tail moves the quantile estimate: it converges within about 200 tails.
 const IDLE_STEP: f64 = 0.02;
-/// A strain beyond this reads as full; the tail no longer tells by how much.
+/// Utilisation from which a task is saturated: its tail no longer shows by how much.
 const FULL: f64 = 0.95;
-/// Strain below which a task tells its own load well enough for the season.
+/// Maximum interference at which a task's load is accurate enough for period detection.
 const HARDLY_PRESSED: f64 = 0.08;
 
-/// A mean with its variance.
+/// An interference estimate for an aggressor that uses the whole host.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Guess {
-    /// The mean.
+    /// Expected utilisation added.
     pub mean: f64,
-    /// The variance.
+    /// Variance of `mean`.
     pub variance: f64,
 }
 
 scalar! {
-    /// An image by number.
+    /// Index of an image in the [`Pressure`] that issued it.
     pub struct Image(pub u32);
 }
 
@@ -80,32 +80,32 @@
     }
 }
 
-/// Something that presses: its image and its share of the host's processors.
+/// A best-effort task that interferes with serving tasks on its host.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Presser {
-    /// Its image.
+    /// The image that it runs.
     pub image: Image,
-    /// Processors it uses, as a part of the host's.
+    /// Processors that it uses, as a fraction of the host's.
     pub share: f64,
 }
 
-/// Names a step: its job, the occurrence and its place in it.
+/// Identifies a step: its job, the occurrence of the job and the index of the step in it.
 pub type StepKey = (u64, u32, u16);
 
-/// A serving task.
+/// A serving task that aggressors interfere with.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Victim {
-    /// Its image.
+    /// The image that it runs.
     pub image: Image,
-    /// Its step.
+    /// Its step; all tasks of a step share their load.
     pub step: StepKey,
-    /// Its target, in milliseconds.
+    /// Target of its latency tail, in milliseconds.
     pub target_ms: f64,
-    /// Its step's load.
+    /// Load estimate of its step.
     pub load: ServingLoad,
 }
 
-/// What is known of one pair.
+/// Evidence and prior of a victim image and an aggressor image.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Pair {
     own: Evidence,
@@ -131,26 +131,26 @@
     }
 }
 
-/// Names another owner of which evidence was heard.
+/// Identifies another owner whose evidence was received.
 pub type Origin = u32;
 
-/// What is known of images, and of pairs of them.
+/// The interference model: estimates for images and for pairs of them.
 #[derive(Clone, Debug, Default)]
 pub struct Pressure {
     images: IndexSet<String>,
-    /// By victim, then by presser.
+    /// Indexed by victim, then by aggressor.
     pairs: Vec<Vec<Pair>>,
-    /// What each other owner has told of pairs.
+    /// Last evidence received from each other owner, by pair.
     told: IndexMap<(Origin, Image, Image), Evidence>,
     profiles: Profiles,
     season: Season<StepKey>,
     refitted_at: Option<Millis>,
-    /// The tail of each image at its idlest, in milliseconds.
+    /// Latency tail of each image at [`IDLE_STRAIN`], in milliseconds.
     idle_tails_ms: Vec<Option<f64>>,
 }
 
 impl Pressure {
-    /// What an earlier owner learned. Its evidence counts for half: some time has passed.
+    /// Restores the model that a previous owner stored. Its evidence counts half, as some time has passed.
     pub fn resumed(learned: &Learned) -> Self {
         let mut resumed = Self::default();
         for (victim, presser, mut evidence) in learned.pairs_in(&mut resumed) {
@@ -161,7 +161,7 @@
         resumed
     }
 
-    /// Takes in what another owner has learned by itself, in place of what it told of the same pairs before.
+    /// Adds the evidence that another owner measured, replacing its earlier evidence of the same pairs.
     pub fn adopt(&mut self, origin: Origin, learned: &Learned) {
         for (victim, presser, evidence) in learned.pairs_in(self) {
             let before = self.told.insert((origin, victim, presser), evidence);
@@ -173,7 +173,7 @@
         self.adopt_loads(learned);
     }
 
-    /// What was measured here counts more than what was told.
+    /// Adopts the period and the idle tails; a period found by this owner and idle tails that it has take precedence.
     fn adopt_loads(&mut self, learned: &Learned) {
         if let Some(period_s) = learned.period_s() {
             self.season.adopt(period_s);
@@ -183,7 +183,7 @@
         }
     }
 
-    /// The number of an image.
+    /// Returns the number of an image, adding the image if it is new.
     pub fn image(&mut self, name: &str) -> Image {
         let at = match self.images.get_index_of(name) {
             Some(at) => at,
@@ -192,17 +192,17 @@
         Image(at as u32)
     }
 
-    /// The strain at which a victim is at its target.
+    /// Returns the utilisation at which the victim's tail reaches its target.
     pub fn limit(&self, victim: &Victim) -> f64 {
         1.0 - self.base(victim) / victim.target_ms
     }
 
-    /// The strain that a tail means; none when there is no tail.
+    /// Returns the utilisation inferred from a tail; none if the tail is not positive.
     pub fn strain_of(&self, victim: &Victim, tail_ms: f64) -> Option<f64> {
         (tail_ms > 0.0).then(|| (1.0 - self.base(victim) / tail_ms).clamp(0.0, 1.0))
     }
 
-    /// The strain expected of a victim beside these, so long after `now`.
+    /// Returns the expected utilisation of a victim at `now + ahead`, with these aggressors on its host.
     pub fn expected(
         &self,
         victim: &Victim,
@@ -214,24 +214,24 @@
         victim.load.ahead(now, ahead) + presses.sum::<f64>()
     }
 
-    /// The load expected of a victim over the next moments.
+    /// Returns the forecast load of a victim at each forecast point.
     pub fn load_path(&self, victim: &Victim, now: Millis) -> Path {
         std::array::from_fn(|at| victim.load.ahead(now, outlook::moment(at)))
     }
 
-    /// The strain that a presser is expected to add.
+    /// Returns the utilisation that an aggressor is expected to add.
     pub fn press(&self, victim: Image, presser: &Presser) -> f64 {
         self.believed(victim, presser.image).mean * presser.share
     }
 
-    /// Variance of that, by what is not known of the pair.
+    /// Returns the variance of [`Self::press`] that is due to limited evidence of the pair.
     pub fn press_variance(&self, victim: Image, presser: &Presser) -> f64 {
         self.believed(victim, presser.image).variance * presser.share * presser.share
     }
 
-    /// Learns from the tails of a step's tasks on one host, measured beside these. They share their load and what
-    /// presses on them, so they are one measurement, less rough than each of them. Returns the strain that is
-    /// measured beyond what is then believed; none where the tails tell nothing.
+    /// Updates the model with the tails of a step's tasks on one host. The tasks share their load and the aggressors,
+    /// so their mean is one measurement with less noise. Returns the residual: measured minus expected
+    /// utilisation after the update, or 0 if a saturated tail gives no information; none without a positive tail.
     pub fn note(
         &mut self,
         victim: &mut Victim,
@@ -280,12 +280,12 @@
         Some(strain - victim.load.level() - pressed.sum::<f64>())
     }
 
-    /// The period of the serving loads in seconds, if they have one.
+    /// Returns the period of the serving loads in seconds, if one is known.
     pub fn period_s(&self) -> Option<f64> {
         self.season.period_s()
     }
 
-    /// Fits what is expected of pairs to what was measured, if it is time to; true when another period is believed.
+    /// Refits the profiles and searches for the period if that is due. Returns whether the period found changed.
     pub fn refit_if_due(&mut self, now: Millis) -> bool {
         let since = self.refitted_at.map(|at| now.since(at));
         if since.is_some_and(|since| since < REFIT_EVERY) {
@@ -310,7 +310,7 @@
         pairs.for_each(|pair| pair.own.fade(part));
     }
 
-    /// The pairs that have evidence enough to tell of others.
+    /// Returns the pairs with enough evidence to fit the profiles.
     fn cells(&self) -> impl Iterator<Item = Cell> {
         let rows = self.pairs.iter().enumerate();
         rows.flat_map(|(victim, row)| {
@@ -327,7 +327,7 @@
         })
     }
 
-    /// The pairs of which this owner has evidence of its own, by the numbers of victim and presser.
+    /// Returns the pairs that this owner measured itself, with the numbers of victim and aggressor.
     fn own_pairs(&self) -> impl Iterator<Item = (usize, usize, &Pair)> {
         let rows = self.pairs.iter().enumerate();
         let all = rows.flat_map(|(victim, row)| {
@@ -337,7 +337,7 @@
         all.filter(|(_, _, pair)| pair.own.precision > 0.0)
     }
 
-    /// The tail of a task without any strain.
+    /// Returns the estimated tail at zero utilisation, in milliseconds.
     fn base(&self, victim: &Victim) -> f64 {
         let seen = self.idle_tails_ms.get(victim.image.at());
         let first = victim.target_ms * FIRST_BASE;
--- a/src/lapisdrum/policy/dispatch/pressure/profile.rs
+++ b/src/lapisdrum/policy/dispatch/pressure/profile.rs
@@ -1,50 +1,50 @@
-//! Tells from the pairs of images that have met how much others would press on each other.
+//! Predicts the interference of pairs of images that have not run together, from pairs that have.
 //!
-//! Load pattern: some hundreds of pairs of serving and best-effort images, of which a deployment's first seconds
-//! show a few dozen, one owner still fewer. Learned pair by pair, each unknown one is tried on tasks that
-//! serve users, and a fifth of the best-effort tasks has to give way again. But images contend for few
-//! things: caches, memory bandwidth, disks, links. Each best-effort image uses some of them and each serving
-//! image suffers from some, so the presses are nearly a product of two narrow matrices, and an image that has met
-//! three others is known towards the rest.
+//! Load pattern: some hundreds of pairs of serving and best-effort images, of which a few dozen run together in a
+//! deployment's first seconds, and fewer in one shard. If each pair is measured separately, every new one is tried at
+//! the expense of serving tasks, and a fifth of the best-effort tasks is throttled or stopped. But images contend for
+//! few resources: caches, memory bandwidth, disks, links. Each best-effort image uses some of them and each serving
+//! image is sensitive to some, so the interference matrix is close to a product of two narrow matrices, and three
+//! measured pairs of an image are enough to predict its others.
 //!
-//! The matrices are fitted by alternating least squares over the pairs with evidence, drawn towards what is usual
-//! ([`USUAL`]). Each factor has its doubt, so that an image of which little is known is not taken for known.
+//! The matrices are fitted by alternating least squares over the pairs with evidence, regularised towards [`USUAL`].
+//! The covariance of the factors is kept, so that predictions for images with little evidence have a high variance.
 
 use super::Guess;
 use nalgebra::{SMatrix, SVector};
 
-/// Things that images contend for are told apart up to so many.
+/// Rank of the factorisation: the number of contended resources that are distinguished.
 const CONTENDED: usize = 4;
-/// A factor of an image of which nothing is known.
+/// Prior mean of each factor.
 const USUAL: f64 = 0.35;
-/// Precision of that.
+/// Prior precision of each factor.
 const USUAL_PRECISION: f64 = 2.0;
-/// Variance of a press around the product of its factors.
+/// Variance of a pair's interference around the product of its factors.
 const SCATTER: f64 = 0.05;
-/// Variance of a press of which nothing is known.
+/// Maximum variance of a prediction.
 const MOST_VARIANCE: f64 = 0.5;
-/// Most that the evidence of one pair counts beside that of others.
+/// Maximum weight of one pair in a fit.
 const MOST_PRECISION: f64 = 20.0;
-/// Passes over both matrices at each fit; a fit goes on where the one before ended.
+/// Passes over both matrices per fit; each fit starts from the result of the previous one.
 const SWEEPS: usize = 3;
 
 type Factors = SVector<f64, CONTENDED>;
 type Square = SMatrix<f64, CONTENDED, CONTENDED>;
 
-/// What was measured of a pair.
+/// Measured interference of a pair: one known entry of the interference matrix.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Cell {
-    /// The number of the image that suffers.
+    /// Number of the serving image.
     pub victim: usize,
-    /// The number of the image that presses.
+    /// Number of the best-effort image.
     pub presser: usize,
-    /// The press measured.
+    /// Mean interference for an aggressor that uses the whole host.
     pub mean: f64,
-    /// Its precision.
+    /// Inverse variance of `mean`.
     pub precision: f64,
 }
 
-/// One image's factors.
+/// Factors of one image, as victim or as aggressor.
 #[derive(Clone, Debug)]
 struct Profile {
     factors: Factors,
@@ -52,7 +52,7 @@
     is_met: bool,
 }
 
-/// The factors of all images, by their numbers.
+/// Factors of all images, indexed by image number.
 #[derive(Clone, Debug, Default)]
 pub struct Profiles {
     victims: Vec<Profile>,
@@ -60,8 +60,8 @@
 }
 
 impl Profile {
-    /// An image that has met nobody. Its first factors differ from those of others: were all alike, every sweep
-    /// would leave them so.
+    /// Creates the profile of an image without measured pairs. Its initial factors depend on its number: from equal
+    /// factors, alternating least squares would never separate them.
     fn unmet(number: usize) -> Self {
         let spread = |at: usize, _| {
             let turn = (number * CONTENDED + at) as f64 * 0.618_034;
@@ -74,7 +74,7 @@
         }
     }
 
-    /// The factors to go by.
+    /// Returns the fitted factors, or the prior mean if there are none.
     fn known(&self) -> Factors {
         match self.is_met {
             true => self.factors,
@@ -82,7 +82,7 @@
         }
     }
 
-    /// The factors that explain these presses best, each given with the other image's factors and its precision.
+    /// Fits the factors to measurements: the other image's factors, mean interference and precision of each.
     fn fitted<'a>(presses: impl Iterator<Item = (&'a Factors, f64, f64)>) -> Option<Self> {
         let mut square = Square::identity() * USUAL_PRECISION;
         let mut told = Factors::repeat(USUAL * USUAL_PRECISION);
@@ -100,7 +100,7 @@
 }
 
 impl Profiles {
-    /// Fits the factors of `images` images to what was measured.
+    /// Fits the factors of `images` images to the measured pairs.
     pub fn refit(&mut self, images: usize, cells: &[Cell]) {
         for side in [&mut self.victims, &mut self.pressers] {
             let known = side.len();
@@ -114,7 +114,7 @@
         }
     }
 
-    /// The press expected of a pair, by the numbers of its images.
+    /// Returns the predicted interference of a pair, by the numbers of its images.
     pub fn expected(&self, victim: usize, presser: usize) -> Guess {
         let unmet = Profile::unmet(0);
         let victim = self.victims.get(victim).unwrap_or(&unmet);
--- a/src/lapisdrum/policy/dispatch/pressure/season.rs
+++ b/src/lapisdrum/policy/dispatch/pressure/season.rs
@@ -1,45 +1,46 @@
-//! The period in which serving loads swing.
+//! Detects the period of serving loads.
 //!
-//! Load pattern: users come in waves, each service in its own, of one length that differs by deployment. A
-//! straight line tells such a load a second ahead to a tenth of a host and two seconds ahead not at all: a
-//! best-effort task is let in at the foot of a rise that it will not live through. With the period known, level and
-//! swing of each service follow within a part of a wave and the rest of it is told to a few hundredths.
+//! Load pattern: the load of each service oscillates with a phase of its own and a period that the services of a
+//! deployment share. Linear extrapolation forecasts such a load one second ahead with an error of a tenth of a host,
+//! and fails at two seconds: best-effort tasks are admitted at the start of a rise and stopped during it. With a known
+//! period, mean and amplitude of each service are estimated within a fraction of a period, and the rest of it is
+//! forecast with an error of a few hundredths.
 //!
-//! The period is the one whose waves leave the least unexplained in what some steps have shown lately. Loads that
-//! don't swing have none, and are followed by level and slope alone.
+//! The period is the one whose sinusoids leave the least residual variance in the recent loads of some steps. Loads
+//! that don't oscillate have none, and are tracked by level and slope alone.
 
 use crate::core::time::Millis;
 use indexmap::IndexMap;
 use std::{collections::VecDeque, f64::consts::TAU, time::Duration};
 
-/// Periods that are looked for, shortest and longest, in seconds.
+/// Shortest and longest period that is searched for, in seconds.
 const PERIODS: (f64, f64) = (5.0, 45.0);
 /// Each is longer than the last by this factor: the next one is out of step by a fourteenth after a wave.
 const PERIOD_STEP: f64 = 1.04;
-/// How far back loads are looked at.
+/// Age up to which samples are kept.
 const WINDOW: Duration = Duration::from_secs(45);
-/// Least time between two figures of a step that are kept.
+/// Minimum time between two samples of a step.
 const SPACING: Duration = Duration::from_millis(250);
-/// Steps that are looked at.
+/// Maximum number of steps that are sampled.
 const STEPS: usize = 16;
-/// Steps that must have shown enough.
+/// Minimum number of steps with enough samples.
 const LEAST_STEPS: usize = 4;
-/// Figures that a step must have shown.
+/// Minimum number of samples of a step.
 const LEAST_FIGURES: usize = 20;
-/// A step must have been seen for this part of a period.
+/// Minimum time that the samples of a step cover, as a fraction of the tested period.
 const LEAST_SPAN: f64 = 0.6;
-/// Waves explain a load if no more than this part of its variance is left.
+/// Maximum residual variance of an accepted period, as a fraction of the loads' variance.
 const MOST_LEFT: f64 = 0.3;
-/// Time between two searches.
+/// Minimum time between two searches.
 const SEARCH_EVERY: Duration = Duration::from_secs(1);
 
 #[derive(Clone, Debug, Default)]
 struct Figures {
-    /// Time in seconds and load.
+    /// Time in seconds and load, oldest first.
     all: VecDeque<(f64, f64)>,
 }
 
-/// What some steps' loads were lately, by a number of theirs, and the period found in them.
+/// Recent load samples of some steps, and the period found in them.
 #[derive(Clone, Debug, Default)]
 pub struct Season<K> {
     steps: IndexMap<K, Figures>,
@@ -49,12 +50,12 @@
 }
 
 impl<K: std::hash::Hash + Eq> Season<K> {
-    /// The period in seconds, as found here or else by another owner; none while none was found.
+    /// Returns the period in seconds as found by this owner, else as received from another one, if any.
     pub fn period_s(&self) -> Option<f64> {
         self.found_s.or(self.told_s)
     }
 
-    /// Notes a step's load as measured.
+    /// Adds a load sample of a step, unless it is too soon after the last one or too many steps are sampled.
     pub fn note(&mut self, step: K, load: f64, now: Millis) {
         if self.steps.len() >= STEPS && !self.steps.contains_key(&step) {
             return;
@@ -72,12 +73,12 @@
         }
     }
 
-    /// Takes a period that another owner found, while none was found here.
+    /// Sets the period that another owner found; it applies while this owner has found none.
     pub fn adopt(&mut self, period_s: f64) {
         self.told_s = Some(period_s);
     }
 
-    /// Looks for the period anew, if it is time to; true when it changed.
+    /// Searches for the period if that is due. Returns whether the period found by this owner changed.
     pub fn search_if_due(&mut self, now: Millis) -> bool {
         if now.since(self.searched_at) < SEARCH_EVERY {
             return false;
@@ -92,8 +93,8 @@
         has_changed
     }
 
-    /// The best period, if a longer one was looked at and is worse: what was seen for a short time only is
-    /// explained best by the longest period that it can tell of.
+    /// Returns the best period if a longer one was tested and fits worse: a short history fits best to the longest
+    /// period that it covers.
     fn search(&self) -> Option<f64> {
         let mut best: Option<(f64, f64)> = None;
         let mut longest = 0.0;
@@ -111,7 +112,7 @@
         (period_s < longest && left <= MOST_LEFT).then_some(period_s)
     }
 
-    /// The part of the loads' variance that waves of this period leave; none where too little was seen.
+    /// Returns the residual variance for this period as a fraction of the loads' variance; none with too few samples.
     fn unexplained(&self, period_s: f64) -> Option<f64> {
         let enough = |figures: &&Figures| figures.tell_of(period_s);
         let fits = self
@@ -140,7 +141,7 @@
         self.all.len() >= LEAST_FIGURES && span >= period_s * LEAST_SPAN
     }
 
-    /// What the best wave of this period leaves of the sum of squares, and that sum, each by its degrees of freedom.
+    /// Fits a sinusoid of this period. Returns the residual variance and the variance of the load.
     fn fit(&self, period_s: f64) -> Option<(f64, f64)> {
         let mut square = nalgebra::Matrix3::zeros();
         let mut told = nalgebra::Vector3::zeros();
--- a/src/lapisdrum/policy/dispatch/room.rs
+++ b/src/lapisdrum/policy/dispatch/room.rs
@@ -1,7 +1,7 @@
-//! How full a shard's hosts are and what keeps them from taking a task, as figures for log lines.
+//! Summarises the free capacity of a shard's hosts, and why they refuse a task, for log lines.
 //!
-//! Hosts that are full, free processors in pieces too small for a task, and hosts kept for others look alike from a
-//! task that waits. These figures together tell them apart.
+//! A task waits alike when hosts are full, when free processors are too fragmented for it, or when hosts are kept for
+//! other tasks. These values distinguish the causes.
 
 use super::{
     place::{self, Host, Need, Unfit, reserved_by},
@@ -11,27 +11,27 @@
 use indexmap::IndexMap;
 use std::fmt;
 
-/// How full a shard's hosts are.
+/// Capacity use of a shard's hosts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Room {
-    /// How many hosts there are.
+    /// Number of hosts.
     pub hosts: usize,
-    /// What serving tasks reserve of the processors, in thousandths.
+    /// Processors reserved by serving tasks, in thousandths of the capacity.
     pub serving_permille: u64,
-    /// What other tasks reserve of them, in thousandths.
+    /// Processors reserved by other tasks, in thousandths of the capacity.
     pub reserving_permille: u64,
-    /// What nobody reserves of them, in thousandths.
+    /// Unreserved processors, in thousandths of the capacity.
     pub free_permille: u64,
-    /// What nobody is expected to use of them, in thousandths.
+    /// Processors expected to be idle, reserved or not, in thousandths of the capacity.
     pub unused_permille: u64,
-    /// The most that is free on one host, in thousandths of a core.
+    /// Most unreserved processors on any one host, in thousandths of a core.
     pub widest_free_millicores: u64,
-    /// Hosts that are kept free for a waiting task.
+    /// Number of hosts that are kept free for a waiting task.
     pub kept: usize,
 }
 
 impl Room {
-    /// The room of these hosts.
+    /// Summarises these hosts.
     pub fn of(hosts: &[Host]) -> Self {
         let capacity: u64 = hosts.iter().map(|host| host.capacity.millicores).sum();
         let permille = |of: fn(&Host) -> u64| {
@@ -54,19 +54,19 @@
     }
 }
 
-/// What keeps the hosts of its pool from taking a task.
+/// Why hosts of its pool refuse a task.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Shortage {
-    /// What the task takes.
+    /// Resources that the task asks for.
     pub size: Size,
-    /// How many such tasks the free room would hold if it were on one host.
+    /// Number of such tasks that would fit into the pool's free processors if these were on one host.
     pub fitting_in_sum: u64,
-    /// Hosts by what keeps them from taking it.
+    /// Number of hosts per reason for refusal, most frequent reason first.
     pub refusals: IndexMap<Unfit, usize>,
 }
 
 impl Shortage {
-    /// What keeps these hosts from taking the task; none where there is no host at all.
+    /// Returns why these hosts refuse the task; none if no host of its pool does.
     pub fn of(need: &Need, hosts: &[Host], pressure: &Pressure) -> Option<Self> {
         let wanted = reserved_by(&need.size, need.load);
         let mut refusals: IndexMap<Unfit, usize> = IndexMap::new();
@@ -88,7 +88,7 @@
         shortage.main().map(|_| shortage)
     }
 
-    /// The same where all hosts' free room is left to short tasks.
+    /// Returns the shortage of a task for which the pool's free capacity is reserved as headroom for short tasks.
     pub fn left_to_short(need: &Need, hosts: &[Host]) -> Self {
         let in_pool = hosts.iter().filter(|host| host.pool == need.pool);
         Self {
@@ -98,12 +98,12 @@
         }
     }
 
-    /// What keeps most of the hosts from taking it.
+    /// Returns the most frequent reason for refusal.
     pub fn main(&self) -> Option<Unfit> {
         self.refusals.first().map(|(why, _)| *why)
     }
 
-    /// Hosts by what keeps them from taking it, as `Processors:60 Memory:6`.
+    /// Formats the number of hosts per reason, such as `Processors:60 Memory:6`.
     pub fn refusals_text(&self) -> impl fmt::Display {
         fmt::from_fn(|f| {
             for (at, (why, hosts)) in self.refusals.iter().enumerate() {
--- a/src/lapisdrum/policy/dispatch/short_work.rs
+++ b/src/lapisdrum/policy/dispatch/short_work.rs
@@ -1,41 +1,41 @@
-//! How much room new long-running tasks leave to short ones of their priority or a more urgent one.
+//! Computes the headroom that new long-running tasks leave for short tasks of the same or a more urgent priority.
 //!
-//! Load pattern: short tasks hold a twentieth of a shard's processors for a second each, and long-running tasks that ask
-//! for more than the rest wait beside them. In every lull between two short tasks a long-running one would
-//! take what is free just then and hold it for minutes, until short ones find next to nothing. So a new long-running
-//! task is placed only while it leaves what short ones took lately. That is bounded, since a backlog of short tasks
-//! must not shut long-running ones out.
+//! Load pattern: short tasks use a twentieth of a shard's processors for a second each, while waiting long-running
+//! tasks ask for more than the rest. In every gap between two short tasks a long-running one would take the free
+//! processors and keep them for minutes, until almost none are left for short tasks. So a new long-running task is
+//! placed only if it leaves as many processors as short tasks recently held or waited for. This headroom is bounded, so
+//! that a backlog of short tasks doesn't block long-running ones.
 
 use crate::core::time::{Millis, millis};
 use indexmap::IndexMap;
 use std::{collections::VecDeque, time::Duration};
 
-/// What short tasks took is remembered for this long: lulls between them are shorter.
+/// Window over which the peak demand of short tasks is taken: gaps between short tasks are shorter.
 const REMEMBERED: Duration = Duration::from_secs(10);
-/// Peaks are kept by slots of this length.
+/// Length of the slots for which a peak is kept.
 const SLOT: Duration = Duration::from_secs(1);
-/// Most of a pool's processors that is left to short tasks, in thousandths.
+/// Maximum headroom, in thousandths of a pool's processors.
 const MOST_LEFT_PERMILLE: u64 = 125;
 
-/// Queues with one pool and priority.
+/// The pool and priority by which short tasks are counted.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Class {
-    /// Their pool.
+    /// Name of the pool.
     pub pool: String,
-    /// Their priority; 0 is the most urgent.
+    /// Priority of the queue; 0 is the most urgent.
     pub priority: u32,
 }
 
-/// What the short tasks of one class take, in thousandths of a core.
+/// Processor demand of the short tasks of one class, in thousandths of a core.
 #[derive(Clone, Debug, Default)]
 struct Demand {
     held: u64,
     waiting: u64,
-    /// The most that was held and waited for, by slot.
+    /// Slot number and highest sum of `held` and `waiting` in the slot, oldest first.
     peaks: VecDeque<(u64, u64)>,
 }
 
-/// What short tasks take, by class.
+/// Processor demand of short tasks, by class.
 #[derive(Clone, Debug, Default)]
 pub struct ShortWork {
     demands: IndexMap<Class, Demand>,
@@ -63,19 +63,19 @@
 }
 
 impl ShortWork {
-    /// A short task was placed.
+    /// Adds a placed short task to the held processors.
     pub fn placed(&mut self, class: &Class, millicores: u64) {
         self.demands.entry(class.clone()).or_default().held += millicores;
     }
 
-    /// A short task is over.
+    /// Removes an ended short task from the held processors.
     pub fn over(&mut self, class: &Class, millicores: u64) {
         if let Some(demand) = self.demands.get_mut(class) {
             demand.held = demand.held.saturating_sub(millicores);
         }
     }
 
-    /// Notes what short tasks wait for now, by class; what isn't named waits for nothing.
+    /// Replaces the demand of waiting short tasks, in thousandths of a core; classes that are absent have none.
     pub fn note_waiting(&mut self, waiting: &IndexMap<Class, u64>, now: Millis) {
         for class in waiting.keys() {
             self.demands.entry(class.clone()).or_default();
@@ -86,14 +86,14 @@
         }
     }
 
-    /// What short tasks of a pool hold now, in thousandths of a core.
+    /// Returns the processors that short tasks of a pool hold, in thousandths of a core.
     pub fn held(&self, pool: &str) -> u64 {
         let of_pool = self.demands.iter().filter(|(class, _)| class.pool == pool);
         of_pool.map(|(_, demand)| demand.held).sum()
     }
 
-    /// What a long-running task of this class leaves to short ones, of a pool with this capacity, both in
-    /// thousandths of a core.
+    /// Returns the processors that long-running tasks of this class must leave for short ones in a pool of this
+    /// capacity, both in thousandths of a core.
     pub fn headroom(&self, class: &Class, capacity_millicores: u64) -> u64 {
         let goes_first =
             |short: &Class| short.pool == class.pool && short.priority <= class.priority;
--- a/src/lapisdrum/policy/dispatch/terms.rs
+++ b/src/lapisdrum/policy/dispatch/terms.rs
@@ -1,33 +1,35 @@
-//! What a deployment promises of stops, restores and tails, as far as decisions depend on it.
+//! Timings of a deployment that mitigation depends on: stops, restores and the tolerated overload.
 
 use std::time::Duration;
 
-/// Time from the end of a stopped run until the task is ordered elsewhere: its row, a pass, the order.
+/// Time from the end of a stopped run until its task is started on another host: journal row, dispatch pass,
+/// start order.
 const PLACE_TAKES: Duration = Duration::from_millis(500);
-/// A tail is known to be over its target this long after it is, and comes down this long after what pressed is
-/// gone, together: it is measured over half a second and read with the next look.
+/// Sum of the delays until a tail over its target is detected, and until it falls after the aggressor has ended: a
+/// tail is measured over half a second and read with the next poll.
 const TOLD_AFTER: Duration = Duration::from_millis(1_800);
-/// However short the time borne, tails are given this long to come down by themselves.
+/// Minimum time for a tail to fall by itself, however short the tolerated overload.
 const LEAST_BORNE: Duration = Duration::from_millis(1_000);
 
-/// A deployment's figures.
+/// Timings of a deployment, as its settings give them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Terms {
-    /// Longest time that a stop takes.
+    /// Maximum time that a stop takes.
     pub stop_takes: Duration,
     /// Time that a task takes to resume from its saved progress.
     pub restore_takes: Duration,
-    /// How long a serving task may be over its target through what uses best-effort processors beside it.
+    /// Maximum time that a serving task may exceed its target because of best-effort tasks.
     pub overload_borne: Duration,
 }
 
 impl Terms {
-    /// Time from a stop until the task works again elsewhere.
+    /// Returns the expected time from a stop order until the task runs again on another host.
     pub fn restart_takes(&self) -> Duration {
         self.stop_takes / 2 + self.restore_takes + PLACE_TAKES
     }
 
-    /// A tail that was seen over its target this long must be let come down now, whatever that costs.
+    /// Returns how long a tail may be measured over its target before all best-effort tasks of the host are
+    /// stopped.
     pub fn longest_over(&self) -> Duration {
         let late = self.stop_takes + TOLD_AFTER;
         self.overload_borne.saturating_sub(late).max(LEAST_BORNE)
