--- a/src/lapisdrum/policy/dispatch/forecast.rs
+++ b/src/lapisdrum/policy/dispatch/forecast.rs
@@ -9,11 +9,11 @@
 use indexmap::IndexMap;
 
 /// Factor of a queue before its first job has ended.
-const FIRST_FACTOR: f64 = 1.5;
+const INITIAL_FACTOR: f64 = 1.5;
 /// Smoothing factor per job: a queue's factor follows its last twenty or so jobs, a second or two of traffic.
-const STEP: f64 = 0.05;
+const SMOOTHING_FACTOR: f64 = 0.05;
 /// Bounds of a single job's factor, so that a job that was stalled for a minute does not distort the estimate.
-const BOUNDS: (f64, f64) = (1.0, 3.0);
+const FACTOR_BOUNDS: (f64, f64) = (1.0, 3.0);
 
 /// Measured ratio of duration to critical path, by queue.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -27,14 +27,17 @@
         if chain_ms == 0 {
             return;
         }
-        let seen = (took_ms as f64 / chain_ms as f64).clamp(BOUNDS.0, BOUNDS.1);
-        let factor = self.factors.entry(queue.to_owned()).or_insert(FIRST_FACTOR);
-        *factor += (seen - *factor) * STEP;
+        let measured = (took_ms as f64 / chain_ms as f64).clamp(FACTOR_BOUNDS.0, FACTOR_BOUNDS.1);
+        let factor = self
+            .factors
+            .entry(queue.to_owned())
+            .or_insert(INITIAL_FACTOR);
+        *factor += (measured - *factor) * SMOOTHING_FACTOR;
     }
 
     /// Returns the expected duration of a critical path with this estimate, in milliseconds.
     pub fn expected_ms(&self, queue: &str, chain_ms: u64) -> u64 {
-        let factor = self.factors.get(queue).copied().unwrap_or(FIRST_FACTOR);
+        let factor = self.factors.get(queue).copied().unwrap_or(INITIAL_FACTOR);
         (chain_ms as f64 * factor) as u64
     }
 }
--- a/src/lapisdrum/policy/dispatch/outlook.rs
+++ b/src/lapisdrum/policy/dispatch/outlook.rs
@@ -27,18 +27,20 @@
 pub type Path = [f64; MOMENTS];
 
 /// Returns the time from now to a forecast point.
-pub fn moment(at: usize) -> Duration {
+pub fn point_offset(at: usize) -> Duration {
     FIRST_POINT_AFTER + POINT_SPACING * at as u32
 }
 
 /// Returns the number of forecast points before this time has passed.
 pub fn moments_within(left: Duration) -> usize {
-    (0..MOMENTS).take_while(|at| moment(*at) < left).count()
+    (0..MOMENTS)
+        .take_while(|at| point_offset(*at) < left)
+        .count()
 }
 
 /// Returns the time that this many forecast points cover, in seconds.
-pub fn seconds(moments: usize) -> f64 {
-    POINT_SPACING.as_secs_f64() * moments as f64
+pub fn seconds(points: usize) -> f64 {
+    POINT_SPACING.as_secs_f64() * points as f64
 }
 
 /// The utilisation forecast of the serving tasks of one step on a host.
@@ -65,17 +67,17 @@
         }
     }
 
-    /// Adds an aggressor's interference to the first `moments` points. `variance` is that of its estimate; the scatter
-    /// between tasks of one image comes on top.
-    pub fn add(&mut self, interference: f64, variance: f64, moments: usize) {
-        self.add_known(interference, moments);
+    /// Adds an aggressor's interference to the first `points` forecast points. `variance` is that of its estimate; the
+    /// scatter between tasks of one image comes on top.
+    pub fn add(&mut self, interference: f64, variance: f64, points: usize) {
+        self.add_known(interference, points);
         let scatter = INTERFERENCE_DEVIATION * interference;
         self.variance += variance + scatter * scatter;
     }
 
-    /// Adds an aggressor's interference to the first `moments` points, without any variance.
-    pub fn add_known(&mut self, interference: f64, moments: usize) {
-        for strain in &mut self.strain[..moments] {
+    /// Adds an aggressor's interference to the first `points` forecast points, without any variance.
+    pub fn add_known(&mut self, interference: f64, points: usize) {
+        for strain in &mut self.strain[..points] {
             *strain += interference;
         }
     }
@@ -87,15 +89,15 @@
 
     /// Returns the cost of missed targets over all points, in seconds of a best-effort task.
     pub fn cost(&self) -> f64 {
-        let certain = 2.0 * self.margin();
-        let missed: f64 = self.beyond().map(|b| (b / certain).min(1.0)).sum();
+        let certain_excess = 2.0 * self.margin();
+        let missed: f64 = self.excess().map(|e| (e / certain_excess).min(1.0)).sum();
         MISS_COST * f64::from(self.tasks) * missed * seconds(1)
     }
 
     /// Returns how far targets may be missed, summed over all points. Unlike [`Self::cost`] it keeps growing once a
     /// miss is certain, so that adding to such a miss does not appear to be free.
     pub fn overload(&self) -> f64 {
-        self.beyond().sum()
+        self.excess().sum()
     }
 
     /// Returns half the width of the utilisation band around `limit`: below it a target is met, above it missed.
@@ -104,10 +106,10 @@
     }
 
     /// For each point, the utilisation in excess of the level from which a target may be missed.
-    fn beyond(&self) -> impl Iterator<Item = f64> {
-        let likely = self.limit - self.margin();
+    fn excess(&self) -> impl Iterator<Item = f64> {
+        let threshold = self.limit - self.margin();
         self.strain
             .iter()
-            .map(move |strain| (strain - likely).max(0.0))
+            .map(move |strain| (strain - threshold).max(0.0))
     }
 }
--- a/src/lapisdrum/policy/dispatch/overload.rs
+++ b/src/lapisdrum/policy/dispatch/overload.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 /// An overload ends when all tails are at or below this fraction of their targets.
-const STILL_OVER: f64 = 0.94;
+const RECOVERY_THRESHOLD: f64 = 0.94;
 
 /// Overload state of one host.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -21,11 +21,11 @@
     /// Updates the state with the latest tails of the host's serving tasks, each as a fraction of its target. Returns
     /// how long the overload has lasted; none if there is none.
     pub fn note(&mut self, tails: impl IntoIterator<Item = f64>, now: Millis) -> Option<Duration> {
-        let over = match self.since {
-            Some(_) => STILL_OVER,
+        let threshold = match self.since {
+            Some(_) => RECOVERY_THRESHOLD,
             None => 1.0,
         };
-        let is_over = tails.into_iter().any(|tail| tail > over);
+        let is_over = tails.into_iter().any(|tail| tail > threshold);
         self.since = is_over.then(|| self.since.unwrap_or(now));
         self.since.map(|since| now.since(since))
     }
--- a/src/lapisdrum/policy/dispatch/pressure/learned.rs
+++ b/src/lapisdrum/policy/dispatch/pressure/learned.rs
@@ -7,7 +7,7 @@
 use crate::core::time::Millis;
 
 /// Maximum number of pairs in one row or reply, which keeps it below 60 KB. Pairs with the most evidence go first.
-const MOST_PAIRS: usize = 800;
+const MAX_PAIRS: usize = 800;
 /// Values are serialised in thousandths.
 const MILLI: f64 = 1_000.0;
 
@@ -31,8 +31,8 @@
     }
 }
 
-fn to_milli(figure: f64) -> u32 {
-    (figure * MILLI).round() as u32
+fn to_milli(value: f64) -> u32 {
+    (value * MILLI).round() as u32
 }
 
 impl LearnedPair {
@@ -40,33 +40,33 @@
         let precision = f64::from(self.precision_milli) / MILLI;
         Evidence {
             precision,
-            weighted: f64::from(self.mean_milli) / MILLI * precision,
+            weighted_sum: f64::from(self.mean_milli) / MILLI * precision,
         }
     }
 }
 
 impl Learned {
     /// Returns the evidence of pairs that this owner measured at or after `since`, with all idle tails.
-    pub fn since(known: &Pressure, since: Millis) -> Self {
-        let mut pairs: Vec<LearnedPair> = known
+    pub fn since(model: &Pressure, since: Millis) -> Self {
+        let mut pairs: Vec<LearnedPair> = model
             .own_pairs()
-            .filter(|(_, _, pair)| pair.heard_at >= since)
-            .filter_map(|(victim, presser, pair)| {
+            .filter(|(_, _, pair)| pair.measured_at >= since)
+            .filter_map(|(victim, aggressor, pair)| {
                 Some(LearnedPair {
                     victim: u16::try_from(victim).ok()?,
-                    presser: u16::try_from(presser).ok()?,
+                    presser: u16::try_from(aggressor).ok()?,
                     mean_milli: to_milli(pair.own.mean()?),
                     precision_milli: to_milli(pair.own.precision),
                 })
             })
             .collect();
         pairs.sort_by_key(|pair| std::cmp::Reverse(pair.precision_milli));
-        pairs.truncate(MOST_PAIRS);
+        pairs.truncate(MAX_PAIRS);
         Self {
-            images: known.images.iter().cloned().collect(),
+            images: model.images.iter().cloned().collect(),
             pairs,
-            idle_tails_us: known.idle_tails_ms.iter().map(to_us).collect(),
-            period_ms: known.season.period_s().map(to_milli),
+            idle_tails_us: model.idle_tails_ms.iter().map(to_us).collect(),
+            period_ms: model.seasonality.period_s().map(to_milli),
         }
     }
 
@@ -75,9 +75,9 @@
         self.pairs.len()
     }
 
-    /// Returns the pairs by the image numbers of `known`; pairs with an invalid image index are skipped.
-    pub(super) fn pairs_in(&self, known: &mut Pressure) -> Vec<(Image, Image, Evidence)> {
-        let images: Vec<Image> = self.images.iter().map(|name| known.image(name)).collect();
+    /// Returns the pairs by the image numbers of `model`; pairs with an invalid image index are skipped.
+    pub(super) fn pairs_in(&self, model: &mut Pressure) -> Vec<(Image, Image, Evidence)> {
+        let images: Vec<Image> = self.images.iter().map(|name| model.image(name)).collect();
         let image = |number: u16| images.get(usize::from(number)).copied();
         let pairs = self.pairs.iter();
         pairs
@@ -91,17 +91,17 @@
     }
 
     /// Returns the idle tails by image, in milliseconds.
-    pub(super) fn idle_tails_in(&self, known: &mut Pressure) -> Vec<(Image, f64)> {
+    pub(super) fn idle_tails_in(&self, model: &mut Pressure) -> Vec<(Image, f64)> {
         let tails = self.images.iter().zip(&self.idle_tails_us);
         tails
-            .filter_map(|(name, tail_us)| Some((known.image(name), f64::from((*tail_us)?) / MILLI)))
+            .filter_map(|(name, tail_us)| Some((model.image(name), f64::from((*tail_us)?) / MILLI)))
             .collect()
     }
 }
 
 impl From<&Pressure> for Learned {
-    fn from(known: &Pressure) -> Self {
-        Self::since(known, Millis::default())
+    fn from(model: &Pressure) -> Self {
+        Self::since(model, Millis::default())
     }
 }
 
--- a/src/lapisdrum/policy/dispatch/pressure/mod.rs
+++ b/src/lapisdrum/policy/dispatch/pressure/mod.rs
@@ -6,7 +6,7 @@
 //! model, batch work either leaves four fifths of the free capacity unused or drives tails to ten times their
 //! target.
 //!
-//! A tail follows the queueing formula `base / (1 - utilisation)`. Utilisation is the sum of the serving task's own
+//! A tail follows the queueing formula `base_ms / (1 - utilisation)`. Utilisation is the sum of the serving task's own
 //! load ([`load`]) and, for each aggressor, its share of the host's processors times a factor of the two images. A
 //! measurement corrects each unknown in proportion to its variance (a Kalman filter that treats the unknowns as
 //! independent). Measurements of a pair are kept as [`evidence`], to which those of other owners are added; the
@@ -25,44 +25,44 @@
 use learned::Learned;
 pub use load::ServingLoad;
 use profile::{Cell, Profiles};
-use season::Season;
+use season::Seasonality;
 use std::time::Duration;
 
 /// Minimum time between two fits of the profiles.
-const REFIT_EVERY: Duration = Duration::from_millis(500);
+const REFIT_INTERVAL: Duration = Duration::from_millis(500);
 /// Time constant of the exponential decay of evidence: interference changes over time.
-const FADE_TIME: Duration = Duration::from_secs(40);
+const EVIDENCE_DECAY_TIME: Duration = Duration::from_secs(40);
 /// Minimum precision at which the evidence of a pair is used to fit the profiles.
-const LEAST_PRECISION: f64 = 0.05;
+const MIN_PRECISION: f64 = 0.05;
 /// Default prior of a pair; replaced by the prediction of the profiles when the pair is added.
-const PRIOR: Guess = Guess {
+const DEFAULT_PRIOR: Estimate = Estimate {
     mean: 0.5,
     variance: 0.3,
 };
 /// Variance of the utilisation inferred from one tail: tails of tasks without aggressors scatter too.
-const NOISE: f64 = 0.003;
-/// Variance that all tasks of a step on one host share, in addition to [`NOISE`].
-const SHARED_NOISE: f64 = 0.001;
+const NOISE_VARIANCE: f64 = 0.003;
+/// Variance that all tasks of a step on one host share, in addition to [`NOISE_VARIANCE`].
+const SHARED_NOISE_VARIANCE: f64 = 0.001;
 /// Standard deviation of interference relative to its mean: interference changes within seconds. It reduces the
 /// weight of tasks under strong interference in the load estimate, which would count part of the interference as load.
-const PRESS_SCATTER: f64 = 0.7;
+const INTERFERENCE_DEVIATION: f64 = 0.7;
 /// Initial estimate of the tail without utilisation, as a fraction of its target.
-const FIRST_BASE: f64 = 0.2;
+const INITIAL_BASE_FRACTION: f64 = 0.2;
 /// Utilisation at which the idle tail is measured: no task is ever completely idle.
-const IDLE_STRAIN: f64 = 0.22;
+const IDLE_UTILISATION: f64 = 0.22;
 /// The idle tail is estimated as this quantile of an image's tails. Their minimum is an outlier, and would make all
 /// load estimates too high.
 const IDLE_QUANTILE: f64 = 0.04;
 /// Relative step by which one tail moves the quantile estimate: it converges within about 200 tails.
 const IDLE_STEP: f64 = 0.02;
 /// Utilisation from which a task is saturated: its tail no longer shows by how much.
-const FULL: f64 = 0.95;
+const SATURATED: f64 = 0.95;
 /// Maximum interference at which a task's load is accurate enough for period detection.
-const HARDLY_PRESSED: f64 = 0.08;
+const MAX_INTERFERENCE_FOR_PERIOD: f64 = 0.08;
 
 /// An interference estimate for an aggressor that uses the whole host.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Guess {
+pub struct Estimate {
     /// Expected utilisation added.
     pub mean: f64,
     /// Variance of `mean`.
@@ -75,7 +75,7 @@
 }
 
 impl Image {
-    fn at(self) -> usize {
+    fn index(self) -> usize {
         self.0 as usize
     }
 }
@@ -110,8 +110,8 @@
 struct Pair {
     own: Evidence,
     others: Evidence,
-    expected: Guess,
-    heard_at: Millis,
+    prior: Estimate,
+    measured_at: Millis,
 }
 
 impl Default for Pair {
@@ -119,15 +119,15 @@
         Self {
             own: Evidence::default(),
             others: Evidence::default(),
-            expected: PRIOR,
-            heard_at: Millis::default(),
+            prior: DEFAULT_PRIOR,
+            measured_at: Millis::default(),
         }
     }
 }
 
 impl Pair {
-    fn believed(&self) -> Guess {
-        self.own.plus(&self.others).believed(&self.expected)
+    fn estimate(&self) -> Estimate {
+        self.own.plus(&self.others).posterior(&self.prior)
     }
 }
 
@@ -141,11 +141,11 @@
     /// Indexed by victim, then by aggressor.
     pairs: Vec<Vec<Pair>>,
     /// Last evidence received from each other owner, by pair.
-    told: IndexMap<(Origin, Image, Image), Evidence>,
+    received: IndexMap<(Origin, Image, Image), Evidence>,
     profiles: Profiles,
-    season: Season<StepKey>,
+    seasonality: Seasonality<StepKey>,
     refitted_at: Option<Millis>,
-    /// Latency tail of each image at [`IDLE_STRAIN`], in milliseconds.
+    /// Latency tail of each image at [`IDLE_UTILISATION`], in milliseconds.
     idle_tails_ms: Vec<Option<f64>>,
 }
 
@@ -153,30 +153,30 @@
     /// Restores the model that a previous owner stored. Its evidence counts half, as some time has passed.
     pub fn resumed(learned: &Learned) -> Self {
         let mut resumed = Self::default();
-        for (victim, presser, mut evidence) in learned.pairs_in(&mut resumed) {
-            evidence.fade(0.5);
-            resumed.pair_mut(victim, presser).own = evidence;
+        for (victim, aggressor, mut evidence) in learned.pairs_in(&mut resumed) {
+            evidence.scale(0.5);
+            resumed.pair_mut(victim, aggressor).own = evidence;
         }
-        resumed.adopt_loads(learned);
+        resumed.adopt_period_and_tails(learned);
         resumed
     }
 
     /// Adds the evidence that another owner measured, replacing its earlier evidence of the same pairs.
     pub fn adopt(&mut self, origin: Origin, learned: &Learned) {
-        for (victim, presser, evidence) in learned.pairs_in(self) {
-            let before = self.told.insert((origin, victim, presser), evidence);
+        for (victim, aggressor, evidence) in learned.pairs_in(self) {
+            let before = self.received.insert((origin, victim, aggressor), evidence);
             let before = before.unwrap_or_default();
-            let pair = self.pair_mut(victim, presser);
+            let pair = self.pair_mut(victim, aggressor);
             pair.others.precision += evidence.precision - before.precision;
-            pair.others.weighted += evidence.weighted - before.weighted;
+            pair.others.weighted_sum += evidence.weighted_sum - before.weighted_sum;
         }
-        self.adopt_loads(learned);
+        self.adopt_period_and_tails(learned);
     }
 
     /// Adopts the period and the idle tails; a period found by this owner and idle tails that it has take precedence.
-    fn adopt_loads(&mut self, learned: &Learned) {
+    fn adopt_period_and_tails(&mut self, learned: &Learned) {
         if let Some(period_s) = learned.period_s() {
-            self.season.adopt(period_s);
+            self.seasonality.adopt(period_s);
         }
         for (image, tail_ms) in learned.idle_tails_in(self) {
             self.idle_tail_mut(image).get_or_insert(tail_ms);
@@ -194,39 +194,39 @@
 
     /// Returns the utilisation at which the victim's tail reaches its target.
     pub fn limit(&self, victim: &Victim) -> f64 {
-        1.0 - self.base(victim) / victim.target_ms
+        1.0 - self.base_ms(victim) / victim.target_ms
     }
 
     /// Returns the utilisation inferred from a tail; none if the tail is not positive.
-    pub fn strain_of(&self, victim: &Victim, tail_ms: f64) -> Option<f64> {
-        (tail_ms > 0.0).then(|| (1.0 - self.base(victim) / tail_ms).clamp(0.0, 1.0))
+    pub fn utilisation_of(&self, victim: &Victim, tail_ms: f64) -> Option<f64> {
+        (tail_ms > 0.0).then(|| (1.0 - self.base_ms(victim) / tail_ms).clamp(0.0, 1.0))
     }
 
     /// Returns the expected utilisation of a victim at `now + ahead`, with these aggressors on its host.
-    pub fn expected(
+    pub fn expected_utilisation(
         &self,
         victim: &Victim,
-        beside: &[Presser],
+        aggressors: &[Presser],
         now: Millis,
         ahead: Duration,
     ) -> f64 {
-        let presses = beside.iter().map(|p| self.press(victim.image, p));
-        victim.load.ahead(now, ahead) + presses.sum::<f64>()
+        let interferences = aggressors.iter().map(|a| self.press(victim.image, a));
+        victim.load.forecast(now, ahead) + interferences.sum::<f64>()
     }
 
     /// Returns the forecast load of a victim at each forecast point.
     pub fn load_path(&self, victim: &Victim, now: Millis) -> Path {
-        std::array::from_fn(|at| victim.load.ahead(now, outlook::moment(at)))
+        std::array::from_fn(|at| victim.load.forecast(now, outlook::point_offset(at)))
     }
 
     /// Returns the utilisation that an aggressor is expected to add.
-    pub fn press(&self, victim: Image, presser: &Presser) -> f64 {
-        self.believed(victim, presser.image).mean * presser.share
+    pub fn press(&self, victim: Image, aggressor: &Presser) -> f64 {
+        self.estimate(victim, aggressor.image).mean * aggressor.share
     }
 
     /// Returns the variance of [`Self::press`] that is due to limited evidence of the pair.
-    pub fn press_variance(&self, victim: Image, presser: &Presser) -> f64 {
-        self.believed(victim, presser.image).variance * presser.share * presser.share
+    pub fn press_variance(&self, victim: Image, aggressor: &Presser) -> f64 {
+        self.estimate(victim, aggressor.image).variance * aggressor.share * aggressor.share
     }
 
     /// Updates the model with the tails of a step's tasks on one host. The tasks share their load and the aggressors,
@@ -235,91 +235,99 @@
     pub fn note(
         &mut self,
         victim: &mut Victim,
-        beside: &[Presser],
+        aggressors: &[Presser],
         tails_ms: &[f64],
         now: Millis,
     ) -> Option<f64> {
         for tail_ms in tails_ms {
             self.note_idle(victim, *tail_ms);
         }
-        let strains = tails_ms.iter().filter_map(|t| self.strain_of(victim, *t));
-        let strains: Vec<f64> = strains.collect();
-        if strains.is_empty() {
+        let utilisations = tails_ms
+            .iter()
+            .filter_map(|t| self.utilisation_of(victim, *t));
+        let utilisations: Vec<f64> = utilisations.collect();
+        if utilisations.is_empty() {
             return None;
         }
-        let strain = strains.iter().sum::<f64>() / strains.len() as f64;
-        victim.load.carry(now, self.season.period_s());
-        let guesses: Vec<Guess> = beside
+        let utilisation = utilisations.iter().sum::<f64>() / utilisations.len() as f64;
+        victim.load.advance(now, self.seasonality.period_s());
+        let estimates: Vec<Estimate> = aggressors
             .iter()
-            .map(|p| self.believed(victim.image, p.image))
+            .map(|a| self.estimate(victim.image, a.image))
             .collect();
-        let pressed = beside.iter().zip(&guesses).map(|(p, g)| p.share * g.mean);
-        let pressed = pressed.sum::<f64>();
-        let unexplained = strain - victim.load.level() - pressed;
-        if strain >= FULL && unexplained < 0.0 {
+        let interference = aggressors
+            .iter()
+            .zip(&estimates)
+            .map(|(a, e)| a.share * e.mean);
+        let interference = interference.sum::<f64>();
+        let residual = utilisation - victim.load.level() - interference;
+        if utilisation >= SATURATED && residual < 0.0 {
             return Some(0.0);
         }
-        let doubt = beside.iter().zip(&guesses);
-        let doubt = doubt.map(|(p, g)| p.share * p.share * g.variance);
-        let scatter = PRESS_SCATTER * pressed;
-        let noise = SHARED_NOISE + NOISE / strains.len() as f64;
-        let of_presses = doubt.sum::<f64>() + noise + scatter * scatter;
-        let total = of_presses + victim.load.variance();
-        victim.load.correct(strain - pressed, of_presses);
-        if pressed < HARDLY_PRESSED {
-            self.season.note(victim.step, strain - pressed, now);
+        let variances = aggressors.iter().zip(&estimates);
+        let variances = variances.map(|(a, e)| a.share * a.share * e.variance);
+        let deviation = INTERFERENCE_DEVIATION * interference;
+        let noise = SHARED_NOISE_VARIANCE + NOISE_VARIANCE / utilisations.len() as f64;
+        let without_load = variances.sum::<f64>() + noise + deviation * deviation;
+        let total = without_load + victim.load.variance();
+        victim
+            .load
+            .correct(utilisation - interference, without_load);
+        if interference < MAX_INTERFERENCE_FOR_PERIOD {
+            self.seasonality
+                .note(victim.step, utilisation - interference, now);
         }
-        for (presser, guess) in beside.iter().zip(guesses) {
-            let of_others = total - presser.share * presser.share * guess.variance;
-            let press = unexplained + presser.share * guess.mean;
-            let pair = self.pair_mut(victim.image, presser.image);
-            pair.own.note(presser.share, press, of_others);
-            pair.heard_at = now;
+        for (aggressor, estimate) in aggressors.iter().zip(estimates) {
+            let others_variance = total - aggressor.share * aggressor.share * estimate.variance;
+            let measured = residual + aggressor.share * estimate.mean;
+            let pair = self.pair_mut(victim.image, aggressor.image);
+            pair.own.note(aggressor.share, measured, others_variance);
+            pair.measured_at = now;
         }
-        let pressed = beside.iter().map(|p| self.press(victim.image, p));
-        Some(strain - victim.load.level() - pressed.sum::<f64>())
+        let interference = aggressors.iter().map(|a| self.press(victim.image, a));
+        Some(utilisation - victim.load.level() - interference.sum::<f64>())
     }
 
     /// Returns the period of the serving loads in seconds, if one is known.
     pub fn period_s(&self) -> Option<f64> {
-        self.season.period_s()
+        self.seasonality.period_s()
     }
 
     /// Refits the profiles and searches for the period if that is due. Returns whether the period found changed.
     pub fn refit_if_due(&mut self, now: Millis) -> bool {
         let since = self.refitted_at.map(|at| now.since(at));
-        if since.is_some_and(|since| since < REFIT_EVERY) {
+        if since.is_some_and(|since| since < REFIT_INTERVAL) {
             return false;
         }
         self.refitted_at = Some(now);
-        let has_new_period = self.season.search_if_due(now);
-        self.fade(since.unwrap_or_default());
+        let has_new_period = self.seasonality.search_if_due(now);
+        self.decay_evidence(since.unwrap_or_default());
         let cells: Vec<Cell> = self.cells().collect();
         self.profiles.refit(self.images.len(), &cells);
         for (victim, row) in self.pairs.iter_mut().enumerate() {
-            for (presser, pair) in row.iter_mut().enumerate() {
-                pair.expected = self.profiles.expected(victim, presser);
+            for (aggressor, pair) in row.iter_mut().enumerate() {
+                pair.prior = self.profiles.predicted(victim, aggressor);
             }
         }
         has_new_period
     }
 
-    fn fade(&mut self, since: Duration) {
-        let part = (-since.as_secs_f64() / FADE_TIME.as_secs_f64()).exp();
+    fn decay_evidence(&mut self, since: Duration) {
+        let factor = (-since.as_secs_f64() / EVIDENCE_DECAY_TIME.as_secs_f64()).exp();
         let pairs = self.pairs.iter_mut().flatten();
-        pairs.for_each(|pair| pair.own.fade(part));
+        pairs.for_each(|pair| pair.own.scale(factor));
     }
 
     /// Returns the pairs with enough evidence to fit the profiles.
     fn cells(&self) -> impl Iterator<Item = Cell> {
         let rows = self.pairs.iter().enumerate();
         rows.flat_map(|(victim, row)| {
-            row.iter().enumerate().filter_map(move |(presser, pair)| {
+            row.iter().enumerate().filter_map(move |(aggressor, pair)| {
                 let evidence = pair.own.plus(&pair.others);
                 let mean = evidence.mean()?;
-                (evidence.precision >= LEAST_PRECISION).then_some(Cell {
+                (evidence.precision >= MIN_PRECISION).then_some(Cell {
                     victim,
-                    presser,
+                    aggressor,
                     mean,
                     precision: evidence.precision,
                 })
@@ -332,17 +340,17 @@
         let rows = self.pairs.iter().enumerate();
         let all = rows.flat_map(|(victim, row)| {
             let row = row.iter().enumerate();
-            row.map(move |(presser, pair)| (victim, presser, pair))
+            row.map(move |(aggressor, pair)| (victim, aggressor, pair))
         });
         all.filter(|(_, _, pair)| pair.own.precision > 0.0)
     }
 
     /// Returns the estimated tail at zero utilisation, in milliseconds.
-    fn base(&self, victim: &Victim) -> f64 {
-        let seen = self.idle_tails_ms.get(victim.image.at());
-        let first = victim.target_ms * FIRST_BASE;
-        seen.copied().flatten().map_or(first, |idle| {
-            (idle * (1.0 - IDLE_STRAIN)).min(victim.target_ms / 2.0)
+    fn base_ms(&self, victim: &Victim) -> f64 {
+        let measured = self.idle_tails_ms.get(victim.image.index());
+        let first = victim.target_ms * INITIAL_BASE_FRACTION;
+        measured.copied().flatten().map_or(first, |idle| {
+            (idle * (1.0 - IDLE_UTILISATION)).min(victim.target_ms / 2.0)
         })
     }
 
@@ -350,42 +358,42 @@
         if tail_ms <= 0.0 {
             return;
         }
-        let first = self.base(victim) / (1.0 - IDLE_STRAIN);
+        let first = self.base_ms(victim) / (1.0 - IDLE_UTILISATION);
         let idle = self.idle_tail_mut(victim.image).get_or_insert(first);
         let is_below = f64::from(u8::from(tail_ms < *idle));
         *idle *= 1.0 + IDLE_STEP * (IDLE_QUANTILE - is_below);
     }
 
     fn idle_tail_mut(&mut self, image: Image) -> &mut Option<f64> {
-        let at = image.at();
+        let at = image.index();
         if self.idle_tails_ms.len() <= at {
             self.idle_tails_ms.resize(at + 1, None);
         }
         &mut self.idle_tails_ms[at]
     }
 
-    fn believed(&self, victim: Image, presser: Image) -> Guess {
-        let row = self.pairs.get(victim.at());
-        let pair = row.and_then(|row| row.get(presser.at()));
+    fn estimate(&self, victim: Image, aggressor: Image) -> Estimate {
+        let row = self.pairs.get(victim.index());
+        let pair = row.and_then(|row| row.get(aggressor.index()));
         pair.map_or_else(
-            || self.profiles.expected(victim.at(), presser.at()),
-            Pair::believed,
+            || self.profiles.predicted(victim.index(), aggressor.index()),
+            Pair::estimate,
         )
     }
 
-    fn pair_mut(&mut self, victim: Image, presser: Image) -> &mut Pair {
-        let (v, p) = (victim.at(), presser.at());
+    fn pair_mut(&mut self, victim: Image, aggressor: Image) -> &mut Pair {
+        let (v, a) = (victim.index(), aggressor.index());
         if self.pairs.len() <= v {
             self.pairs.resize(v + 1, Vec::new());
         }
         let row = &mut self.pairs[v];
-        if row.len() <= p {
-            let expected = |presser| Pair {
-                expected: self.profiles.expected(v, presser),
+        if row.len() <= a {
+            let unmeasured = |aggressor| Pair {
+                prior: self.profiles.predicted(v, aggressor),
                 ..Pair::default()
             };
-            row.extend((row.len()..=p).map(expected));
+            row.extend((row.len()..=a).map(unmeasured));
         }
-        &mut row[p]
+        &mut row[a]
     }
 }
--- a/src/lapisdrum/policy/dispatch/pressure/profile.rs
+++ b/src/lapisdrum/policy/dispatch/pressure/profile.rs
@@ -7,29 +7,30 @@
 //! image is sensitive to some, so the interference matrix is close to a product of two narrow matrices, and three
 //! measured pairs of an image are enough to predict its others.
 //!
-//! The matrices are fitted by alternating least squares over the pairs with evidence, regularised towards [`USUAL`].
-//! The covariance of the factors is kept, so that predictions for images with little evidence have a high variance.
+//! The matrices are fitted by alternating least squares over the pairs with evidence, regularised towards
+//! [`PRIOR_FACTOR`]. The covariance of the factors is kept, so that predictions for images with little evidence have a
+//! high variance.
 
-use super::Guess;
+use super::Estimate;
 use nalgebra::{SMatrix, SVector};
 
 /// Rank of the factorisation: the number of contended resources that are distinguished.
-const CONTENDED: usize = 4;
+const RANK: usize = 4;
 /// Prior mean of each factor.
-const USUAL: f64 = 0.35;
+const PRIOR_FACTOR: f64 = 0.35;
 /// Prior precision of each factor.
-const USUAL_PRECISION: f64 = 2.0;
+const PRIOR_PRECISION: f64 = 2.0;
 /// Variance of a pair's interference around the product of its factors.
-const SCATTER: f64 = 0.05;
+const RESIDUAL_VARIANCE: f64 = 0.05;
 /// Maximum variance of a prediction.
-const MOST_VARIANCE: f64 = 0.5;
+const MAX_VARIANCE: f64 = 0.5;
 /// Maximum weight of one pair in a fit.
-const MOST_PRECISION: f64 = 20.0;
+const MAX_PRECISION: f64 = 20.0;
 /// Passes over both matrices per fit; each fit starts from the result of the previous one.
 const SWEEPS: usize = 3;
 
-type Factors = SVector<f64, CONTENDED>;
-type Square = SMatrix<f64, CONTENDED, CONTENDED>;
+type Factors = SVector<f64, RANK>;
+type FactorMatrix = SMatrix<f64, RANK, RANK>;
 
 /// Measured interference of a pair: one known entry of the interference matrix.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -37,7 +38,7 @@
     /// Number of the serving image.
     pub victim: usize,
     /// Number of the best-effort image.
-    pub presser: usize,
+    pub aggressor: usize,
     /// Mean interference for an aggressor that uses the whole host.
     pub mean: f64,
     /// Inverse variance of `mean`.
@@ -48,53 +49,53 @@
 #[derive(Clone, Debug)]
 struct Profile {
     factors: Factors,
-    doubt: Square,
-    is_met: bool,
+    covariance: FactorMatrix,
+    is_fitted: bool,
 }
 
 /// Factors of all images, indexed by image number.
 #[derive(Clone, Debug, Default)]
 pub struct Profiles {
     victims: Vec<Profile>,
-    pressers: Vec<Profile>,
+    aggressors: Vec<Profile>,
 }
 
 impl Profile {
     /// Creates the profile of an image without measured pairs. Its initial factors depend on its number: from equal
     /// factors, alternating least squares would never separate them.
-    fn unmet(number: usize) -> Self {
-        let spread = |at: usize, _| {
-            let turn = (number * CONTENDED + at) as f64 * 0.618_034;
-            2.0 * USUAL * (0.25 + 0.75 * turn.fract())
+    fn unfitted(number: usize) -> Self {
+        let initial = |at: usize, _| {
+            let turn = (number * RANK + at) as f64 * 0.618_034;
+            2.0 * PRIOR_FACTOR * (0.25 + 0.75 * turn.fract())
         };
         Self {
-            factors: Factors::from_fn(spread),
-            doubt: Square::identity() / USUAL_PRECISION,
-            is_met: false,
+            factors: Factors::from_fn(initial),
+            covariance: FactorMatrix::identity() / PRIOR_PRECISION,
+            is_fitted: false,
         }
     }
 
     /// Returns the fitted factors, or the prior mean if there are none.
-    fn known(&self) -> Factors {
-        match self.is_met {
+    fn factors_or_prior(&self) -> Factors {
+        match self.is_fitted {
             true => self.factors,
-            false => Factors::repeat(USUAL),
+            false => Factors::repeat(PRIOR_FACTOR),
         }
     }
 
     /// Fits the factors to measurements: the other image's factors, mean interference and precision of each.
-    fn fitted<'a>(presses: impl Iterator<Item = (&'a Factors, f64, f64)>) -> Option<Self> {
-        let mut square = Square::identity() * USUAL_PRECISION;
-        let mut told = Factors::repeat(USUAL * USUAL_PRECISION);
-        for (other, mean, precision) in presses {
-            square += other * other.transpose() * precision;
-            told += other * (mean * precision);
+    fn fitted<'a>(measurements: impl Iterator<Item = (&'a Factors, f64, f64)>) -> Option<Self> {
+        let mut information = FactorMatrix::identity() * PRIOR_PRECISION;
+        let mut weighted_sum = Factors::repeat(PRIOR_FACTOR * PRIOR_PRECISION);
+        for (other, mean, precision) in measurements {
+            information += other * other.transpose() * precision;
+            weighted_sum += other * (mean * precision);
         }
-        let solver = square.cholesky()?;
+        let solver = information.cholesky()?;
         Some(Self {
-            factors: solver.solve(&told).map(|factor| factor.max(0.0)),
-            doubt: solver.inverse(),
-            is_met: true,
+            factors: solver.solve(&weighted_sum).map(|factor| factor.max(0.0)),
+            covariance: solver.inverse(),
+            is_fitted: true,
         })
     }
 }
@@ -102,29 +103,33 @@
 impl Profiles {
     /// Fits the factors of `images` images to the measured pairs.
     pub fn refit(&mut self, images: usize, cells: &[Cell]) {
-        for side in [&mut self.victims, &mut self.pressers] {
-            let known = side.len();
-            side.extend((known..images).map(Profile::unmet));
+        for side in [&mut self.victims, &mut self.aggressors] {
+            let fitted = side.len();
+            side.extend((fitted..images).map(Profile::unfitted));
         }
         let by_victim = grouped(images, cells, |cell| cell.victim);
-        let by_presser = grouped(images, cells, |cell| cell.presser);
+        let by_aggressor = grouped(images, cells, |cell| cell.aggressor);
         for _ in 0..SWEEPS {
-            fit_side(&mut self.victims, &self.pressers, &by_victim, |c| c.presser);
-            fit_side(&mut self.pressers, &self.victims, &by_presser, |c| c.victim);
+            fit_side(&mut self.victims, &self.aggressors, &by_victim, |c| {
+                c.aggressor
+            });
+            fit_side(&mut self.aggressors, &self.victims, &by_aggressor, |c| {
+                c.victim
+            });
         }
     }
 
     /// Returns the predicted interference of a pair, by the numbers of its images.
-    pub fn expected(&self, victim: usize, presser: usize) -> Guess {
-        let unmet = Profile::unmet(0);
-        let victim = self.victims.get(victim).unwrap_or(&unmet);
-        let presser = self.pressers.get(presser).unwrap_or(&unmet);
-        let (suffers, uses) = (victim.known(), presser.known());
-        let of_victim = (uses.transpose() * victim.doubt * uses).x;
-        let of_presser = (suffers.transpose() * presser.doubt * suffers).x;
-        Guess {
-            mean: suffers.dot(&uses),
-            variance: (of_victim + of_presser + SCATTER).min(MOST_VARIANCE),
+    pub fn predicted(&self, victim: usize, aggressor: usize) -> Estimate {
+        let unfitted = Profile::unfitted(0);
+        let victim = self.victims.get(victim).unwrap_or(&unfitted);
+        let aggressor = self.aggressors.get(aggressor).unwrap_or(&unfitted);
+        let (sensitivity, usage) = (victim.factors_or_prior(), aggressor.factors_or_prior());
+        let victim_variance = (usage.transpose() * victim.covariance * usage).x;
+        let aggressor_variance = (sensitivity.transpose() * aggressor.covariance * sensitivity).x;
+        Estimate {
+            mean: sensitivity.dot(&usage),
+            variance: (victim_variance + aggressor_variance + RESIDUAL_VARIANCE).min(MAX_VARIANCE),
         }
     }
 }
@@ -147,11 +152,11 @@
         if cells.is_empty() {
             continue;
         }
-        let press = |cell: &Cell| {
+        let measurement = |cell: &Cell| {
             let factors = &other[of_other(cell)].factors;
-            (factors, cell.mean, cell.precision.min(MOST_PRECISION))
+            (factors, cell.mean, cell.precision.min(MAX_PRECISION))
         };
-        if let Some(fitted) = Profile::fitted(cells.iter().map(press)) {
+        if let Some(fitted) = Profile::fitted(cells.iter().map(measurement)) {
             *profile = fitted;
         }
     }
--- a/src/lapisdrum/policy/dispatch/short_work.rs
+++ b/src/lapisdrum/policy/dispatch/short_work.rs
@@ -11,11 +11,11 @@
 use std::{collections::VecDeque, time::Duration};
 
 /// Window over which the peak demand of short tasks is taken: gaps between short tasks are shorter.
-const REMEMBERED: Duration = Duration::from_secs(10);
+const PEAK_WINDOW: Duration = Duration::from_secs(10);
 /// Length of the slots for which a peak is kept.
-const SLOT: Duration = Duration::from_secs(1);
+const PEAK_SLOT: Duration = Duration::from_secs(1);
 /// Maximum headroom, in thousandths of a pool's processors.
-const MOST_LEFT_PERMILLE: u64 = 125;
+const MAX_HEADROOM_PERMILLE: u64 = 125;
 
 /// The pool and priority by which short tasks are counted.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -43,14 +43,14 @@
 
 impl Demand {
     fn note(&mut self, now: Millis) {
-        let slot_of = |at: Millis| at.0 / millis(SLOT);
-        let (slot, taken) = (slot_of(now), self.held + self.waiting);
+        let slot_of = |at: Millis| at.0 / millis(PEAK_SLOT);
+        let (slot, total) = (slot_of(now), self.held + self.waiting);
         match self.peaks.back_mut() {
-            Some((last, peak)) if *last == slot => *peak = taken.max(*peak),
-            _ => self.peaks.push_back((slot, taken)),
+            Some((last, peak)) if *last == slot => *peak = total.max(*peak),
+            _ => self.peaks.push_back((slot, total)),
         }
-        let remembered = millis(REMEMBERED) / millis(SLOT);
-        let is_old = |(at, _): &(u64, u64)| at + remembered < slot;
+        let window_slots = millis(PEAK_WINDOW) / millis(PEAK_SLOT);
+        let is_old = |(at, _): &(u64, u64)| at + window_slots < slot;
         while self.peaks.front().is_some_and(is_old) {
             self.peaks.pop_front();
         }
@@ -88,17 +88,20 @@
 
     /// Returns the processors that short tasks of a pool hold, in thousandths of a core.
     pub fn held(&self, pool: &str) -> u64 {
-        let of_pool = self.demands.iter().filter(|(class, _)| class.pool == pool);
-        of_pool.map(|(_, demand)| demand.held).sum()
+        let in_pool = self.demands.iter().filter(|(class, _)| class.pool == pool);
+        in_pool.map(|(_, demand)| demand.held).sum()
     }
 
     /// Returns the processors that long-running tasks of this class must leave for short ones in a pool of this
     /// capacity, both in thousandths of a core.
     pub fn headroom(&self, class: &Class, capacity_millicores: u64) -> u64 {
-        let goes_first =
+        let has_precedence =
             |short: &Class| short.pool == class.pool && short.priority <= class.priority;
-        let demands = self.demands.iter().filter(|(short, _)| goes_first(short));
-        let taken: u64 = demands.map(|(_, demand)| demand.peak()).sum();
-        taken.min(capacity_millicores * MOST_LEFT_PERMILLE / 1_000)
+        let demands = self
+            .demands
+            .iter()
+            .filter(|(short, _)| has_precedence(short));
+        let total: u64 = demands.map(|(_, demand)| demand.peak()).sum();
+        total.min(capacity_millicores * MAX_HEADROOM_PERMILLE / 1_000)
     }
 }
--- a/src/lapisdrum/policy/dispatch/terms.rs
+++ b/src/lapisdrum/policy/dispatch/terms.rs
@@ -4,12 +4,12 @@
 
 /// Time from the end of a stopped run until its task is started on another host: journal row, dispatch pass,
 /// start order.
-const PLACE_TAKES: Duration = Duration::from_millis(500);
+const PLACEMENT_TIME: Duration = Duration::from_millis(500);
 /// Sum of the delays until a tail over its target is detected, and until it falls after the aggressor has ended: a
 /// tail is measured over half a second and read with the next poll.
-const TOLD_AFTER: Duration = Duration::from_millis(1_800);
+const TAIL_DELAY: Duration = Duration::from_millis(1_800);
 /// Minimum time for a tail to fall by itself, however short the tolerated overload.
-const LEAST_BORNE: Duration = Duration::from_millis(1_000);
+const MIN_TOLERATED_OVERLOAD: Duration = Duration::from_millis(1_000);
 
 /// Timings of a deployment, as its settings give them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -25,13 +25,15 @@
 impl Terms {
     /// Returns the expected time from a stop order until the task runs again on another host.
     pub fn restart_takes(&self) -> Duration {
-        self.stop_takes / 2 + self.restore_takes + PLACE_TAKES
+        self.stop_takes / 2 + self.restore_takes + PLACEMENT_TIME
     }
 
     /// Returns how long a tail may be measured over its target before all best-effort tasks of the host are
     /// stopped.
     pub fn longest_over(&self) -> Duration {
-        let late = self.stop_takes + TOLD_AFTER;
-        self.overload_borne.saturating_sub(late).max(LEAST_BORNE)
+        let delay = self.stop_takes + TAIL_DELAY;
+        self.overload_borne
+            .saturating_sub(delay)
+            .max(MIN_TOLERATED_OVERLOAD)
     }
 }
--- a/tests/testsuite/sched/learning.rs
+++ b/tests/testsuite/sched/learning.rs
@@ -3,7 +3,7 @@
 use lapisdrum::{
     core::time::Millis,
     policy::dispatch::pressure::{
-        Image, Presser, Pressure, ServingLoad, Victim, learned::Learned, season::Season,
+        Image, Presser, Pressure, ServingLoad, Victim, learned::Learned, season::Seasonality,
     },
 };
 use rand::{Rng, SeedableRng, rngs::StdRng};
@@ -154,7 +154,7 @@
             for task in &mut tasks {
                 let load = wave(task.step.0, at_s - 0.15, period_s) + rng.random_range(-0.02..0.02);
                 pressure.note(task, &[], &[BASE_MS / (1.0 - load)], now);
-                let ahead = pressure.expected(task, &[], now, Duration::from_secs(2));
+                let ahead = pressure.expected_utilisation(task, &[], now, Duration::from_secs(2));
                 if at_s > 1.6 * period_s {
                     wrong += (ahead - wave(task.step.0, at_s + 2.0, period_s)).abs();
                     told += 1;
@@ -176,7 +176,7 @@
 #[test]
 fn a_load_that_only_scatters_has_no_period() {
     let mut rng = StdRng::seed_from_u64(8);
-    let mut season = Season::default();
+    let mut season = Seasonality::default();
     for round in 0..160_u64 {
         for step in 0..6_u64 {
             season.note(
--- a/tests/testsuite/sched/strain.rs
+++ b/tests/testsuite/sched/strain.rs
@@ -57,7 +57,7 @@
         pressure.note(&mut pressed, &beside, &[tail(load + added, &mut rng)], now);
         alone.load = pressed.load;
         if round > 30 {
-            let expected = pressure.expected(&alone, &[], now, Duration::ZERO);
+            let expected = pressure.expected_utilisation(&alone, &[], now, Duration::ZERO);
             worst = worst.max((expected - load).abs());
         }
     }
