--- a/src/lapisdrum/policy/dispatch/pressure/learned.rs
+++ b/src/lapisdrum/policy/dispatch/pressure/learned.rs
@@ -1,18 +1,18 @@
-//! What was learned, in the form in which owners tell it: to a successor by the store, to each other by a call.
+//! The serialised interference model, which a shard's owner stores for the next owner and sends to other owners.
 //!
-//! Without it each take-over begins with ten seconds in which pairs are tried again on serving tasks, and each of
-//! several shards learns every pair by itself.
+//! Without it, pairs are measured again on serving tasks in the first ten seconds after each takeover, and each of
+//! several shards has to measure every pair itself.
 
 use super::{Evidence, Image, Pressure};
 use crate::core::time::Millis;
 
-/// Most pairs that are told at once, those with the most evidence first: a row or an answer stays below 60 KB.
-const MOST_PAIRS: usize = 800;
-/// Figures are told in thousandths.
+/// Maximum number of pairs in one row or reply, which keeps it below 60 KB. Pairs with the most evidence go first.
+const MAX_PAIRS: usize = 800;
+/// Values are serialised in thousandths.
 const MILLI: f64 = 1_000.0;
 
 data! {
-    /// Evidence of one pair.
+    /// Measured interference of one pair; images are indexes into [`Learned`]'s list.
     pub struct LearnedPair {
         victim: u16,
         presser: u16,
@@ -20,65 +20,64 @@
         precision_milli: u32,
     }
 
-    /// What an owner has learned by itself.
+    /// The interference model of one owner, without the evidence that it received from others.
     #[derive(Default)]
     pub struct Learned {
         images: Vec<String>,
         pairs: Vec<LearnedPair>,
         idle_tails_us: Vec<Option<u32>>,
-        /// The period in which serving loads swing.
+        /// Period of the serving loads.
         period_ms: Option<u32>,
     }
 }
 
-fn to_milli(figure: f64) -> u32 {
-    (figure * MILLI).round() as u32
+fn to_milli(value: f64) -> u32 {
+    (value * MILLI).round() as u32
 }
 
 impl LearnedPair {
-    /// The evidence that it tells.
     pub(super) fn evidence(&self) -> Evidence {
         let precision = f64::from(self.precision_milli) / MILLI;
         Evidence {
             precision,
-            weighted: f64::from(self.mean_milli) / MILLI * precision,
+            weighted_sum: f64::from(self.mean_milli) / MILLI * precision,
         }
     }
 }
 
 impl Learned {
-    /// What of an owner's own evidence is new since this moment.
-    pub fn since(known: &Pressure, since: Millis) -> Self {
-        let mut pairs: Vec<LearnedPair> = known
+    /// Returns the evidence of pairs that this owner measured at or after `since`, with all idle tails.
+    pub fn since(model: &Pressure, since: Millis) -> Self {
+        let mut pairs: Vec<LearnedPair> = model
             .own_pairs()
-            .filter(|(_, _, pair)| pair.heard_at >= since)
-            .filter_map(|(victim, presser, pair)| {
+            .filter(|(_, _, pair)| pair.measured_at >= since)
+            .filter_map(|(victim, aggressor, pair)| {
                 Some(LearnedPair {
                     victim: u16::try_from(victim).ok()?,
-                    presser: u16::try_from(presser).ok()?,
+                    presser: u16::try_from(aggressor).ok()?,
                     mean_milli: to_milli(pair.own.mean()?),
                     precision_milli: to_milli(pair.own.precision),
                 })
             })
             .collect();
         pairs.sort_by_key(|pair| std::cmp::Reverse(pair.precision_milli));
-        pairs.truncate(MOST_PAIRS);
+        pairs.truncate(MAX_PAIRS);
         Self {
-            images: known.images.iter().cloned().collect(),
+            images: model.images.iter().cloned().collect(),
             pairs,
-            idle_tails_us: known.idle_tails_ms.iter().map(to_us).collect(),
-            period_ms: known.season.period_s().map(to_milli),
+            idle_tails_us: model.idle_tails_ms.iter().map(to_us).collect(),
+            period_ms: model.seasonality.period_s().map(to_milli),
         }
     }
 
-    /// Pairs told.
+    /// Returns the number of pairs.
     pub fn pairs(&self) -> usize {
         self.pairs.len()
     }
 
-    /// The pairs, by the numbers that `known` gives their images; what names no image is passed over.
-    pub(super) fn pairs_in(&self, known: &mut Pressure) -> Vec<(Image, Image, Evidence)> {
-        let images: Vec<Image> = self.images.iter().map(|name| known.image(name)).collect();
+    /// Returns the pairs by the image numbers of `model`; pairs with an invalid image index are skipped.
+    pub(super) fn pairs_in(&self, model: &mut Pressure) -> Vec<(Image, Image, Evidence)> {
+        let images: Vec<Image> = self.images.iter().map(|name| model.image(name)).collect();
         let image = |number: u16| images.get(usize::from(number)).copied();
         let pairs = self.pairs.iter();
         pairs
@@ -86,23 +85,23 @@
             .collect()
     }
 
-    /// The period in which serving loads swing, in seconds.
+    /// Returns the period of the serving loads, in seconds.
     pub(super) fn period_s(&self) -> Option<f64> {
         self.period_ms.map(|ms| f64::from(ms) / MILLI)
     }
 
-    /// Idle tails by image, in milliseconds.
-    pub(super) fn idle_tails_in(&self, known: &mut Pressure) -> Vec<(Image, f64)> {
+    /// Returns the idle tails by image, in milliseconds.
+    pub(super) fn idle_tails_in(&self, model: &mut Pressure) -> Vec<(Image, f64)> {
         let tails = self.images.iter().zip(&self.idle_tails_us);
         tails
-            .filter_map(|(name, tail_us)| Some((known.image(name), f64::from((*tail_us)?) / MILLI)))
+            .filter_map(|(name, tail_us)| Some((model.image(name), f64::from((*tail_us)?) / MILLI)))
             .collect()
     }
 }
 
 impl From<&Pressure> for Learned {
-    fn from(known: &Pressure) -> Self {
-        Self::since(known, Millis::default())
+    fn from(model: &Pressure) -> Self {
+        Self::since(model, Millis::default())
     }
 }
 
