--- a/src/lapisdrum/policy/admission.rs
+++ b/src/lapisdrum/policy/admission.rs
@@ -113,8 +113,8 @@
         if let Some(wait) = owner.window.wait(owner_rate, now) {
             return Err(Denied::OwnerRate(wait));
         }
-        entry.window.note(claim.share.rate_per_s, now);
-        owner.window.note(owner_rate, now);
+        entry.window.record(claim.share.rate_per_s, now);
+        owner.window.record(owner_rate, now);
         Ok(())
     }
 
@@ -157,7 +157,7 @@
     }
 
     /// Number of entries that have state here.
-    pub fn known(&self) -> usize {
+    pub fn tracked_entries(&self) -> usize {
         self.entries.len()
     }
 
@@ -180,7 +180,7 @@
 
 impl Usage {
     fn is_idle(&mut self, now: Millis) -> bool {
-        self.window.forget(now);
+        self.window.expire(now);
         self.running == 0 && self.window.total == 0
     }
 }
@@ -196,7 +196,7 @@
     /// Time until one more is allowed; `None` when it is allowed now.
     fn wait(&mut self, rate: Option<u32>, now: Millis) -> Option<Duration> {
         let rate = rate?;
-        self.forget(now);
+        self.expire(now);
         if self.total < rate {
             return None;
         }
@@ -204,7 +204,7 @@
         Some((oldest + RATE_WINDOW).since(now))
     }
 
-    fn note(&mut self, rate: Option<u32>, now: Millis) {
+    fn record(&mut self, rate: Option<u32>, now: Millis) {
         if rate.is_none() {
             return;
         }
@@ -215,7 +215,7 @@
         }
     }
 
-    fn forget(&mut self, now: Millis) {
+    fn expire(&mut self, now: Millis) {
         while let Some((at, count)) = self.counts.front().copied() {
             if now.since(at) < RATE_WINDOW {
                 break;
--- a/src/lapisdrum/policy/drain.rs
+++ b/src/lapisdrum/policy/drain.rs
@@ -9,7 +9,7 @@
 //!
 //! The rate is averaged over a few seconds ([`HALF_LIFE`]): long compared with one request
 //! (milliseconds to a second), short compared with a change of load that operators would notice.
-//! [`LONGEST_RETURN`] keeps callers from waiting longer than most overloads last.
+//! [`MAX_RETRY_AFTER`] keeps callers from waiting longer than most overloads last.
 
 use crate::core::time::{Millis, millis};
 use rand::Rng;
@@ -19,18 +19,18 @@
 pub const HALF_LIFE: Duration = Duration::from_secs(2);
 /// Shortest Retry-After time: callers that return sooner only add load to a queue that is still
 /// full.
-pub const SHORTEST_RETURN: Duration = Duration::from_millis(200);
+pub const MIN_RETRY_AFTER: Duration = Duration::from_millis(200);
 /// Longest Retry-After time.
-pub const LONGEST_RETURN: Duration = Duration::from_secs(30);
+pub const MAX_RETRY_AFTER: Duration = Duration::from_secs(30);
 /// Drain rate assumed while none is measured, in items per second.
-const ASSUMED_PER_S: f64 = 10.0;
+const DEFAULT_RATE_PER_S: f64 = 10.0;
 /// Lowest drain rate that Retry-After times are based on, in items per second.
-const LEAST_PER_S: f64 = 0.1;
+const MIN_RATE_PER_S: f64 = 0.1;
 /// Largest random part of a Retry-After time, relative to the shortest wait at present, so that
 /// callers refused by several daemons do not return in step.
-const SPREAD: f64 = 0.5;
+const JITTER: f64 = 0.5;
 /// Least busy time that a drain rate is computed from, in milliseconds.
-const LEAST_BUSY_MS: f64 = 20.0;
+const MIN_BUSY_MS: f64 = 20.0;
 
 /// Rate at which items leave a queue while it is not empty.
 ///
@@ -65,7 +65,7 @@
     pub fn per_second(&self, now: Millis) -> Option<f64> {
         let mut present = self.clone();
         present.advance(now);
-        let measured = present.busy_ms >= LEAST_BUSY_MS && present.items > 0.0;
+        let measured = present.busy_ms >= MIN_BUSY_MS && present.items > 0.0;
         measured.then(|| present.items * 1_000.0 / present.busy_ms)
     }
 
@@ -73,7 +73,7 @@
     pub fn time_for(&self, items: f64, now: Millis) -> Option<Duration> {
         let per_second = self.per_second(now)?;
         Some(Duration::from_secs_f64(
-            (items / per_second).min(LONGEST_RETURN.as_secs_f64() * 100.0),
+            (items / per_second).min(MAX_RETRY_AFTER.as_secs_f64() * 100.0),
         ))
     }
 
@@ -82,9 +82,9 @@
             return;
         };
         let span = now.since(until);
-        let kept = 0.5_f64.powf(span.as_secs_f64() / HALF_LIFE.as_secs_f64());
-        self.items *= kept;
-        self.busy_ms = self.busy_ms * kept + millis(span) as f64;
+        let decay = 0.5_f64.powf(span.as_secs_f64() / HALF_LIFE.as_secs_f64());
+        self.items *= decay;
+        self.busy_ms = self.busy_ms * decay + millis(span) as f64;
         self.busy_until = Some(until.max(now));
     }
 }
@@ -94,7 +94,7 @@
 pub struct Returns {
     /// Latest return time assigned so far, in microseconds since several callers can be served
     /// within one millisecond.
-    booked_us: f64,
+    last_return_us: f64,
 }
 
 impl Returns {
@@ -108,19 +108,19 @@
         now: Millis,
         rng: &mut impl Rng,
     ) -> Duration {
-        let least = wait.clamp(SHORTEST_RETURN, LONGEST_RETURN / 2);
-        let from_us = to_us(now + least);
-        let latest_us = to_us(now + LONGEST_RETURN);
-        let interval_us = 1e6 / rate.unwrap_or(ASSUMED_PER_S).max(LEAST_PER_S);
-        self.booked_us = self.booked_us.max(from_us) + interval_us;
-        if self.booked_us > latest_us {
+        let min_wait = wait.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER / 2);
+        let from_us = to_us(now + min_wait);
+        let latest_us = to_us(now + MAX_RETRY_AFTER);
+        let interval_us = 1e6 / rate.unwrap_or(DEFAULT_RATE_PER_S).max(MIN_RATE_PER_S);
+        self.last_return_us = self.last_return_us.max(from_us) + interval_us;
+        if self.last_return_us > latest_us {
             // More callers are to return than can be served within the longest time: spread them
             // evenly over all of it.
-            self.booked_us = latest_us;
-            return least + (LONGEST_RETURN - least).mul_f64(rng.random_range(0.0..=1.0));
+            self.last_return_us = latest_us;
+            return min_wait + (MAX_RETRY_AFTER - min_wait).mul_f64(rng.random_range(0.0..=1.0));
         }
-        let place = Duration::from_secs_f64((self.booked_us - to_us(now)) / 1e6);
-        place + least.mul_f64(SPREAD * rng.random_range(0.0..=1.0))
+        let delay = Duration::from_secs_f64((self.last_return_us - to_us(now)) / 1e6);
+        delay + min_wait.mul_f64(JITTER * rng.random_range(0.0..=1.0))
     }
 }
 
--- a/src/lapisdrum/policy/eviction.rs
+++ b/src/lapisdrum/policy/eviction.rs
@@ -8,19 +8,19 @@
 //!
 //! The distress of a host is the worst slowdown of its latency-critical work, in reports that
 //! arrive late. Mitigation starts after two consecutive reports above [`DISTRESS`]; after each step
-//! the host has [`SETTLE`] to respond before the next. First, as many tasks are throttled as are
-//! expected to end the distress, those with the most harm for their priority first; after that, one
-//! task is evicted at a time. (With one throttle at a time, a wave of six noisy tasks was over
-//! before all six were throttled.) A throttle is released after [`REPORTS_TO_UNDO`] reports
+//! the host has [`SETTLE_TIME`] to respond before the next. First, as many tasks are throttled as
+//! are expected to end the distress, those with the most harm for their priority first; after that,
+//! one task is evicted at a time. (With one throttle at a time, a wave of six noisy tasks was over
+//! before all six were throttled.) A throttle is released after [`REPORTS_TO_RELEASE`] reports
 //! according to which the host would stay out of distress with that task at full speed, so that
 //! throttles neither stay for ever on a busy host nor oscillate.
 //!
 //! Only tasks that do much of the harm are evicted: evicting others would lose work without
 //! benefit. Of these the one with the lowest priority is chosen; at equal priority, the one that
-//! loses least work since its checkpoint. An evicted task is not evicted again within [`SPARED`]
-//! and not placed back on the same worker within [`KEPT_AWAY`].
+//! loses least work since its checkpoint. An evicted task is not evicted again within
+//! [`EVICTION_COOLDOWN`] and not placed back on the same worker within [`SAME_WORKER_COOLDOWN`].
 
-use super::hysteresis::{Pace, Switch};
+use super::hysteresis::{HysteresisConfig, Switch};
 use crate::core::{
     catalogue::Class,
     id::{JobId, WorkerId},
@@ -33,32 +33,32 @@
 /// uncontended host. The target is a p99 within twice the uncontended one; this is halfway there.
 pub const DISTRESS: f64 = 1.5;
 /// Slowdown below which the distress of a host ends and batch tasks may be placed there again.
-pub const CALM: f64 = 1.35;
+pub const RECOVERY_SLOWDOWN: f64 = 1.35;
 /// Time after a step before reports count again: usage reports lag by some seconds.
-pub const SETTLE: Duration = Duration::from_secs(10);
+pub const SETTLE_TIME: Duration = Duration::from_secs(10);
 /// Least time between two evictions of a task.
-pub const SPARED: Duration = Duration::from_secs(10 * 60);
+pub const EVICTION_COOLDOWN: Duration = Duration::from_secs(10 * 60);
 /// Time during which an evicted task is not placed on the worker that it was evicted from.
-pub const KEPT_AWAY: Duration = Duration::from_secs(30 * 60);
+pub const SAME_WORKER_COOLDOWN: Duration = Duration::from_secs(30 * 60);
 /// Fraction of a task's harm that a throttle is expected to remove.
-const THROTTLE_HELPS: f64 = 0.7;
+const THROTTLE_EFFECT: f64 = 0.7;
 /// Fraction of the excess slowdown (above 1) that a task must add to be worth a throttle.
-const WORTH_THROTTLING: f64 = 0.1;
+const MIN_THROTTLE_HARM: f64 = 0.1;
 /// Least harm of a task worth evicting, relative to the most harmful task on the host.
-const WORTH_EVICTING: f64 = 0.5;
+const MIN_EVICTION_HARM: f64 = 0.5;
 /// Consecutive reports above [`DISTRESS`] that start a mitigation step.
-const REPORTS_TO_RELIEVE: u32 = 2;
+const REPORTS_TO_MITIGATE: u32 = 2;
 /// Consecutive reports that release a throttle. More than start a mitigation step, so that a wave
 /// with short pauses does not cause oscillation.
-pub const REPORTS_TO_UNDO: u32 = 4;
+pub const REPORTS_TO_RELEASE: u32 = 4;
 
 /// Thresholds at which a host enters and leaves distress.
-pub const PACE: Pace = Pace {
+pub const THRESHOLDS: HysteresisConfig = HysteresisConfig {
     on_above: DISTRESS,
-    off_below: CALM,
-    on_after: REPORTS_TO_RELIEVE,
-    off_after: REPORTS_TO_UNDO,
-    settle: SETTLE,
+    off_below: RECOVERY_SLOWDOWN,
+    on_after: REPORTS_TO_MITIGATE,
+    off_after: REPORTS_TO_RELEASE,
+    settle_time: SETTLE_TIME,
 };
 
 /// A task on the host, with what decides whether it is throttled or evicted.
@@ -94,10 +94,10 @@
 pub struct Distress {
     switch: Switch,
     /// Consecutive reports above [`DISTRESS`] since the last step.
-    high: u32,
+    high_reports: u32,
     /// Consecutive reports that would allow a release since the last step.
-    low: u32,
-    stepped_at: Option<Millis>,
+    releasable_reports: u32,
+    last_step_at: Option<Millis>,
     last_measured: Option<Millis>,
 }
 
@@ -113,31 +113,32 @@
         self.evicted.insert(job.clone(), (worker.clone(), now));
     }
 
-    /// Whether a task may be evicted: not if it was evicted within [`SPARED`].
+    /// Whether a task may be evicted: not if it was evicted within [`EVICTION_COOLDOWN`].
     pub fn may_evict(&self, job: &JobId, now: Millis) -> bool {
         self.evicted
             .get(job)
-            .is_none_or(|(_, at)| now.since(*at) >= SPARED)
+            .is_none_or(|(_, at)| now.since(*at) >= EVICTION_COOLDOWN)
     }
 
     /// Whether a task may be placed on a worker: not if it was evicted from it within
-    /// [`KEPT_AWAY`].
+    /// [`SAME_WORKER_COOLDOWN`].
     pub fn may_place(&self, job: &JobId, worker: &WorkerId, now: Millis) -> bool {
         self.evicted
             .get(job)
-            .is_none_or(|(from, at)| from != worker || now.since(*at) >= KEPT_AWAY)
+            .is_none_or(|(from, at)| from != worker || now.since(*at) >= SAME_WORKER_COOLDOWN)
     }
 
-    /// Removes evictions older than [`KEPT_AWAY`].
+    /// Removes evictions older than [`SAME_WORKER_COOLDOWN`].
     pub fn forget_old(&mut self, now: Millis) {
-        self.evicted.retain(|_, (_, at)| now.since(*at) < KEPT_AWAY);
+        self.evicted
+            .retain(|_, (_, at)| now.since(*at) < SAME_WORKER_COOLDOWN);
     }
 }
 
 impl Distress {
     /// Records the worst slowdown of the host's latency-critical work (1 for none) and returns the
-    /// steps to take, mostly none. Reports no newer than the last, or measured within [`SETTLE`]
-    /// after the last step, are ignored.
+    /// steps to take, mostly none. Reports no newer than the last, or measured within
+    /// [`SETTLE_TIME`] after the last step, are ignored.
     pub fn report(
         &mut self,
         slowdown: f64,
@@ -146,27 +147,36 @@
         memory: &EvictionMemory,
         now: Millis,
     ) -> Vec<Step> {
-        if !self.is_news(measured_at) {
+        if !self.is_fresh(measured_at) {
             return Vec::new();
         }
         self.last_measured = Some(measured_at);
         self.switch
-            .report(&PACE, slowdown, measured_at, measured_at);
-        self.high = if slowdown > DISTRESS {
-            self.high + 1
+            .report(&THRESHOLDS, slowdown, measured_at, measured_at);
+        self.high_reports = if slowdown > DISTRESS {
+            self.high_reports + 1
+        } else {
+            0
+        };
+        let releasable =
+            select_for_release(tenants).filter(|tenant| slowdown + tenant.harm < DISTRESS);
+        self.releasable_reports = if releasable.is_some() {
+            self.releasable_reports + 1
         } else {
             0
         };
-        let undone = to_release(tenants).filter(|tenant| slowdown + tenant.harm < DISTRESS);
-        self.low = if undone.is_some() { self.low + 1 } else { 0 };
-        let steps = match undone {
-            _ if self.high >= REPORTS_TO_RELIEVE => relieve(slowdown, tenants, memory, now),
-            Some(tenant) if self.low >= REPORTS_TO_UNDO => vec![Step::Release(tenant.job.clone())],
+        let steps = match releasable {
+            _ if self.high_reports >= REPORTS_TO_MITIGATE => {
+                mitigate(slowdown, tenants, memory, now)
+            }
+            Some(tenant) if self.releasable_reports >= REPORTS_TO_RELEASE => {
+                vec![Step::Release(tenant.job.clone())]
+            }
             _ => Vec::new(),
         };
         if !steps.is_empty() {
-            (self.high, self.low) = (0, 0);
-            self.stepped_at = Some(now);
+            (self.high_reports, self.releasable_reports) = (0, 0);
+            self.last_step_at = Some(now);
         }
         steps
     }
@@ -176,23 +186,26 @@
         self.switch.is_on()
     }
 
-    fn is_news(&self, measured_at: Millis) -> bool {
+    fn is_fresh(&self, measured_at: Millis) -> bool {
         let newer = self.last_measured.is_none_or(|last| measured_at > last);
-        newer && self.stepped_at.is_none_or(|at| measured_at >= at + SETTLE)
+        newer
+            && self
+                .last_step_at
+                .is_none_or(|at| measured_at >= at + SETTLE_TIME)
     }
 }
 
-fn relieve(
+fn mitigate(
     slowdown: f64,
     tenants: &[Tenant<'_>],
     memory: &EvictionMemory,
     now: Millis,
 ) -> Vec<Step> {
-    let throttled = to_throttle(slowdown, tenants);
+    let throttled = plan_throttles(slowdown, tenants);
     if !throttled.is_empty() {
         return throttled;
     }
-    let evicted = to_evict(tenants, memory, now);
+    let evicted = select_for_eviction(tenants, memory, now);
     evicted
         .map(|tenant| Step::Evict(tenant.job.clone()))
         .into_iter()
@@ -202,22 +215,24 @@
 /// Throttles for the batch tasks with the most harm for their priority, as many as are expected to
 /// end the distress. If none is known to do harm and none is throttled yet, the first is throttled
 /// all the same, and only that one.
-fn to_throttle(slowdown: f64, tenants: &[Tenant<'_>]) -> Vec<Step> {
-    let least = WORTH_THROTTLING * (slowdown - 1.0);
+fn plan_throttles(slowdown: f64, tenants: &[Tenant<'_>]) -> Vec<Step> {
+    let min_harm = MIN_THROTTLE_HARM * (slowdown - 1.0);
     let any_throttled = tenants.iter().any(|t| t.throttled);
-    let open = tenants
+    let candidates = tenants
         .iter()
         .filter(|t| t.class == Class::Batch && !t.throttled);
-    let mut open: Vec<&Tenant<'_>> = open.filter(|t| t.harm >= least || !any_throttled).collect();
-    let worth = |t: &Tenant<'_>| t.harm / f64::from(t.priority.max(1));
-    open.sort_by(|a, b| worth(b).total_cmp(&worth(a)));
+    let mut candidates: Vec<&Tenant<'_>> = candidates
+        .filter(|t| t.harm >= min_harm || !any_throttled)
+        .collect();
+    let harm_per_priority = |t: &Tenant<'_>| t.harm / f64::from(t.priority.max(1));
+    candidates.sort_by(|a, b| harm_per_priority(b).total_cmp(&harm_per_priority(a)));
     let mut expected = slowdown;
     let mut steps = Vec::new();
-    for tenant in open {
-        if expected <= DISTRESS || (tenant.harm < least && !steps.is_empty()) {
+    for tenant in candidates {
+        if expected <= DISTRESS || (tenant.harm < min_harm && !steps.is_empty()) {
             break;
         }
-        expected -= tenant.harm * THROTTLE_HELPS;
+        expected -= tenant.harm * THROTTLE_EFFECT;
         steps.push(Step::Throttle(tenant.job.clone()));
     }
     steps
@@ -225,22 +240,24 @@
 
 /// Of the batch tasks that do much of the harm, the one whose eviction costs least: lowest
 /// priority, then least work lost.
-pub fn to_evict<'a>(
+pub fn select_for_eviction<'a>(
     tenants: &'a [Tenant<'a>],
     memory: &EvictionMemory,
     now: Millis,
 ) -> Option<&'a Tenant<'a>> {
-    let open: Vec<&Tenant<'_>> = tenants
+    let candidates: Vec<&Tenant<'_>> = tenants
         .iter()
         .filter(|t| t.class == Class::Batch && memory.may_evict(t.job, now))
         .collect();
-    let most = open.iter().map(|t| t.harm).max_by(f64::total_cmp)?;
-    let harmful = open.into_iter().filter(|t| t.harm >= WORTH_EVICTING * most);
+    let max_harm = candidates.iter().map(|t| t.harm).max_by(f64::total_cmp)?;
+    let harmful = candidates
+        .into_iter()
+        .filter(|t| t.harm >= MIN_EVICTION_HARM * max_harm);
     harmful.min_by_key(|t| (t.priority, t.unsaved))
 }
 
 /// The throttled task that would do least harm at full speed.
-fn to_release<'a>(tenants: &'a [Tenant<'a>]) -> Option<&'a Tenant<'a>> {
+fn select_for_release<'a>(tenants: &'a [Tenant<'a>]) -> Option<&'a Tenant<'a>> {
     let throttled = tenants.iter().filter(|t| t.throttled);
     throttled.min_by(|a, b| a.harm.total_cmp(&b.harm))
 }
--- a/src/lapisdrum/policy/health.rs
+++ b/src/lapisdrum/policy/health.rs
@@ -5,12 +5,13 @@
 //! Without this module the first fails most of the shard's jobs; and if failures were counted by
 //! worker alone, the second would eject every worker, one by one.
 //!
-//! A worker is ejected when distinct jobs fail on it without a success in between ([`DISTINCT`]). A
-//! job is at fault when it has failed on distinct workers ([`DISTINCT`]) that would not be suspect
-//! without it; its failures then count against no worker. Nor do those of an entry whose jobs fail
-//! on as many workers without a success anywhere: a broken release fails wherever it is started.
-//! When its ejection ends, a worker gets one task at a time; a success clears its record, a failure
-//! ejects it for twice as long. At most a third of the shard's workers are ejected at once.
+//! A worker is ejected when distinct jobs fail on it without a success in between
+//! ([`MIN_DISTINCT_FAILURES`]). A job is at fault when it has failed on distinct workers
+//! ([`MIN_DISTINCT_FAILURES`]) that would not be suspect without it; its failures then count
+//! against no worker. Nor do those of an entry whose jobs fail on as many workers without a success
+//! anywhere: a broken release fails wherever it is started. When its ejection ends, a worker gets
+//! one task at a time; a success clears its record, a failure ejects it for twice as long. At most
+//! a third of the shard's workers are ejected at once.
 
 use crate::core::{
     id::{EntryName, JobId, WorkerId},
@@ -21,16 +22,16 @@
 
 /// Distinct failed jobs after which a worker is ejected, and distinct workers after which a job is
 /// at fault. Three by chance are rare: at one failure in ten, once in a thousand.
-pub const DISTINCT: usize = 3;
+pub const MIN_DISTINCT_FAILURES: usize = 3;
 /// At most one worker in this many may be ejected at once.
-pub const MOST_ASIDE: usize = 3;
+pub const MIN_WORKERS_PER_EJECTION: usize = 3;
 /// Duration of the first ejection since a worker's last success; each further one takes twice as
 /// long.
-pub const FIRST_ASIDE: Duration = Duration::from_secs(30);
+pub const BASE_EJECTION_TIME: Duration = Duration::from_secs(30);
 /// Longest duration of an ejection.
-pub const LONGEST_ASIDE: Duration = Duration::from_secs(15 * 60);
+pub const MAX_EJECTION_TIME: Duration = Duration::from_secs(15 * 60);
 /// Time since a job's last failure after which its failures are discarded.
-const FORGET: Duration = Duration::from_secs(60 * 60);
+const FAILURE_RETENTION: Duration = Duration::from_secs(60 * 60);
 
 /// How many tasks a worker may get.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -59,9 +60,9 @@
     /// Jobs that failed since the last success or ejection, with their entries.
     failed: IndexMap<JobId, EntryName>,
     /// Ejections since the last success.
-    aside: u32,
+    ejections: u32,
     /// End of the last ejection.
-    back_at: Option<Millis>,
+    ejected_until: Option<Millis>,
 }
 
 #[derive(Debug, Default)]
@@ -97,35 +98,41 @@
         pool: usize,
         now: Millis,
     ) -> Verdict {
-        self.note(worker, job, entry, now);
+        self.record_failure(worker, job, entry, now);
         if self.is_job_at_fault(job) {
-            self.clear(job);
+            self.clear_job(job);
             return Verdict::JobAtFault;
         }
         let record = &self.workers[worker];
-        let on_trial = record.back_at.is_some_and(|back| now >= back);
-        let enough = self.blameless_jobs(record) >= DISTINCT || on_trial;
-        let already = record.back_at.is_some_and(|back| now < back);
-        if !enough || already || (self.aside(now) + 1) * MOST_ASIDE > pool {
+        let on_trial = record.ejected_until.is_some_and(|until| now >= until);
+        let enough = self.attributable_jobs(record) >= MIN_DISTINCT_FAILURES || on_trial;
+        let is_ejected = record.ejected_until.is_some_and(|until| now < until);
+        if !enough || is_ejected || (self.ejected_count(now) + 1) * MIN_WORKERS_PER_EJECTION > pool
+        {
             return Verdict::Open;
         }
-        self.set_aside(worker, now);
+        self.eject(worker, now);
         Verdict::WorkerAside
     }
 
     /// How many tasks a worker may get at `now`.
     pub fn standing(&self, worker: &WorkerId, now: Millis) -> Standing {
-        match self.workers.get(worker).and_then(|record| record.back_at) {
+        match self
+            .workers
+            .get(worker)
+            .and_then(|record| record.ejected_until)
+        {
             None => Standing::Good,
-            Some(back) if now < back => Standing::Aside,
+            Some(until) if now < until => Standing::Aside,
             Some(_) => Standing::Trial,
         }
     }
 
     /// Number of ejected workers.
-    pub fn aside(&self, now: Millis) -> usize {
-        let aside = |record: &&WorkerRecord| record.back_at.is_some_and(|back| now < back);
-        self.workers.values().filter(aside).count()
+    pub fn ejected_count(&self, now: Millis) -> usize {
+        let ejected =
+            |record: &&WorkerRecord| record.ejected_until.is_some_and(|until| now < until);
+        self.workers.values().filter(ejected).count()
     }
 
     /// Whether a job has failed on a worker, so that another should be preferred.
@@ -135,14 +142,15 @@
             .is_some_and(|record| record.workers.contains(worker))
     }
 
-    /// Removes workers for which `is_there` is false, and jobs whose last failure is too old to count.
-    pub fn forget(&mut self, is_there: impl Fn(&WorkerId) -> bool, now: Millis) {
-        self.workers.retain(|worker, _| is_there(worker));
+    /// Removes workers for which `is_known` is false, and jobs whose last failure is too old to
+    /// count.
+    pub fn forget(&mut self, is_known: impl Fn(&WorkerId) -> bool, now: Millis) {
+        self.workers.retain(|worker, _| is_known(worker));
         self.jobs
-            .retain(|_, record| now.since(record.last) < FORGET);
+            .retain(|_, record| now.since(record.last) < FAILURE_RETENTION);
     }
 
-    fn note(&mut self, worker: &WorkerId, job: &JobId, entry: &EntryName, now: Millis) {
+    fn record_failure(&mut self, worker: &WorkerId, job: &JobId, entry: &EntryName, now: Millis) {
         let record = self.workers.entry(worker.clone()).or_default();
         record.failed.insert(job.clone(), entry.clone());
         let failed_on = self.entries.entry(entry.clone()).or_default();
@@ -157,25 +165,25 @@
         let Some(record) = self.jobs.get(job) else {
             return false;
         };
-        let sound = record
+        let healthy = record
             .workers
             .iter()
-            .filter(|worker| self.is_sound_without(worker, job));
-        sound.count() >= DISTINCT
+            .filter(|worker| self.is_healthy_without(worker, job));
+        healthy.count() >= MIN_DISTINCT_FAILURES
     }
 
     /// Whether a worker was not ejected since its last success and fewer other jobs failed on it
     /// than would eject it together with `job`.
-    fn is_sound_without(&self, worker: &WorkerId, job: &JobId) -> bool {
+    fn is_healthy_without(&self, worker: &WorkerId, job: &JobId) -> bool {
         let Some(record) = self.workers.get(worker) else {
             return true;
         };
         let others = record.failed.keys().filter(|failed| *failed != job);
-        record.back_at.is_none() && others.count() + 1 < DISTINCT
+        record.ejected_until.is_none() && others.count() + 1 < MIN_DISTINCT_FAILURES
     }
 
     /// Removes the failures of a job at fault from all workers.
-    fn clear(&mut self, job: &JobId) {
+    fn clear_job(&mut self, job: &JobId) {
         for record in self.workers.values_mut() {
             record.failed.swap_remove(job);
         }
@@ -183,20 +191,20 @@
 
     /// Number of distinct jobs that failed on a worker, without those of entries that fail
     /// everywhere.
-    fn blameless_jobs(&self, record: &WorkerRecord) -> usize {
+    fn attributable_jobs(&self, record: &WorkerRecord) -> usize {
         let fails_everywhere = |entry: &EntryName| {
             let failed_on = self.entries.get(entry);
-            failed_on.is_some_and(|workers| workers.len() >= DISTINCT)
+            failed_on.is_some_and(|workers| workers.len() >= MIN_DISTINCT_FAILURES)
         };
         let entries = record.failed.values();
         entries.filter(|entry| !fails_everywhere(entry)).count()
     }
 
-    fn set_aside(&mut self, worker: &WorkerId, now: Millis) {
+    fn eject(&mut self, worker: &WorkerId, now: Millis) {
         if let Some(record) = self.workers.get_mut(worker) {
-            let time = FIRST_ASIDE * 2_u32.saturating_pow(record.aside.min(8));
-            record.aside += 1;
-            record.back_at = Some(now + time.min(LONGEST_ASIDE));
+            let time = BASE_EJECTION_TIME * 2_u32.saturating_pow(record.ejections.min(8));
+            record.ejections += 1;
+            record.ejected_until = Some(now + time.min(MAX_EJECTION_TIME));
             record.failed.clear();
         }
     }
--- a/src/lapisdrum/policy/hysteresis.rs
+++ b/src/lapisdrum/policy/hysteresis.rs
@@ -6,15 +6,15 @@
 //!
 //! A [`Switch`] turns on above one threshold and off below a lower one, only after several
 //! consecutive reports, and ignores reports that were measured before the last change could take
-//! effect ([`Pace::settle`]). Waiting for one report too many costs one reporting interval; one
-//! change too many costs an eviction.
+//! effect ([`HysteresisConfig::settle_time`]). Waiting for one report too many costs one reporting
+//! interval; one change too many costs an eviction.
 
 use crate::core::time::Millis;
 use std::time::Duration;
 
 /// Thresholds and delays of a [`Switch`].
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Pace {
+pub struct HysteresisConfig {
     /// Value above which a report counts towards turning on.
     pub on_above: f64,
     /// Value below which a report counts towards turning off; lower than `on_above`.
@@ -25,14 +25,14 @@
     pub off_after: u32,
     /// Time after a change during which measurements are ignored, since they do not show its effect
     /// yet.
-    pub settle: Duration,
+    pub settle_time: Duration,
 }
 
 /// On/off state that follows a lagging signal; starts off.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Switch {
     on: bool,
-    agreeing: u32,
+    consecutive: u32,
     last_measured: Option<Millis>,
     changed_at: Option<Millis>,
 }
@@ -41,21 +41,27 @@
     /// Records a report of `value`, measured at `measured_at`, and returns whether the state
     /// changed. A report that is no newer than the last, or too old to show the last change, is
     /// ignored.
-    pub fn report(&mut self, pace: &Pace, value: f64, measured_at: Millis, now: Millis) -> bool {
-        if !self.is_news(pace, measured_at) {
+    pub fn report(
+        &mut self,
+        config: &HysteresisConfig,
+        value: f64,
+        measured_at: Millis,
+        now: Millis,
+    ) -> bool {
+        if !self.is_fresh(config, measured_at) {
             return false;
         }
         self.last_measured = Some(measured_at);
-        let (disagrees, needed) = match self.on {
-            true => (value < pace.off_below, pace.off_after),
-            false => (value > pace.on_above, pace.on_after),
+        let (crosses, needed) = match self.on {
+            true => (value < config.off_below, config.off_after),
+            false => (value > config.on_above, config.on_after),
         };
-        self.agreeing = if disagrees { self.agreeing + 1 } else { 0 };
-        if self.agreeing < needed.max(1) {
+        self.consecutive = if crosses { self.consecutive + 1 } else { 0 };
+        if self.consecutive < needed.max(1) {
             return false;
         }
         self.on = !self.on;
-        self.restart(now);
+        self.note_change(now);
         true
     }
 
@@ -64,18 +70,18 @@
         self.on
     }
 
-    /// Records a change at `now`: counting starts again, with reports measured [`Pace::settle`]
-    /// later.
-    pub fn restart(&mut self, now: Millis) {
-        self.agreeing = 0;
+    /// Records a change at `now`: counting starts again, with reports measured
+    /// [`HysteresisConfig::settle_time`] later.
+    pub fn note_change(&mut self, now: Millis) {
+        self.consecutive = 0;
         self.changed_at = Some(now);
     }
 
-    fn is_news(&self, pace: &Pace, measured_at: Millis) -> bool {
+    fn is_fresh(&self, config: &HysteresisConfig, measured_at: Millis) -> bool {
         let newer = self.last_measured.is_none_or(|last| measured_at > last);
         let settled = self
             .changed_at
-            .is_none_or(|at| measured_at >= at + pace.settle);
+            .is_none_or(|at| measured_at >= at + config.settle_time);
         newer && settled
     }
 }
--- a/src/lapisdrum/policy/interference.rs
+++ b/src/lapisdrum/policy/interference.rs
@@ -8,9 +8,9 @@
 //! A report gives the slowdown of one kind and the neighbours that ran beside it. The slowdown is
 //! modelled as the sum of what each neighbour adds; the residual between measurement and estimate
 //! is divided among the neighbours, with a larger part for the less certain estimates. Certainty
-//! grows with each report and halves in [`FORGET`] without one, since interference changes with
-//! load. An uncertain estimate is drawn towards [`PRIOR`], so that no pair is avoided or trusted
-//! because of one report.
+//! grows with each report and halves in [`CERTAINTY_HALF_LIFE`] without one, since interference
+//! changes with load. An uncertain estimate is drawn towards [`PRIOR_SLOWDOWN`], so that no pair is
+//! avoided or trusted because of one report.
 
 use crate::core::{id::EntryName, time::Millis};
 use indexmap::{IndexMap, IndexSet};
@@ -18,19 +18,19 @@
 
 /// Slowdown that one unknown neighbour is assumed to add. Small, so that new work can be placed
 /// anywhere; above zero, so that a neighbour known to be quiet is preferred.
-pub const PRIOR: f64 = 0.05;
+pub const PRIOR_SLOWDOWN: f64 = 0.05;
 /// Half-life of the number of reports behind an estimate, and so of its certainty.
-pub const FORGET: Duration = Duration::from_secs(30 * 60);
-/// Weight of [`PRIOR`], in reports.
-const PRIOR_REPORTS: f64 = 2.0;
+pub const CERTAINTY_HALF_LIFE: Duration = Duration::from_secs(30 * 60);
+/// Weight of [`PRIOR_SLOWDOWN`], in reports.
+const PRIOR_WEIGHT: f64 = 2.0;
 /// Largest weight of a pair's earlier reports, in reports, so that estimates follow a change of
 /// load.
-const MOST_REPORTS: f64 = 20.0;
+const MAX_REPORTS: f64 = 20.0;
 /// Limit on the slowdown of one report, relative to 1 for running alone; higher ones are reduced to
 /// it.
-const MOST_SLOWDOWN: f64 = 20.0;
+const MAX_SLOWDOWN: f64 = 20.0;
 /// Most changes stored in the [`History`] of a host.
-const HISTORY: usize = 64;
+const MAX_CHANGES: usize = 64;
 
 scalar! {
     /// A kind of work: the index that [`Interference::kind`] assigned to a catalogue entry.
@@ -63,7 +63,7 @@
 struct Pair {
     added: f64,
     reports: f64,
-    heard_at: Millis,
+    updated_at: Millis,
 }
 
 /// Estimated slowdowns between kinds of work.
@@ -86,14 +86,14 @@
     /// Updates the estimates from a report.
     pub fn note(&mut self, report: &Report<'_>) {
         let at = report.measured_at;
-        let slowdown = (f64::from(report.slowdown_permille) / 1e3).clamp(1.0, MOST_SLOWDOWN);
+        let slowdown = (f64::from(report.slowdown_permille) / 1e3).clamp(1.0, MAX_SLOWDOWN);
         let expected: f64 = report
             .beside
             .iter()
             .map(|n| f64::from(n.count) * self.added(report.kind, n.kind, at))
             .sum();
-        let unexplained = slowdown - 1.0 - expected;
-        let doubts: Vec<f64> = report
+        let residual = slowdown - 1.0 - expected;
+        let uncertainties: Vec<f64> = report
             .beside
             .iter()
             .map(|n| f64::from(n.count) * self.doubt(report.kind, n.kind, at))
@@ -101,14 +101,19 @@
         let total: f64 = report
             .beside
             .iter()
-            .zip(&doubts)
-            .map(|(n, doubt)| f64::from(n.count) * doubt)
+            .zip(&uncertainties)
+            .map(|(n, uncertainty)| f64::from(n.count) * uncertainty)
             .sum();
         if total <= 0.0 {
             return;
         }
-        for (neighbour, doubt) in report.beside.iter().zip(doubts) {
-            self.correct(report.kind, neighbour.kind, unexplained * doubt / total, at);
+        for (neighbour, uncertainty) in report.beside.iter().zip(uncertainties) {
+            self.correct(
+                report.kind,
+                neighbour.kind,
+                residual * uncertainty / total,
+                at,
+            );
         }
     }
 
@@ -116,11 +121,11 @@
     /// time.
     pub fn added(&self, kind: Kind, neighbour: Kind, now: Millis) -> f64 {
         let Some(pair) = self.pairs.get(&(kind, neighbour)) else {
-            return PRIOR;
+            return PRIOR_SLOWDOWN;
         };
         let reports = pair.reports_at(now);
-        let trust = reports / (reports + PRIOR_REPORTS);
-        PRIOR + (pair.added - PRIOR) * trust
+        let weight = reports / (reports + PRIOR_WEIGHT);
+        PRIOR_SLOWDOWN + (pair.added - PRIOR_SLOWDOWN) * weight
     }
 
     /// Uncertainty of the estimate that [`Self::added`] returns: 1 without reports, towards 0 with
@@ -130,29 +135,29 @@
             .pairs
             .get(&(kind, neighbour))
             .map_or(0.0, |pair| pair.reports_at(now));
-        PRIOR_REPORTS / (PRIOR_REPORTS + reports)
+        PRIOR_WEIGHT / (PRIOR_WEIGHT + reports)
     }
 
-    fn correct(&mut self, kind: Kind, neighbour: Kind, by: f64, at: Millis) {
+    fn correct(&mut self, kind: Kind, neighbour: Kind, correction: f64, at: Millis) {
         let present = self.added(kind, neighbour, at);
         let pair = self.pairs.entry((kind, neighbour)).or_insert(Pair {
-            added: PRIOR,
+            added: PRIOR_SLOWDOWN,
             reports: 0.0,
-            heard_at: at,
+            updated_at: at,
         });
         let reports = pair.reports_at(at);
         // Weighted mean of the earlier reports and this one.
-        let seen = (present + by).max(0.0);
-        pair.added = (pair.added * reports + seen) / (reports + 1.0);
-        pair.reports = (reports + 1.0).min(MOST_REPORTS);
-        pair.heard_at = pair.heard_at.max(at);
+        let observed = (present + correction).max(0.0);
+        pair.added = (pair.added * reports + observed) / (reports + 1.0);
+        pair.reports = (reports + 1.0).min(MAX_REPORTS);
+        pair.updated_at = pair.updated_at.max(at);
     }
 }
 
 impl Pair {
     fn reports_at(&self, now: Millis) -> f64 {
-        let age = now.since(self.heard_at).as_secs_f64();
-        self.reports * (-age / FORGET.as_secs_f64()).exp2()
+        let age = now.since(self.updated_at).as_secs_f64();
+        self.reports * (-age / CERTAINTY_HALF_LIFE.as_secs_f64()).exp2()
     }
 }
 
@@ -205,7 +210,7 @@
         {
             return;
         }
-        if self.changes.len() == HISTORY {
+        if self.changes.len() == MAX_CHANGES {
             self.changes.pop_front();
         }
         self.changes.push_back((now, neighbours));
--- a/src/lapisdrum/policy/polling.rs
+++ b/src/lapisdrum/policy/polling.rs
@@ -11,14 +11,14 @@
 use std::time::Duration;
 
 /// Lowest rate, relative to the usual one; a lapsed lease is still detected within seconds.
-const SLOWEST: f64 = 0.25;
+const MIN_RATE: f64 = 0.25;
 /// Rate increase per answer, relative to the usual rate. As each refusal halves the rate, fewer
 /// than one call in ten is refused, and a process whose calls were refused for a while is back at
 /// its usual rate within ten seconds.
-const ANSWER_ADDS: f64 = 0.025;
+const RATE_INCREASE: f64 = 0.025;
 /// Least delay before an urgent read is retried. Up to the same time is added at random, so that
 /// retries of many processes do not coincide.
-const URGENT_RETRY: Duration = Duration::from_millis(100);
+const URGENT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// Rate of a process's deferrable reads, relative to the usual rate (1).
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -33,12 +33,12 @@
 impl Pace {
     /// Raises the rate after the store answered a call.
     pub fn answered(&mut self) {
-        self.0 = (self.0 + ANSWER_ADDS).min(1.0);
+        self.0 = (self.0 + RATE_INCREASE).min(1.0);
     }
 
     /// Halves the rate after the store refused a call because of too many calls.
     pub fn refused(&mut self) {
-        self.0 = (self.0 / 2.0).max(SLOWEST);
+        self.0 = (self.0 / 2.0).max(MIN_RATE);
     }
 
     /// Whether the rate is below the usual one.
@@ -55,7 +55,7 @@
 /// Pause after an urgent read: the `usual` one, or a short random one when the read was refused.
 pub fn urgent_pause(usual: Duration, was_refused: bool, rng: &mut impl Rng) -> Duration {
     match was_refused {
-        true => rng.random_range(URGENT_RETRY..URGENT_RETRY * 2),
+        true => rng.random_range(URGENT_RETRY_DELAY..URGENT_RETRY_DELAY * 2),
         false => usual,
     }
 }
--- a/src/lapisdrum/policy/retry.rs
+++ b/src/lapisdrum/policy/retry.rs
@@ -5,15 +5,16 @@
 //! started with a short fault continues after the fault has ended.
 //!
 //! A request is sent again only if the first send certainly did not run or the entry is idempotent,
-//! and only within a budget: each success earns [`EARNED`] of a retry, each retry spends one, and
-//! at most [`MOST_SAVED`] are saved. In the long run retries add at most a tenth to the successful
-//! sends; where no send succeeds, retries stop after the saved ones. A tenth covers the share of
-//! requests that reach a worker that has just died (one in 50 to 65 at the present sizes).
+//! and only within a budget: each success earns [`RETRIES_PER_SUCCESS`] of a retry, each retry
+//! spends one, and at most [`MAX_SAVED_RETRIES`] are saved. In the long run retries add at most a
+//! tenth to the successful sends; where no send succeeds, retries stop after the saved ones. A
+//! tenth covers the share of requests that reach a worker that has just died (one in 50 to 65 at
+//! the present sizes).
 
 /// Retries earned per successful send.
-pub const EARNED: f64 = 0.1;
+pub const RETRIES_PER_SUCCESS: f64 = 0.1;
 /// Largest number of saved retries; a new budget starts with it.
-pub const MOST_SAVED: f64 = 10.0;
+pub const MAX_SAVED_RETRIES: f64 = 10.0;
 
 /// Outcome of a send that got no answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -25,7 +26,7 @@
 }
 
 /// Whether a second send cannot cause a second run of a request that must run at most once.
-pub fn is_safe(failure: Failure, idempotent: bool) -> bool {
+pub fn is_retry_safe(failure: Failure, idempotent: bool) -> bool {
     match failure {
         Failure::NotRun => true,
         Failure::Unknown => idempotent,
@@ -40,21 +41,23 @@
 
 impl Default for RetryBudget {
     fn default() -> Self {
-        Self { saved: MOST_SAVED }
+        Self {
+            saved: MAX_SAVED_RETRIES,
+        }
     }
 }
 
 impl RetryBudget {
     /// Earns a part of a retry after a worker answered.
     pub fn note_success(&mut self) {
-        self.saved = (self.saved + EARNED).min(MOST_SAVED);
+        self.saved = (self.saved + RETRIES_PER_SUCCESS).min(MAX_SAVED_RETRIES);
     }
 
     /// Spends one retry after `failure` if a retry is safe and within the budget; returns whether
     /// to send again.
     #[must_use]
     pub fn try_retry(&mut self, failure: Failure, idempotent: bool) -> bool {
-        if !is_safe(failure, idempotent) || self.saved < 1.0 {
+        if !is_retry_safe(failure, idempotent) || self.saved < 1.0 {
             return false;
         }
         self.saved -= 1.0;
--- a/tests/testsuite/policy/admission.rs
+++ b/tests/testsuite/policy/admission.rs
@@ -144,7 +144,7 @@
         };
         assert_matches!(admission.let_in(&claim, Millis(0)), Ok(()));
     }
-    assert_eq!(admission.known(), 100);
+    assert_eq!(admission.tracked_entries(), 100);
     admission.forget_idle(Millis(1_000));
-    assert_eq!(admission.known(), 0);
+    assert_eq!(admission.tracked_entries(), 0);
 }
--- a/tests/testsuite/policy/drain.rs
+++ b/tests/testsuite/policy/drain.rs
@@ -3,7 +3,7 @@
 use super::seeded;
 use lapisdrum::{
     core::time::Millis,
-    policy::drain::{DrainRate, LONGEST_RETURN, Returns, SHORTEST_RETURN},
+    policy::drain::{DrainRate, MAX_RETRY_AFTER, MIN_RETRY_AFTER, Returns},
 };
 use proptest::prelude::*;
 use std::time::Duration;
@@ -75,8 +75,8 @@
         for i in 0..refusals {
             let now = Millis(i as u64);
             let back = returns.book(Duration::from_millis(wait_ms), rate, now, &mut rng);
-            prop_assert!(back >= SHORTEST_RETURN);
-            prop_assert!(back <= LONGEST_RETURN + LONGEST_RETURN / 4);
+            prop_assert!(back >= MIN_RETRY_AFTER);
+            prop_assert!(back <= MAX_RETRY_AFTER + MAX_RETRY_AFTER / 4);
         }
     }
 }
--- a/tests/testsuite/policy/eviction.rs
+++ b/tests/testsuite/policy/eviction.rs
@@ -4,7 +4,8 @@
 use lapisdrum::{
     core::{catalogue::Class, id::JobId, time::Millis},
     policy::eviction::{
-        Distress, EvictionMemory, KEPT_AWAY, SETTLE, SPARED, Step, Tenant, to_evict,
+        Distress, EVICTION_COOLDOWN, EvictionMemory, SAME_WORKER_COOLDOWN, SETTLE_TIME, Step,
+        Tenant, select_for_eviction,
     },
 };
 use proptest::prelude::*;
@@ -54,7 +55,7 @@
     assert_eq!(order[2].1, Step::Evict(noisy.clone()));
     for pair in order.windows(2) {
         assert!(
-            pair[1].0.since(pair[0].0) > SETTLE,
+            pair[1].0.since(pair[0].0) > SETTLE_TIME,
             "a step had time to show"
         );
     }
@@ -129,7 +130,7 @@
             ..tenant(&c)
         },
     ];
-    let chosen = to_evict(&tenants, &EvictionMemory::default(), Millis(0));
+    let chosen = select_for_eviction(&tenants, &EvictionMemory::default(), Millis(0));
     assert_eq!(chosen.map(|t| t.job), Some(&c));
 }
 
@@ -141,7 +142,7 @@
         class: Class::LongRunning,
         ..tenant(&stream)
     }];
-    assert!(to_evict(&tenants, &EvictionMemory::default(), Millis(0)).is_none());
+    assert!(select_for_eviction(&tenants, &EvictionMemory::default(), Millis(0)).is_none());
 }
 
 /// An evicted render isn't put back where it came from, and its next host doesn't evict it at once.
@@ -153,9 +154,11 @@
     let soon = Millis(60_000);
     assert!(!memory.may_place(&render, &home, soon));
     assert!(memory.may_place(&render, &worker(1), soon));
-    assert!(to_evict(&[tenant(&render)], &memory, soon).is_none());
-    assert!(to_evict(&[tenant(&render)], &memory, Millis(0) + SPARED).is_some());
-    assert!(memory.may_place(&render, &home, Millis(0) + KEPT_AWAY));
+    assert!(select_for_eviction(&[tenant(&render)], &memory, soon).is_none());
+    assert!(
+        select_for_eviction(&[tenant(&render)], &memory, Millis(0) + EVICTION_COOLDOWN).is_some()
+    );
+    assert!(memory.may_place(&render, &home, Millis(0) + SAME_WORKER_COOLDOWN));
 }
 
 proptest! {
@@ -183,7 +186,7 @@
                 continue;
             }
             if let Some(last) = last_step {
-                prop_assert!(now.since(last) >= SETTLE);
+                prop_assert!(now.since(last) >= SETTLE_TIME);
             }
             last_step = Some(now);
             for step in steps {
@@ -194,7 +197,9 @@
                     }
                     Step::Evict(job) => {
                         let recent =
-                            evicted.iter().any(|(j, at)| *j == job && now.since(*at) < SPARED);
+                            evicted.iter().any(|(j, at)| {
+                                *j == job && now.since(*at) < EVICTION_COOLDOWN
+                            });
                         prop_assert!(!recent);
                         memory.note(&job, &worker(0), now);
                         evicted.push((job, now));
--- a/tests/testsuite/policy/headroom.rs
+++ b/tests/testsuite/policy/headroom.rs
@@ -3,7 +3,7 @@
 use super::entry;
 use lapisdrum::{
     core::time::Millis,
-    policy::headroom::{HALF_LIFE, Headroom},
+    policy::headroom::{FALLING_HALF_LIFE, Headroom},
 };
 use proptest::prelude::*;
 use std::time::Duration;
@@ -16,7 +16,7 @@
 #[test]
 fn long_runs_leave_what_short_ones_are_about_to_need() {
     let (short, long) = (entry("short"), entry("long"));
-    let now = Millis(0) + HALF_LIFE * 10;
+    let now = Millis(0) + FALLING_HALF_LIFE * 10;
     let may_start = |running| {
         let mut headroom = Headroom::default();
         headroom.note(&short, 30, 0, SHORT, 100, Millis(0));
@@ -53,7 +53,7 @@
     let (short, long) = (entry("short"), entry("long"));
     headroom.note(&short, 30, 0, SHORT, 100, Millis(0));
     headroom.note(&short, 0, 0, SHORT, 100, Millis(60_000));
-    let later = Millis(60_000) + HALF_LIFE * 12;
+    let later = Millis(60_000) + FALLING_HALF_LIFE * 12;
     headroom.note(&long, 63, 10, LONG, 100, later);
     assert!(headroom.may_start(&long, 64, later));
     headroom.note(&long, 64, 10, LONG, 100, later);
--- a/tests/testsuite/policy/health.rs
+++ b/tests/testsuite/policy/health.rs
@@ -3,7 +3,7 @@
 use super::{entry, job, seeded, worker};
 use lapisdrum::{
     core::time::Millis,
-    policy::health::{DISTINCT, Health, MOST_ASIDE, Standing, Verdict},
+    policy::health::{Health, MIN_DISTINCT_FAILURES, MIN_WORKERS_PER_EJECTION, Standing, Verdict},
 };
 use proptest::prelude::*;
 use rand::Rng;
@@ -34,16 +34,16 @@
     let mut health = Health::default();
     let broken = entry("broken");
     for i in 0..50 {
-        for w in 0..DISTINCT {
+        for w in 0..MIN_DISTINCT_FAILURES {
             let verdict = health.failed(&worker(w), &job(i), &broken, POOL, Millis(0));
-            let expected = match w + 1 == DISTINCT {
+            let expected = match w + 1 == MIN_DISTINCT_FAILURES {
                 true => Verdict::JobAtFault,
                 false => Verdict::Open,
             };
             assert_eq!(verdict, expected, "job {i} on worker {w}");
         }
     }
-    assert_eq!(health.aside(Millis(0)), 0);
+    assert_eq!(health.ejected_count(Millis(0)), 0);
 }
 
 /// A broken release: a hundred jobs of one entry are tried, none succeeds. The first worker may be
@@ -55,7 +55,7 @@
     for i in 0..100 {
         health.failed(&worker(i % POOL), &job(i), &broken, POOL, Millis(i as u64));
     }
-    assert_eq!(health.aside(Millis(100)), 0);
+    assert_eq!(health.ejected_count(Millis(100)), 0);
 }
 
 /// The worker comes back with one task at a time: a failure sends it away for longer, a success
@@ -96,7 +96,7 @@
             assert_ne!(verdict, Verdict::JobAtFault, "job {i} on worker {w}");
         }
     }
-    assert_eq!(health.aside(Millis(0)), 3);
+    assert_eq!(health.ejected_count(Millis(0)), 3);
 }
 
 proptest! {
@@ -109,7 +109,7 @@
             let now = Millis(step * 100);
             let (w, j) = (rng.random_range(0..pool), rng.random_range(0..200));
             health.failed(&worker(w), &job(j), &entry("e"), pool, now);
-            prop_assert!(health.aside(now) * MOST_ASIDE <= pool);
+            prop_assert!(health.ejected_count(now) * MIN_WORKERS_PER_EJECTION <= pool);
         }
     }
 }
--- a/tests/testsuite/policy/hysteresis.rs
+++ b/tests/testsuite/policy/hysteresis.rs
@@ -2,17 +2,17 @@
 
 use lapisdrum::{
     core::time::Millis,
-    policy::hysteresis::{Pace, Switch},
+    policy::hysteresis::{HysteresisConfig, Switch},
 };
 use proptest::prelude::*;
 use std::time::Duration;
 
-const PACE: Pace = Pace {
+const CONFIG: HysteresisConfig = HysteresisConfig {
     on_above: 1.5,
     off_below: 1.2,
     on_after: 2,
     off_after: 3,
-    settle: Duration::from_secs(10),
+    settle_time: Duration::from_secs(10),
 };
 
 /// A change takes ten seconds to show. The reports until then still show the time before it; acted
@@ -20,15 +20,15 @@
 #[test]
 fn reports_from_before_the_last_change_are_passed_over() {
     let mut switch = Switch::default();
-    assert!(!switch.report(&PACE, 3.0, Millis(1_000), Millis(6_000)));
-    assert!(switch.report(&PACE, 3.0, Millis(2_000), Millis(7_000)));
+    assert!(!switch.report(&CONFIG, 3.0, Millis(1_000), Millis(6_000)));
+    assert!(switch.report(&CONFIG, 3.0, Millis(2_000), Millis(7_000)));
     for t in 3..17 {
-        assert!(!switch.report(&PACE, 1.0, Millis(t * 1_000), Millis((t + 5) * 1_000)));
+        assert!(!switch.report(&CONFIG, 1.0, Millis(t * 1_000), Millis((t + 5) * 1_000)));
     }
     assert!(switch.is_on());
-    assert!(!switch.report(&PACE, 1.0, Millis(17_000), Millis(22_000)));
-    assert!(!switch.report(&PACE, 1.0, Millis(18_000), Millis(23_000)));
-    assert!(switch.report(&PACE, 1.0, Millis(19_000), Millis(24_000)));
+    assert!(!switch.report(&CONFIG, 1.0, Millis(17_000), Millis(22_000)));
+    assert!(!switch.report(&CONFIG, 1.0, Millis(18_000), Millis(23_000)));
+    assert!(switch.report(&CONFIG, 1.0, Millis(19_000), Millis(24_000)));
 }
 
 /// The same report read twice is one report.
@@ -36,7 +36,7 @@
 fn a_repeated_report_counts_once() {
     let mut switch = Switch::default();
     for _ in 0..10 {
-        assert!(!switch.report(&PACE, 9.0, Millis(1_000), Millis(5_000)));
+        assert!(!switch.report(&CONFIG, 9.0, Millis(1_000), Millis(5_000)));
     }
 }
 
@@ -49,9 +49,9 @@
         for (i, (value, lag)) in reports.into_iter().enumerate() {
             let now = Millis(10_000 + i as u64 * 500);
             let measured = now.before(Duration::from_millis(lag));
-            if switch.report(&PACE, value, measured, now) {
+            if switch.report(&CONFIG, value, measured, now) {
                 if let Some(last) = turned {
-                    prop_assert!(now.since(last) >= PACE.settle);
+                    prop_assert!(now.since(last) >= CONFIG.settle_time);
                 }
                 turned = Some(now);
             }
--- a/tests/testsuite/policy/interference.rs
+++ b/tests/testsuite/policy/interference.rs
@@ -3,7 +3,9 @@
 use super::{entry, seeded};
 use lapisdrum::{
     core::time::Millis,
-    policy::interference::{FORGET, History, Interference, Kind, Neighbour, PRIOR, Report},
+    policy::interference::{
+        CERTAINTY_HALF_LIFE, History, Interference, Kind, Neighbour, PRIOR_SLOWDOWN, Report,
+    },
 };
 use rand::Rng;
 use std::time::Duration;
@@ -48,7 +50,7 @@
     let mut known = Interference::default();
     let (service, batch) = (known.kind(&entry("map")), known.kind(&entry("batch")));
     assert_eq!(known.doubt(service, batch, Millis(0)), 1.0);
-    assert_eq!(known.added(service, batch, Millis(0)), PRIOR);
+    assert_eq!(known.added(service, batch, Millis(0)), PRIOR_SLOWDOWN);
     let report = |at| Report {
         kind: service,
         beside: &[Neighbour {
@@ -66,7 +68,7 @@
     }
     let often = known.added(service, batch, Millis(20_000));
     assert!((1.5..2.1).contains(&often), "{often}");
-    let later = Millis(20_000) + FORGET * 10;
+    let later = Millis(20_000) + CERTAINTY_HALF_LIFE * 10;
     assert!(known.added(service, batch, later) < 0.2);
     assert!(known.doubt(service, batch, later) > 0.9);
 }
--- a/tests/testsuite/policy/retry.rs
+++ b/tests/testsuite/policy/retry.rs
@@ -1,15 +1,17 @@
 //! Retries are safe and bounded.
 
-use lapisdrum::policy::retry::{EARNED, Failure, MOST_SAVED, RetryBudget, is_safe};
+use lapisdrum::policy::retry::{
+    Failure, MAX_SAVED_RETRIES, RETRIES_PER_SUCCESS, RetryBudget, is_retry_safe,
+};
 use proptest::prelude::*;
 
 /// A certificate check may have run: sent again, the caller could get two certificate numbers.
 #[test]
 fn only_what_did_not_run_or_is_idempotent_is_sent_again() {
-    assert!(is_safe(Failure::NotRun, false));
-    assert!(is_safe(Failure::NotRun, true));
-    assert!(is_safe(Failure::Unknown, true));
-    assert!(!is_safe(Failure::Unknown, false));
+    assert!(is_retry_safe(Failure::NotRun, false));
+    assert!(is_retry_safe(Failure::NotRun, true));
+    assert!(is_retry_safe(Failure::Unknown, true));
+    assert!(!is_retry_safe(Failure::Unknown, false));
     assert!(!RetryBudget::default().try_retry(Failure::Unknown, false));
 }
 
@@ -27,7 +29,10 @@
             } else if budget.try_retry(Failure::NotRun, false) {
                 retries += 1;
             }
-            prop_assert!(f64::from(retries) <= MOST_SAVED + EARNED * f64::from(successes) + 1e-6);
+            prop_assert!(
+                f64::from(retries)
+                    <= MAX_SAVED_RETRIES + RETRIES_PER_SUCCESS * f64::from(successes) + 1e-6
+            );
         }
     }
 }
