--- a/src/lapisdrum/policy/health.rs
+++ b/src/lapisdrum/policy/health.rs
@@ -1,16 +1,17 @@
-//! Workers that fail every task, and jobs that fail on every worker: telling the two apart.
+//! Distinguishes workers that fail every task from jobs that fail on every worker.
 //!
-//! Load patterns: a worker that fails whatever it starts, so that it is always free and draws every
-//! waiting task; a job that can never run and is tried on one worker after another. Without it the
-//! first fails most of the shard's jobs; and a remedy that counts failures by worker alone lets the
-//! second set every worker aside, one by one.
+//! Load patterns: a worker that fails every task that it starts, so that it is always free and
+//! receives every waiting task; a job that can never run and is tried on one worker after another.
+//! Without this module the first fails most of the shard's jobs; and if failures were counted by
+//! worker alone, the second would eject every worker, one by one.
 //!
-//! A worker is set aside when distinct jobs fail on it in a row ([`DISTINCT`]). A job is at fault when
-//! it has failed on distinct workers ([`DISTINCT`]) of which none is suspect without it; its failures
-//! then count against nobody. Nor do those of an entry whose jobs fail on as many workers without a
-//! success anywhere: a broken release fails wherever it is started. A worker set aside comes back with
-//! one task at a time; a success clears it, a failure doubles its time aside. At most a third of the
-//! shard's workers are aside at once.
+//! A worker is ejected when distinct jobs fail on it without a success in between
+//! ([`MIN_DISTINCT_FAILURES`]). A job is at fault when it has failed on distinct workers
+//! ([`MIN_DISTINCT_FAILURES`]) that would not be suspect without it; its failures then count
+//! against no worker. Nor do those of an entry whose jobs fail on as many workers without a success
+//! anywhere: a broken release fails wherever it is started. When its ejection ends, a worker gets
+//! one task at a time; a success clears its record, a failure ejects it for twice as long. At most
+//! a third of the shard's workers are ejected at once.
 
 use crate::core::{
     id::{EntryName, JobId, WorkerId},
@@ -19,46 +20,49 @@
 use indexmap::{IndexMap, IndexSet};
 use std::time::Duration;
 
-/// Distinct jobs that set a worker aside, and distinct workers that put a job at fault. Three in a
-/// row by chance are rare: at one failure in ten, once in a thousand.
-pub const DISTINCT: usize = 3;
-/// One part in so many of the workers may be aside.
-pub const MOST_ASIDE: usize = 3;
-/// First time aside.
-pub const FIRST_ASIDE: Duration = Duration::from_secs(30);
-/// Longest time aside.
-pub const LONGEST_ASIDE: Duration = Duration::from_secs(15 * 60);
-/// Time after which a job's failures are forgotten.
-const FORGET: Duration = Duration::from_secs(60 * 60);
-
-/// Whether a worker may be given tasks.
+/// Distinct failed jobs after which a worker is ejected, and distinct workers after which a job is
+/// at fault. Three by chance are rare: at one failure in ten, once in a thousand.
+pub const MIN_DISTINCT_FAILURES: usize = 3;
+/// At most one worker in this many may be ejected at once.
+pub const MIN_WORKERS_PER_EJECTION: usize = 3;
+/// Duration of the first ejection since a worker's last success; each further one takes twice as
+/// long.
+pub const BASE_EJECTION_TIME: Duration = Duration::from_secs(30);
+/// Longest duration of an ejection.
+pub const MAX_EJECTION_TIME: Duration = Duration::from_secs(15 * 60);
+/// Time since a job's last failure after which its failures are discarded.
+const FAILURE_RETENTION: Duration = Duration::from_secs(60 * 60);
+
+/// How many tasks a worker may get.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Standing {
-    /// Any.
+    /// Any number.
     Good,
-    /// One at a time, until one succeeds.
+    /// One at a time, until one succeeds: the worker's ejection has ended.
     Trial,
-    /// None.
+    /// None: the worker is ejected.
     Aside,
 }
 
-/// What a failure changed.
+/// Result of recording a failure.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// Nothing yet.
+    /// The failure ejects no worker and does not show the job to be at fault.
     Open,
-    /// The worker is set aside.
+    /// The worker is ejected by this failure.
     WorkerAside,
-    /// The job itself is at fault; another worker won't help.
+    /// The job itself is at fault and would fail on other workers too.
     JobAtFault,
 }
 
 #[derive(Debug, Default)]
 struct WorkerRecord {
-    /// Jobs that failed since the last success, with their entries.
+    /// Jobs that failed since the last success or ejection, with their entries.
     failed: IndexMap<JobId, EntryName>,
-    aside: u32,
-    back_at: Option<Millis>,
+    /// Ejections since the last success.
+    ejections: u32,
+    /// End of the last ejection.
+    ejected_until: Option<Millis>,
 }
 
 #[derive(Debug, Default)]
@@ -67,24 +71,25 @@
     last: Millis,
 }
 
-/// What is known of failures of tasks.
+/// Failures of tasks, by worker, job and entry.
 #[derive(Debug, Default)]
 pub struct Health {
     workers: IndexMap<WorkerId, WorkerRecord>,
     jobs: IndexMap<JobId, JobRecord>,
-    /// Workers on which an entry's jobs failed since the last success of any of them.
+    /// Workers on which jobs of an entry failed since the last success of one of its jobs.
     entries: IndexMap<EntryName, IndexSet<WorkerId>>,
 }
 
 impl Health {
-    /// Notes that a task finished or saved progress on a worker.
+    /// Clears the failures of the worker, the job and the entry after a task finished or saved
+    /// progress.
     pub fn succeeded(&mut self, worker: &WorkerId, job: &JobId, entry: &EntryName) {
         self.entries.swap_remove(entry);
         self.workers.swap_remove(worker);
         self.jobs.swap_remove(job);
     }
 
-    /// Notes that a task failed on a worker, one of `pool`.
+    /// Records that a task failed on a worker. `pool` is the number of workers.
     pub fn failed(
         &mut self,
         worker: &WorkerId,
@@ -93,52 +98,59 @@
         pool: usize,
         now: Millis,
     ) -> Verdict {
-        self.note(worker, job, entry, now);
+        self.record_failure(worker, job, entry, now);
         if self.is_job_at_fault(job) {
-            self.clear(job);
+            self.clear_job(job);
             return Verdict::JobAtFault;
         }
         let record = &self.workers[worker];
-        let on_trial = record.back_at.is_some_and(|back| now >= back);
-        let enough = self.blameless_jobs(record) >= DISTINCT || on_trial;
-        let already = record.back_at.is_some_and(|back| now < back);
-        if !enough || already || (self.aside(now) + 1) * MOST_ASIDE > pool {
+        let on_trial = record.ejected_until.is_some_and(|until| now >= until);
+        let enough = self.attributable_jobs(record) >= MIN_DISTINCT_FAILURES || on_trial;
+        let is_ejected = record.ejected_until.is_some_and(|until| now < until);
+        if !enough || is_ejected || (self.ejected_count(now) + 1) * MIN_WORKERS_PER_EJECTION > pool
+        {
             return Verdict::Open;
         }
-        self.set_aside(worker, now);
+        self.eject(worker, now);
         Verdict::WorkerAside
     }
 
-    /// Whether a worker may be given tasks.
+    /// How many tasks a worker may get at `now`.
     pub fn standing(&self, worker: &WorkerId, now: Millis) -> Standing {
-        match self.workers.get(worker).and_then(|record| record.back_at) {
+        match self
+            .workers
+            .get(worker)
+            .and_then(|record| record.ejected_until)
+        {
             None => Standing::Good,
-            Some(back) if now < back => Standing::Aside,
+            Some(until) if now < until => Standing::Aside,
             Some(_) => Standing::Trial,
         }
     }
 
-    /// Workers that are set aside.
-    pub fn aside(&self, now: Millis) -> usize {
-        let aside = |record: &&WorkerRecord| record.back_at.is_some_and(|back| now < back);
-        self.workers.values().filter(aside).count()
+    /// Number of ejected workers.
+    pub fn ejected_count(&self, now: Millis) -> usize {
+        let ejected =
+            |record: &&WorkerRecord| record.ejected_until.is_some_and(|until| now < until);
+        self.workers.values().filter(ejected).count()
     }
 
-    /// Whether a job has failed on a worker already: another is to be preferred.
+    /// Whether a job has failed on a worker, so that another should be preferred.
     pub fn has_failed_on(&self, job: &JobId, worker: &WorkerId) -> bool {
         self.jobs
             .get(job)
             .is_some_and(|record| record.workers.contains(worker))
     }
 
-    /// Forgets workers that are gone and failures that are old.
-    pub fn forget(&mut self, is_there: impl Fn(&WorkerId) -> bool, now: Millis) {
-        self.workers.retain(|worker, _| is_there(worker));
+    /// Removes workers for which `is_known` is false, and jobs whose last failure is too old to
+    /// count.
+    pub fn forget(&mut self, is_known: impl Fn(&WorkerId) -> bool, now: Millis) {
+        self.workers.retain(|worker, _| is_known(worker));
         self.jobs
-            .retain(|_, record| now.since(record.last) < FORGET);
+            .retain(|_, record| now.since(record.last) < FAILURE_RETENTION);
     }
 
-    fn note(&mut self, worker: &WorkerId, job: &JobId, entry: &EntryName, now: Millis) {
+    fn record_failure(&mut self, worker: &WorkerId, job: &JobId, entry: &EntryName, now: Millis) {
         let record = self.workers.entry(worker.clone()).or_default();
         record.failed.insert(job.clone(), entry.clone());
         let failed_on = self.entries.entry(entry.clone()).or_default();
@@ -148,49 +160,51 @@
         record.last = now;
     }
 
-    /// A job is at fault when it failed on enough workers that look sound without it.
+    /// Whether a job failed on enough workers that would be healthy without this job's failures.
     fn is_job_at_fault(&self, job: &JobId) -> bool {
         let Some(record) = self.jobs.get(job) else {
             return false;
         };
-        let sound = record
+        let healthy = record
             .workers
             .iter()
-            .filter(|worker| self.is_sound_without(worker, job));
-        sound.count() >= DISTINCT
+            .filter(|worker| self.is_healthy_without(worker, job));
+        healthy.count() >= MIN_DISTINCT_FAILURES
     }
 
-    /// Whether a worker was never set aside since its last success and few other jobs failed on it.
-    fn is_sound_without(&self, worker: &WorkerId, job: &JobId) -> bool {
+    /// Whether a worker was not ejected since its last success and fewer other jobs failed on it
+    /// than would eject it together with `job`.
+    fn is_healthy_without(&self, worker: &WorkerId, job: &JobId) -> bool {
         let Some(record) = self.workers.get(worker) else {
             return true;
         };
         let others = record.failed.keys().filter(|failed| *failed != job);
-        record.back_at.is_none() && others.count() + 1 < DISTINCT
+        record.ejected_until.is_none() && others.count() + 1 < MIN_DISTINCT_FAILURES
     }
 
-    /// A job at fault counts against no worker.
-    fn clear(&mut self, job: &JobId) {
+    /// Removes the failures of a job at fault from all workers.
+    fn clear_job(&mut self, job: &JobId) {
         for record in self.workers.values_mut() {
             record.failed.swap_remove(job);
         }
     }
 
-    /// Distinct jobs that failed on a worker, those of entries left out that fail everywhere.
-    fn blameless_jobs(&self, record: &WorkerRecord) -> usize {
+    /// Number of distinct jobs that failed on a worker, without those of entries that fail
+    /// everywhere.
+    fn attributable_jobs(&self, record: &WorkerRecord) -> usize {
         let fails_everywhere = |entry: &EntryName| {
             let failed_on = self.entries.get(entry);
-            failed_on.is_some_and(|workers| workers.len() >= DISTINCT)
+            failed_on.is_some_and(|workers| workers.len() >= MIN_DISTINCT_FAILURES)
         };
         let entries = record.failed.values();
         entries.filter(|entry| !fails_everywhere(entry)).count()
     }
 
-    fn set_aside(&mut self, worker: &WorkerId, now: Millis) {
+    fn eject(&mut self, worker: &WorkerId, now: Millis) {
         if let Some(record) = self.workers.get_mut(worker) {
-            let time = FIRST_ASIDE * 2_u32.saturating_pow(record.aside.min(8));
-            record.aside += 1;
-            record.back_at = Some(now + time.min(LONGEST_ASIDE));
+            let time = BASE_EJECTION_TIME * 2_u32.saturating_pow(record.ejections.min(8));
+            record.ejections += 1;
+            record.ejected_until = Some(now + time.min(MAX_EJECTION_TIME));
             record.failed.clear();
         }
     }
