--- a/src/lapisdrum/policy/outliers.rs
+++ b/src/lapisdrum/policy/outliers.rs
@@ -1,49 +1,49 @@
-//! Which workers are set aside because they are slow or fail, and how they come back.
+//! Outlier ejection: workers that are slow or fail get no requests for a time.
 //!
 //! Load patterns: one worker ten times slower than the rest; one that hangs; one that fails at once,
-//! so that it always has the least work outstanding and draws every request to itself. Without it
+//! so that it always has the fewest requests outstanding and attracts all new ones. Without ejection
 //! the last one alone can fail most of the traffic.
 //!
-//! A worker is judged against the median of its peers, never against a fixed time, so a slow entry
-//! or a general overload sets nobody aside. It is set aside for a time that doubles with each
-//! repetition and then comes back on a growing part of the draws ([`RAMP`]). At most a third of the
-//! pool is aside at once ([`MOST_ASIDE`]): where more than that seems slow, the cause is the load or
-//! the network and not the workers, and fewer of them would only be worse.
+//! A worker is compared with the median of its peers, never with a fixed time, so a slow entry or a
+//! general overload ejects no worker. The ejection time doubles with each repetition; afterwards the
+//! worker takes part in a growing share of the draws ([`RAMP`]). At most a third of the pool is ejected
+//! at once ([`MOST_ASIDE`]): if more than that seem slow, the cause is the load or the network, and
+//! fewer workers would only make it worse.
 
 use crate::core::{id::WorkerId, time::Millis};
 use indexmap::IndexMap;
 use rand::Rng;
 use std::time::Duration;
 
-/// One part in so many of the pool may be aside.
+/// At most the pool's size divided by this is ejected at once.
 pub const MOST_ASIDE: usize = 3;
-/// Slowness relative to the median of the pool from which a worker is an outlier.
+/// Ratio to the median slowness of its peers above which a worker is an outlier.
 pub const SLOW: f64 = 3.0;
-/// Slowness relative to its entries' usual times below which a worker is compared with nobody: the
-/// usual times are themselves averages over the pool.
+/// Slowness up to which a worker is not compared with its peers. Slowness is relative to the usual
+/// durations of entries, which are themselves averages over the pool.
 const SUSPECT: f64 = SLOW / 2.0;
-/// Part of failed sends from which a worker is an outlier.
+/// Failure rate, 0 to 1, above which a worker is an outlier unless its peers fail too.
 pub const FAILING: f64 = 0.5;
-/// Sends that must have ended before a worker is judged: enough that a few slow answers by chance
-/// set nobody aside.
+/// Samples that are needed before a worker can be ejected, so that a few answers that are slow by
+/// chance don't eject it.
 pub const LEAST_SEEN: u32 = 5;
-/// First time aside.
+/// Duration of a worker's first ejection.
 pub const FIRST_ASIDE: Duration = Duration::from_secs(5);
-/// Longest time aside.
+/// Longest duration of an ejection.
 pub const LONGEST_ASIDE: Duration = Duration::from_secs(120);
-/// Time over which a worker that comes back is drawn more and more often.
+/// Time after an ejection over which a worker's share of the draws rises to 1.
 pub const RAMP: Duration = Duration::from_secs(10);
-/// Part of the draws with which the return begins.
+/// Share of the draws directly after an ejection.
 const FIRST_PROBE: f64 = 0.05;
-/// Weight of the newest send in a worker's averages.
+/// Weight of the newest sample in a worker's moving averages.
 const NEWEST: f64 = 0.2;
 
-/// How a send to a worker ended, for judging the worker.
+/// Outcome of a request to a worker, as outlier detection counts it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Sample {
-    /// Answered, in this many times the time that its entry usually takes.
+    /// Answered; the duration in multiples of the entry's usual one.
     Answered(f64),
-    /// Failed, or not answered in time.
+    /// Not reached, answered with a server error, or not answered in time.
     Failed,
 }
 
@@ -68,14 +68,14 @@
     }
 }
 
-/// What is known of each worker's answers, and who is set aside.
+/// Moving averages of each worker's outcomes, and the ejected workers.
 #[derive(Debug, Default)]
 pub struct Outliers {
     records: IndexMap<WorkerId, Record>,
 }
 
 impl Outliers {
-    /// Takes how a send ended. Returns whether the worker is set aside by it, in a pool of `pool`.
+    /// Records an outcome, in a pool of `pool` workers. Returns whether the worker is ejected for it.
     pub fn note(&mut self, worker: &WorkerId, sample: Sample, pool: usize, now: Millis) -> bool {
         let record = self.records.entry(worker.clone()).or_default();
         record.note(sample);
@@ -93,27 +93,27 @@
         true
     }
 
-    /// Whether the worker may be drawn at `now`: never while aside, on part of the draws afterwards.
+    /// Whether the worker takes part in a draw at `now`, at random by its share of the draws.
     pub fn may_draw(&self, worker: &WorkerId, now: Millis, rng: &mut impl Rng) -> bool {
         let part = self.part(worker, now);
         part >= 1.0 || (part > 0.0 && rng.random_range(0.0..1.0) < part)
     }
 
-    /// Part of the draws in which a worker takes part, 0 to 1.
+    /// Share of the draws in which a worker takes part: 0 while ejected, then rising to 1.
     pub fn part(&self, worker: &WorkerId, now: Millis) -> f64 {
         self.records
             .get(worker)
             .map_or(1.0, |record| record.part(now))
     }
 
-    /// Whether a worker is set aside.
+    /// Whether a worker is ejected at `now`.
     pub fn is_aside(&self, worker: &WorkerId, now: Millis) -> bool {
         self.records
             .get(worker)
             .is_some_and(|record| record.is_aside(now))
     }
 
-    /// Workers that are set aside.
+    /// Number of workers that are ejected at `now`.
     pub fn aside(&self, now: Millis) -> usize {
         self.records
             .values()
@@ -121,21 +121,22 @@
             .count()
     }
 
-    /// How slow a worker is relative to its entries' usual times; 1 when nothing is known.
+    /// Moving average of a worker's durations, in multiples of its entries' usual ones; 1 without
+    /// samples.
     pub fn slowness(&self, worker: &WorkerId) -> f64 {
         self.records
             .get(worker)
             .map_or(1.0, |record| record.slowness)
     }
 
-    /// Part of a worker's late sends that failed.
+    /// Moving average of a worker's failures, 0 to 1.
     pub fn failing(&self, worker: &WorkerId) -> f64 {
         self.records
             .get(worker)
             .map_or(0.0, |record| record.failing)
     }
 
-    /// Forgets workers that are gone.
+    /// Removes the records of all workers but those for which `is_there` holds.
     pub fn retain(&mut self, is_there: impl Fn(&WorkerId) -> bool) {
         self.records.retain(|worker, _| is_there(worker));
     }
@@ -179,7 +180,7 @@
         self.seen = self.seen.saturating_add(1);
     }
 
-    /// Whether it is worth comparing with all the others.
+    /// Whether the worker is to be compared with its peers.
     fn is_suspect(&self) -> bool {
         self.slowness > SUSPECT || self.failing > FAILING
     }
--- a/src/lapisdrum/policy/placement.rs
+++ b/src/lapisdrum/policy/placement.rs
@@ -1,20 +1,19 @@
-//! Which worker a task goes to.
+//! Chooses the host for a task.
 //!
 //! Load patterns: small batch tasks beside a few large ones; noisy tasks beside services; racks that
-//! fail whole. Without best fit the small tasks are spread thin over all hosts and no host has room
-//! for a large one; without interference the noisy task is put beside the service; without the
-//! spread one switch takes all of an entry's tasks.
+//! fail as a whole. Without best fit, small tasks are spread over all hosts and none has free capacity
+//! for a large one; without interference estimates, the noisy task is placed beside the service;
+//! without spreading over racks, the failure of one switch takes all of an entry's tasks.
 //!
-//! Batch work waits rather than go where the services that run there would be slowed beyond
-//! [`MOST_SLOWDOWN`] by what is known: a batch task can wait for a place, and a service can't undo what
-//! it suffered before the first late report.
+//! A batch task waits rather than go to a host whose services it is estimated to slow beyond
+//! [`MOST_SLOWDOWN`]: the task can wait, and a service can't undo the delays that happen before the
+//! first report, which arrives late.
 //!
-//! A task goes only where its declared size fits. Of the hosts that fit, [`SAMPLE`] are drawn and
-//! the one with the least cost is taken: what the task suffers and does there by the learned
-//! interference ([`super::interference`]), weighed by class, plus what is left over, plus the tasks
-//! of the same entry in the same rack. A sample keeps the decision short however many workers there
-//! are: of 24 draws the best is within the best tenth of all hosts in 92 of 100 decisions
-//! (1 - 0.9^24).
+//! A task goes only where its declared size fits. Up to [`SAMPLE`] of the hosts that fit are sampled,
+//! and the one with the lowest cost is chosen: the estimated interference in both directions
+//! ([`super::interference`]), weighted by class, plus the capacity that stays unused, plus the share of
+//! the entry's tasks in the same rack. Sampling bounds the cost of a decision however many workers
+//! there are: the best of 24 is within the best tenth of all hosts in 92 of 100 decisions (1 - 0.9^24).
 
 use super::interference::{Interference, Kind, Neighbour};
 use crate::core::{
@@ -25,60 +24,61 @@
 };
 use rand::Rng;
 
-/// Hosts that fit of which the costs are compared.
+/// Maximum number of fitting hosts whose costs are compared.
 pub const SAMPLE: usize = 24;
-/// Slowdown of latency-critical work that batch work may be expected to cause, with all that runs on
-/// the host already: from there on [`super::eviction`] would move it away again.
+/// Estimated slowdown of latency-critical work, together with all that runs on the host already, up to
+/// which a batch task may be placed. Above it [`super::eviction`] would remove the task again.
 pub const MOST_SLOWDOWN: f64 = super::eviction::DISTRESS;
-/// Doubt from which an estimate forbids nothing.
+/// Uncertainty of an interference estimate from which it rules out no host.
 const TOO_DOUBTFUL: f64 = 0.5;
-/// Weight of a slowdown of latency-critical work against one of batch work.
+/// Weight of a slowdown of latency-critical work, relative to one of batch work.
 const CRITICAL_WEIGHT: f64 = 10.0;
-/// Cost of a whole host left over beyond the task: best fit decides between hosts that disturb alike.
+/// Cost of leaving a whole host unused: best fit decides between hosts with similar interference.
 const LEFT_OVER: f64 = 0.2;
-/// Cost of each task of the same entry in the same rack, relative to all of that entry's.
+/// Cost of having all of an entry's placed tasks in the same rack; a part of them costs in proportion.
 const SAME_RACK: f64 = 0.3;
 
-/// Something that runs on a host, as placement weighs it.
+/// Running work of one kind on a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Resident {
-    /// Its kind and how many of it.
+    /// The kind, and the number of tasks or requests of it.
     pub neighbour: Neighbour,
-    /// Its class.
+    /// Class of the kind, which weights its slowdown.
     pub class: Class,
 }
 
-/// A host that may take a task: live, not leaving, claimed, not set aside.
+/// A host that may take a task: its worker is live, claimed, not leaving and not ejected.
 #[derive(Clone, Copy, Debug)]
 pub struct Room<'a> {
-    /// The worker.
+    /// Worker that runs on the host.
     pub worker: &'a WorkerId,
-    /// Its rack.
+    /// Rack of the host.
     pub rack: &'a Rack,
-    /// All that it has.
+    /// Total capacity.
     pub capacity: Size,
-    /// What is free on it.
+    /// Free capacity.
     pub free: Size,
-    /// Tasks and latency-critical requests that run there, one a kind.
+    /// Tasks and latency-critical requests that run on the host, one element per kind.
     pub residents: &'a [Resident],
-    /// Tasks of the wanted entry in this host's rack.
+    /// Number of tasks in this host's rack of the same entry as the task to place.
     pub same_in_rack: u32,
 }
 
-/// A task that needs a place.
+/// A task to place.
 #[derive(Clone, Copy, Debug)]
 pub struct Wanted {
-    /// Its kind.
+    /// Kind by which interference is estimated.
     pub kind: Kind,
-    /// Its class.
+    /// Batch tasks are kept from services that they would slow too far; others are not.
     pub class: Class,
-    /// Its declared size.
+    /// Declared size, which must fit into the free capacity.
     pub size: Size,
-    /// Tasks of the same entry that are placed in all racks.
+    /// Number of placed tasks of the same entry, over all racks.
     pub same_placed: u32,
 }
 
-/// Picks a host; none when the task fits nowhere.
+/// Chooses a host, by index; `None` when no host fits, or when a batch task would slow the services of
+/// every sampled host too far.
 pub fn choose(
     rooms: &[Room<'_>],
     wanted: &Wanted,
@@ -96,8 +96,8 @@
         .map(|(_, index)| index)
 }
 
-/// Up to [`SAMPLE`] hosts that fit, visited from a random one on in steps of a random stride. A
-/// stride that shares no factor with their number visits every host once.
+/// Up to [`SAMPLE`] hosts that fit, found from a random host on in steps of a random stride. A stride
+/// that is coprime to the number of hosts reaches every host once.
 fn sample_fitting(rooms: &[Room<'_>], size: &Size, rng: &mut impl Rng) -> Vec<usize> {
     let count = rooms.len();
     if count == 0 {
@@ -122,7 +122,7 @@
     if b == 0 { a } else { gcd(b, a % b) }
 }
 
-/// Cost of a task on a host; lower is better.
+/// Cost of placing the task on the host; lower is better.
 pub fn cost(room: &Room<'_>, wanted: &Wanted, interference: &Interference, now: Millis) -> f64 {
     let harm = harm(room.residents, wanted, interference, now);
     let left = left_over(room, &wanted.size);
@@ -133,7 +133,7 @@
     harm + LEFT_OVER * left + SAME_RACK * crowd
 }
 
-/// Whether the services on a host stay within the slowdown that batch work may cause.
+/// Whether the services that the task would slow stay within [`MOST_SLOWDOWN`].
 fn is_bearable(room: &Room<'_>, wanted: &Wanted, interference: &Interference, now: Millis) -> bool {
     let known = |service: Kind, kind: Kind| match interference.doubt(service, kind, now) {
         doubt if doubt < TOO_DOUBTFUL => interference.added(service, kind, now),
@@ -146,7 +146,7 @@
             .map(|neighbour| f64::from(neighbour.count) * known(service, neighbour.kind))
             .sum();
         let own = known(service, wanted.kind);
-        // What the task does not add to is none of its business.
+        // A service that this task does not slow is no reason to keep it away.
         (own > 0.0).then_some(1.0 + present + own)
     };
     let services = room
@@ -158,7 +158,7 @@
         .all(|slowdown| slowdown <= MOST_SLOWDOWN)
 }
 
-/// Slowdown that the task would suffer and cause, weighed by class.
+/// Estimated slowdown that the task would cause and suffer, weighted by class.
 fn harm(residents: &[Resident], wanted: &Wanted, interference: &Interference, now: Millis) -> f64 {
     let each = residents.iter().map(|resident| {
         let count = f64::from(resident.neighbour.count);
@@ -178,8 +178,8 @@
     }
 }
 
-/// The part of a host that is left over in the scarcest dimension that the task takes, 0 to 1. Those
-/// that it does not take say nothing: a host without a free accelerator would always look full.
+/// Fraction of the host's capacity that stays free after placement, in the scarcest dimension that the
+/// task uses. Others are left out: a host without a free accelerator would always look full.
 fn left_over(room: &Room<'_>, size: &Size) -> f64 {
     let part = |free: u64, taken: u64, all: u64| match taken {
         0 => 1.0,
--- a/src/lapisdrum/policy/queueing/lane.rs
+++ b/src/lapisdrum/policy/queueing/lane.rs
@@ -1,8 +1,8 @@
-//! One class of waiting items: owners that share by weight, and the flows of each owner.
+//! Fair queue of one tier: owners share by weight, and the flows of an owner share equally.
 //!
-//! Start-time fair queueing at both levels: whoever is served is charged its expected run time, and
-//! the one that was charged least is next. One that comes back after idling starts where the others
-//! are, so that unused turns are not saved up.
+//! Start-time fair queueing at both levels: each start is charged its expected run time, and the
+//! owner or flow with the lowest start tag is next. One that was idle resumes at the current virtual
+//! time, so that it can't claim the turns that it did not use.
 
 use super::{Item, Ticket};
 use crate::core::{
@@ -12,7 +12,7 @@
 use indexmap::IndexMap;
 use std::{collections::BTreeMap, time::Duration};
 
-/// Run time that a start is taken to cost at least, so that items of unknown cost count too.
+/// Minimum cost of a start, so that items of unknown run time are charged too.
 const LEAST_COST: Duration = Duration::from_micros(100);
 
 impl Item {
@@ -23,12 +23,12 @@
         }
     }
 
-    /// Cost in microseconds of run time.
+    /// Expected run time in microseconds, at least [`LEAST_COST`].
     pub(super) fn cost(&self) -> f64 {
         self.run.max(LEAST_COST).as_secs_f64() * 1e6
     }
 
-    /// Items without a deadline stand behind all that have one, in order of arrival.
+    /// Sort key within a flow: by deadline, then by arrival. Items without a deadline come last.
     pub(super) fn rank(&self, ticket: Ticket) -> (Millis, Ticket) {
         (self.deadline.unwrap_or(Millis(u64::MAX)), ticket)
     }
@@ -40,18 +40,18 @@
     caller: u64,
 }
 
-/// One class: owners that share by weight.
+/// Items of one tier, by owner and flow.
 #[derive(Debug, Default)]
 pub(super) struct Lane {
     owners: IndexMap<OwnerName, Owner>,
-    /// Virtual time: the start tag of the owner that was served last.
+    /// Virtual time: the highest start tag of an owner that was served.
     clock: f64,
 }
 
 #[derive(Debug)]
 struct Owner {
     weight: u32,
-    /// Virtual time from which it may be served next.
+    /// Start tag: the virtual time, in microseconds of run time per unit of weight, of its next start.
     tag: f64,
     clock: f64,
     flows: IndexMap<FlowKey, Flow>,
@@ -61,7 +61,7 @@
 #[derive(Debug)]
 struct Flow {
     tag: f64,
-    /// In order of deadline, then arrival.
+    /// Ordered by [`Item::rank`].
     items: BTreeMap<(Millis, Ticket), ()>,
 }
 
@@ -104,7 +104,7 @@
             && flow.items.remove(&item.rank(ticket)).is_some()
         {
             owner.waiting -= 1;
-            // A flow that is ahead of its share is remembered until the others have caught up.
+            // The start tag of a flow ahead of its share is kept, so that it can't return uncharged.
             if flow.items.is_empty() && flow.tag <= owner.clock {
                 owner.flows.swap_remove(&key);
             }
@@ -114,7 +114,7 @@
         }
     }
 
-    /// The next item by share and deadline among those that may start.
+    /// The next item by share and deadline, among those that `may_start` allows.
     pub(super) fn pick(
         &self,
         may_start: &impl Fn(&EntryName, &OwnerName) -> bool,
@@ -141,7 +141,7 @@
         }
     }
 
-    /// Items that would be started before one more of this flow.
+    /// Estimated number of items that start before a new item of this flow.
     pub(super) fn ahead_of(&self, name: &OwnerName, weight: u32, key: &FlowKey) -> f64 {
         let own = self.owners.get(name);
         let own_flow = own.and_then(|owner| owner.flows.get(key));
@@ -175,7 +175,7 @@
         flow.map_or(0, |flow| flow.items.len())
     }
 
-    /// The longest flow of an entry: its length and its last item.
+    /// Length and last item of an entry's longest flow.
     pub(super) fn longest_flow(
         &self,
         owner: &OwnerName,
@@ -190,9 +190,9 @@
 }
 
 impl Owner {
-    /// Of the flows that are not ahead of their share, the one with the earliest deadline.
+    /// The item with the earliest deadline, among the flows that are not ahead of their share.
     fn pick(&self, may_start: impl Fn(&EntryName) -> bool) -> Option<Ticket> {
-        // An owner has few entries and may have many callers: each entry is judged once.
+        // An owner has few entries but may have many callers: `may_start` is called once per entry.
         let mut judged: Vec<(&EntryName, bool)> = Vec::new();
         let mut ready: Vec<&Flow> = Vec::new();
         for (key, flow) in self.flows.iter().filter(|(_, flow)| !flow.items.is_empty()) {
--- a/src/lapisdrum/policy/queueing/mod.rs
+++ b/src/lapisdrum/policy/queueing/mod.rs
@@ -1,26 +1,26 @@
-//! Which waiting item is next, and which is refused rather than left to wait.
+//! Order of waiting items, and early refusal of those that would wait too long.
 //!
 //! Load patterns: a burst of many times the capacity; one hot caller; batch work beside
-//! latency-critical work; deadlines that pass in the queue. Without an order of its own, a queue
-//! serves first whoever asked most, and at overload it serves only items whose callers have already
-//! gone: throughput is full and goodput is nothing.
+//! latency-critical work; deadlines that pass in the queue. A first-in first-out queue favours the
+//! caller with the most requests, and under overload it serves only items whose callers have already
+//! timed out: throughput is full and goodput drops to zero.
 //!
-//! - Latency-critical items go ahead of the rest, but one start in [`REST_TURN`] is the rest's while
-//!   any of it waits, so batch work is slowed and never starved.
-//! - Within a class, owners share by weight (start-time fair queueing on expected run time), and
+//! - Latency-critical items start before background ones (batch and long-running), but one start in
+//!   [`REST_TURN`] is a background one while any waits, so background work is slowed but not starved.
+//! - Within a tier, owners share by weight (start-time fair queueing on expected run time), and
 //!   within an owner each entry and caller (or key) is a flow with an equal share. Of the flows that
 //!   have not had more than their share, the one with the earliest deadline is next.
 //! - An item is refused at once when its entry's queue is at its bound, or when the measured drain
-//!   rate says that it can't start in time. A full queue makes room for a flow that has less than
-//!   the longest flow by giving up the longest flow's last item.
-//! - While an entry's queue has not been empty for [`STANDING`], its load is beyond its capacity and
-//!   a longer queue serves nobody more: a latency-critical item is then refused unless it would start
-//!   within its entry's usual run time. A shorter burst may fill the queue up to the deadline. Here
-//!   too a flow that has less than the longest takes a place of the longest's: refused, every caller
-//!   beside a hot one would be turned away for the hot one's load.
-//! - An item that can't be finished by its deadline any more is given up at once.
+//!   rate says that it can't start in time. A full queue admits an item of a shorter flow by
+//!   dropping the last item of the longest flow.
+//! - An entry whose queue has not been empty for [`STANDING`] is overloaded, and a longer queue would
+//!   not raise its throughput: a latency-critical item is then refused unless it would start within
+//!   its entry's usual run time. A shorter burst may fill the queue up to the deadline. Here too an
+//!   item of a shorter flow displaces the last one of the longest flow; otherwise one hot caller
+//!   would have all others refused.
+//! - An item that can no longer finish by its deadline is dropped at once.
 //!
-//! The cost of a decision grows with the flows that wait, not with the items.
+//! The cost of a decision grows with the number of flows, not of items.
 
 mod lane;
 
@@ -37,79 +37,80 @@
 use rand::Rng;
 use std::{collections::BTreeMap, time::Duration};
 
-/// One start in so many is the rest's while latency-critical items wait too. A tenth keeps batch
-/// work moving and takes less than a tenth from latency-critical work at full load.
+/// One start in this many is a background one while both tiers wait. A tenth keeps batch work
+/// moving and takes less than a tenth from latency-critical work at full load.
 pub const REST_TURN: u32 = 10;
-/// Time after which a queue that was never empty is a standing one. Long against the random swings of
-/// a pool at nine tenths of its capacity (tens of milliseconds), short against a deadline of a second.
+/// Time without being empty after which an entry's queue is a standing queue. Long against the random
+/// swings of a pool at nine tenths of its capacity (tens of milliseconds), short against a deadline of
+/// a second.
 pub const STANDING: Duration = Duration::from_millis(250);
-/// Wait that is accepted of an item in a standing queue at least: below it, the queue would run empty
-/// between two answers and capacity would be lost.
+/// Lower limit of the wait that is accepted in a standing queue. With less, the queue would run empty
+/// between two answers and capacity would be unused.
 const LEAST_PATIENCE: Duration = Duration::from_millis(5);
 
-/// What the queue has to know of an item.
+/// Properties of an item that decide its order and admission.
 #[derive(Clone, Debug)]
 pub struct Item {
-    /// The entry.
+    /// Catalogue entry that the item runs.
     pub entry: EntryName,
-    /// Its owner.
+    /// Owner of the entry; owners share starts by weight.
     pub owner: OwnerName,
-    /// Hash of the caller or key whose items share one flow.
+    /// Hash of the caller or key; items of an entry with the same hash form one flow.
     pub caller: u64,
-    /// Class of work.
+    /// Latency-critical items form the urgent tier, all others the background tier.
     pub class: Class,
-    /// Share of its owner; the entry's priority.
+    /// Weight of the owner's share: the entry's priority.
     pub weight: u32,
-    /// Items of this entry that may wait here.
+    /// Maximum number of waiting items of this entry.
     pub bound: u32,
-    /// Time that a run is expected to take; zero when unknown.
+    /// Expected duration of a run; zero when unknown.
     pub run: Duration,
-    /// When it must be finished; none for work without a deadline.
+    /// Time by which the run must finish; `None` for work without a deadline.
     pub deadline: Option<Millis>,
 }
 
 scalar! {
-    /// A waiting item's number, in order of arrival.
+    /// Identifies a waiting item; increases in order of arrival.
     pub struct Ticket(pub u64);
 }
 
-/// What became of an item that was handed in.
+/// Outcome of [`Queue::enqueue`].
 #[derive(Debug)]
 pub enum Enqueued<T> {
-    /// It waits. An item of a longer flow may have been given up for it.
+    /// The item waits. An item of a longer flow may have been dropped to admit it.
     Waiting {
-        /// Its number.
+        /// Identifies the item for [`Queue::remove`].
         ticket: Ticket,
-        /// What was given up for it.
+        /// Item that was dropped to admit it.
         displaced: Option<Refused<T>>,
     },
-    /// It does not wait.
+    /// The item was not admitted.
     Refused(Refused<T>),
 }
 
-/// An item that is given up before it was started.
+/// An item that was refused, or dropped before its start.
 #[derive(Debug)]
 pub struct Refused<T> {
-    /// What was handed in with it.
+    /// Payload passed to [`Queue::enqueue`].
     pub payload: T,
-    /// Why.
+    /// Which limit the item would have exceeded.
     pub reason: Reason,
-    /// When its caller should come back.
+    /// Time after which its caller should retry.
     pub retry_after: Duration,
 }
 
-/// Why an item is given up.
+/// Why an item was refused or dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reason {
     /// The entry's queue is at its bound.
     QueueFull,
-    /// It could not have been finished by its deadline.
+    /// The item could not have finished by its deadline.
     Deadline,
-    /// The entry's queue is a standing one, and it would have waited for longer than it runs.
+    /// The entry's queue is a standing queue, and the expected wait exceeds the expected run time.
     Overload,
 }
 
-/// Items that wait to be started, with what each was handed in with.
+/// Items that wait to be started, each with its payload.
 #[derive(Debug)]
 pub struct Queue<T> {
     urgent: Lane,
@@ -127,15 +128,15 @@
 struct Waiting<T> {
     item: Item,
     payload: T,
-    /// Last moment at which a start can still finish in time.
+    /// Latest start with which the expected run time still ends by the deadline.
     latest_start: Option<Millis>,
 }
 
-/// What is known of an entry that has items waiting, or had some lately.
+/// State of an entry that has items waiting, or had some before.
 #[derive(Debug, Default)]
 struct EntryState {
     waiting: u32,
-    /// Since when it has not been empty.
+    /// Time since which the entry has had items waiting without a gap.
     waiting_since: Option<Millis>,
     rate: DrainRate,
 }
@@ -164,7 +165,7 @@
 }
 
 impl<T> Queue<T> {
-    /// Puts an item in line, or refuses it at once.
+    /// Adds an item, or refuses it at once.
     pub fn enqueue(
         &mut self,
         item: Item,
@@ -185,7 +186,7 @@
                 true => Reason::Overload,
                 false => Reason::QueueFull,
             };
-            // Above a bound that was lowered, a place that becomes free is not given away again.
+            // Above a bound that was lowered, items are not displaced: the queue has to shrink first.
             let place = self.displaceable(&item).filter(|_| waiting <= item.bound);
             let Some(longest) = place else {
                 return Enqueued::Refused(self.refuse(payload, reason, wait, now, rng));
@@ -198,7 +199,7 @@
         Enqueued::Waiting { ticket, displaced }
     }
 
-    /// Takes the item that is to be started now, among those whose entry `may_start`.
+    /// Removes and returns the item to start now, among those whose entry and owner `may_start` allows.
     pub fn next(
         &mut self,
         now: Millis,
@@ -229,12 +230,12 @@
         Some((ticket, taken.item, taken.payload))
     }
 
-    /// Takes an item out of line whose caller has gone away.
+    /// Removes an item whose caller has disconnected; `None` if it no longer waits.
     pub fn remove(&mut self, ticket: Ticket, now: Millis) -> Option<T> {
         self.take(ticket, now).map(|waiting| waiting.payload)
     }
 
-    /// Gives up every item that can't be finished by its deadline any more.
+    /// Drops and returns every item that can no longer finish by its deadline.
     pub fn expire(&mut self, now: Millis, rng: &mut impl Rng) -> Vec<Refused<T>> {
         let mut given_up = Vec::new();
         while let Some(((latest, ticket), ())) = self.by_deadline.first_key_value() {
@@ -251,13 +252,13 @@
         given_up
     }
 
-    /// When [`Self::expire`] has something to give up next, if nothing is started before.
+    /// Earliest time at which [`Self::expire`] will drop an item, unless that item starts before.
     pub fn next_expiry(&self) -> Option<Millis> {
         let ((latest, _), ()) = self.by_deadline.first_key_value()?;
         Some(*latest + Duration::from_millis(1))
     }
 
-    /// When a caller should come back that is refused at present for want of room.
+    /// Time after which a caller should retry that is refused now for lack of free capacity.
     pub fn retry_after(&mut self, now: Millis, rng: &mut impl Rng) -> Duration {
         let wait = self
             .rate
@@ -266,22 +267,22 @@
         self.returns.book(wait, self.rate.per_second(now), now, rng)
     }
 
-    /// Items that wait.
+    /// Number of waiting items.
     pub fn len(&self) -> usize {
         self.items.len()
     }
 
-    /// Whether nothing waits.
+    /// Whether no item waits.
     pub fn is_empty(&self) -> bool {
         self.items.is_empty()
     }
 
-    /// Items of an entry that wait.
+    /// Number of waiting items of an entry.
     pub fn waiting_of(&self, entry: &EntryName) -> u32 {
         self.entries.get(entry).map_or(0, |state| state.waiting)
     }
 
-    /// Starts a second of items that had to wait, as measured; none before enough was measured.
+    /// Measured drain rate: starts per second while items wait. `None` before enough was measured.
     pub fn drain_per_second(&self, now: Millis) -> Option<f64> {
         self.rate.per_second(now)
     }
@@ -333,8 +334,8 @@
         Some(waiting)
     }
 
-    /// Time until an item would start if it were put in line now: what the order would serve before
-    /// it, by the measured rates of the whole queue and of its entry.
+    /// Expected time until the item would start if it were added now: the items ahead of it, at the
+    /// measured drain rates of the whole queue and of its entry, whichever is longer.
     fn expected_wait(&self, item: &Item, now: Millis) -> Duration {
         let lane = self.lane(Kind::of(item.class));
         let ahead = lane.ahead_of(&item.owner, item.weight, &item.flow());
@@ -346,7 +347,7 @@
         overall.unwrap_or_default().max(own.unwrap_or_default())
     }
 
-    /// Wait that is accepted of an item besides its deadline.
+    /// Longest expected wait with which an item is admitted, apart from its deadline.
     fn patience(&self, item: &Item, now: Millis) -> Duration {
         let state = self.entries.get(&item.entry);
         let standing = state.is_some_and(|state| state.is_standing(now));
@@ -356,8 +357,8 @@
         }
     }
 
-    /// The last item of the longest flow of the same entry, if that flow is longer than the item's
-    /// own would be.
+    /// The last item of the entry's longest flow, if that flow is longer than the item's own flow
+    /// would become.
     fn displaceable(&self, item: &Item) -> Option<Ticket> {
         let lane = self.lane(Kind::of(item.class));
         let own = lane.flow_len(&item.owner, &item.flow());
@@ -397,7 +398,7 @@
     }
 }
 
-/// Which of the two lines an item stands in.
+/// Tier that an item waits in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Kind {
     Urgent,
--- a/src/lapisdrum/policy/routing.rs
+++ b/src/lapisdrum/policy/routing.rs
@@ -1,16 +1,16 @@
-//! Which worker a request goes to: the better of two drawn at random, by outstanding work and recent
-//! latency.
+//! Which worker a request goes to: the better of two random choices, by outstanding requests and
+//! recent latency.
 //!
-//! Load pattern: many daemons route at once from figures that are a little old, to workers of which
-//! one may be slow, hang or fail. Without the random draw all of them pick the same least loaded
-//! worker and bury it; two choices spread almost as well as perfect knowledge. Without the latency a
-//! slow worker gets as many requests as a fast one until its slots are full, and its callers wait.
+//! Load pattern: many daemons route at the same time on slightly stale metrics, to workers of which
+//! one may be slow, hang or fail. Without the random choice all daemons would pick the same least
+//! loaded worker and overload it; two choices spread load almost as well as perfect knowledge. Without
+//! latency in the score a slow worker gets as many requests as a fast one until its slots are full.
 //!
-//! The score is the work that a request would find before it, times how slow the worker is: its
-//! requests' times relative to what their entries usually take. A request that has been outstanding
-//! for long counts as an answer of that age, so a worker that hangs is avoided before its first
-//! timeout. What is known of a worker loses half its weight in [`FORGET`] without news, so that one
-//! that has mended is tried again.
+//! The score is the work queued ahead of the request, times the worker's slowness: the durations of
+//! its requests relative to the usual durations of their entries. An outstanding request counts as an
+//! answer of its current age, so a worker that hangs is avoided before its first timeout. Slowness
+//! decays towards 1 with a half-life of [`FORGET`] without answers, so that a worker that has recovered
+//! is tried again.
 
 use super::outliers::{Outliers, Sample};
 use crate::core::{
@@ -21,41 +21,42 @@
 use rand::Rng;
 use std::{collections::VecDeque, time::Duration};
 
-/// Time without news after which half of what is known of a worker's latency is forgotten.
+/// Half-life of a worker's measured slowness while it returns no answers.
 pub const FORGET: Duration = Duration::from_secs(10);
-/// Weight of the newest answer in an entry's usual time.
+/// Weight of the newest answer in the moving average of an entry's duration.
 const NEWEST: f64 = 0.05;
-/// Weight of the newest answer in a worker's recent slowness: the last few answers.
+/// Weight of the newest answer in the moving average of a worker's slowness, which covers the last
+/// few answers.
 const NEWEST_OF_WORKER: f64 = 0.3;
-/// Slowness beyond which it makes no difference.
+/// Upper limit of a worker's slowness.
 const MOST_SLOW: f64 = 100.0;
-/// Scores closer than this, relative to the better one, are alike: a difference that small is noise,
-/// and a worker that is behind by it must not lose every comparison.
+/// Ratio of two scores up to which they count as equal. Such a difference is noise, and a worker must
+/// not lose every comparison by it.
 const ALIKE: f64 = 1.1;
-/// Least run time that is reckoned with, in milliseconds: the clock counts whole ones.
+/// Lower limit of measured durations, in milliseconds: the clock counts whole milliseconds.
 const LEAST_MS: f64 = 0.5;
-/// Draws in which a worker that may not be drawn is passed over before any is taken.
+/// Draws after which an ejected worker is accepted too.
 const DRAWS: usize = 8;
 
-/// A worker that has room for the request.
+/// A worker that has free capacity for the request.
 #[derive(Clone, Copy, Debug)]
 pub struct Candidate<'a> {
-    /// The worker.
+    /// Identity under which its answers are recorded.
     pub worker: &'a WorkerId,
-    /// Requests that this daemon has outstanding there.
+    /// Requests that this daemon has outstanding at the worker.
     pub outstanding: u32,
 }
 
-/// How a send ended.
+/// Outcome of sending a request to a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum End {
-    /// The worker answered.
+    /// The worker answered in time, and not with a server error.
     Answered,
-    /// The worker is full and ran nothing: no fault of its own.
+    /// The worker was full and did not run the request; not counted as a failure.
     Full,
-    /// The worker failed, or did not answer in time.
+    /// The worker could not be reached, answered with a server error or did not answer in time.
     Failed,
-    /// The caller went away; says nothing of the worker.
+    /// The caller disconnected, which is no evidence about the worker.
     Abandoned,
 }
 
@@ -63,11 +64,12 @@
 struct Record {
     slowness: f64,
     heard_at: Option<Millis>,
-    /// When each outstanding request was sent, the oldest first, and its entry's usual time.
+    /// Outstanding requests, the oldest first: when each was sent, and the usual duration of its entry
+    /// in milliseconds.
     sent: VecDeque<(Millis, Option<f64>)>,
 }
 
-/// What this daemon has seen of its workers' answers.
+/// Latency and failures of workers, as this daemon has measured them.
 #[derive(Debug, Default)]
 pub struct Routing {
     records: IndexMap<WorkerId, Record>,
@@ -76,8 +78,8 @@
 }
 
 impl Routing {
-    /// Picks a worker; none when there is no candidate. Where every draw falls on a worker that is
-    /// set aside, one of those is taken: somebody must serve.
+    /// Chooses a worker, by index; `None` when there is no candidate. If all draws fall on ejected
+    /// workers, one of those is chosen, so that the request is served at all.
     pub fn choose(
         &self,
         candidates: &[Candidate<'_>],
@@ -94,15 +96,15 @@
         })
     }
 
-    /// Notes that a request was sent.
+    /// Records that a request was sent at `now`.
     pub fn sent(&mut self, worker: &WorkerId, entry: &EntryName, now: Millis) {
         let usual = self.usual.get(entry).copied();
         let record = record_of(&mut self.records, worker);
         record.sent.push_back((now, usual));
     }
 
-    /// Notes how a request that was sent at `sent_at` ended, in a pool of `pool` workers. Returns
-    /// whether the worker is set aside by it.
+    /// Records the outcome of a request that was sent at `sent_at`, in a pool of `pool` workers. Returns
+    /// whether the worker is ejected for it.
     pub fn ended(
         &mut self,
         worker: &WorkerId,
@@ -113,7 +115,7 @@
         now: Millis,
     ) -> bool {
         let took = (now.since(sent_at).as_secs_f64() * 1e3).max(LEAST_MS);
-        // The first answer of an entry says nothing of the worker: there is nothing to compare with.
+        // The first answer of an entry has nothing to compare with, so it counts as usual.
         let usual = self.usual.get(entry).copied().unwrap_or(took);
         let record = record_of(&mut self.records, worker);
         if let Some(at) = record.sent.iter().position(|(at, _)| *at == sent_at) {
@@ -132,18 +134,18 @@
         }
     }
 
-    /// The time that a request of an entry usually takes; none before the first answer.
+    /// Moving average of an entry's request duration; `None` before the first answer.
     pub fn usual_run(&self, entry: &EntryName) -> Option<Duration> {
         let usual = self.usual.get(entry)?;
         Some(Duration::from_secs_f64(usual / 1e3))
     }
 
-    /// Who is set aside.
+    /// Outlier detection over the same workers.
     pub fn outliers(&self) -> &Outliers {
         &self.outliers
     }
 
-    /// Forgets workers that are gone.
+    /// Removes the records of all workers but those for which `is_there` holds.
     pub fn retain(&mut self, is_there: impl Fn(&WorkerId) -> bool) {
         self.records.retain(|worker, _| is_there(worker));
         self.outliers.retain(is_there);
@@ -170,7 +172,7 @@
         Some(other_than.unwrap_or(last))
     }
 
-    /// Work that a request would find before it, in units of an entry's usual time.
+    /// Expected duration of one more request, in multiples of the usual one; lower is better.
     fn score(&self, candidate: &Candidate<'_>, now: Millis) -> f64 {
         let record = self.records.get(candidate.worker);
         let slowness = record.map_or(1.0, |record| record.slowness(now));
@@ -181,7 +183,7 @@
 
     fn note_usual(&mut self, entry: &EntryName, took: f64) {
         match self.usual.get_mut(entry) {
-            // One slow worker must not become the usual time: a far greater answer counts as thrice.
+            // An answer counts at most threefold, so that one slow worker can't raise the average far.
             Some(usual) => *usual += NEWEST * (took.min(*usual * 3.0) - *usual),
             None => {
                 self.usual.insert(entry.clone(), took);
@@ -210,14 +212,14 @@
         self.heard_at = Some(now);
     }
 
-    /// Recent slowness, brought back towards 1 by its age.
+    /// Recent slowness, decayed towards 1 by the time since the last answer.
     fn remembered(&self, now: Millis) -> f64 {
         let age = self.heard_at.map_or(Duration::ZERO, |at| now.since(at));
         let kept = 0.5_f64.powf(age.as_secs_f64() / FORGET.as_secs_f64());
         1.0 + (self.slowness - 1.0) * kept
     }
 
-    /// The greater of the recent slowness and the age of the oldest outstanding request.
+    /// The greater of the recent slowness and the relative age of the oldest outstanding request.
     fn slowness(&self, now: Millis) -> f64 {
         let oldest = self.sent.front().map_or(0.0, |(at, usual)| {
             let age = now.since(*at).as_secs_f64() * 1e3;
