--- a/src/lapisdrum/policy/outliers.rs
+++ b/src/lapisdrum/policy/outliers.rs
@@ -6,9 +6,9 @@
 //!
 //! A worker is compared with the median of its peers, never with a fixed time, so a slow entry or a
 //! general overload ejects no worker. The ejection time doubles with each repetition; afterwards the
-//! worker takes part in a growing share of the draws ([`RAMP`]). At most a third of the pool is ejected
-//! at once ([`MOST_ASIDE`]): if more than that seem slow, the cause is the load or the network, and
-//! fewer workers would only make it worse.
+//! worker takes part in a growing share of the draws ([`RAMP_UP`]). At most a third of the pool is
+//! ejected at once ([`MAX_EJECTED_DIVISOR`]): if more than that seem slow, the cause is the load or the
+//! network, and fewer workers would only make it worse.
 
 use crate::core::{id::WorkerId, time::Millis};
 use indexmap::IndexMap;
@@ -16,27 +16,27 @@
 use std::time::Duration;
 
 /// At most the pool's size divided by this is ejected at once.
-pub const MOST_ASIDE: usize = 3;
+pub const MAX_EJECTED_DIVISOR: usize = 3;
 /// Ratio to the median slowness of its peers above which a worker is an outlier.
-pub const SLOW: f64 = 3.0;
+pub const SLOWNESS_LIMIT: f64 = 3.0;
 /// Slowness up to which a worker is not compared with its peers. Slowness is relative to the usual
 /// durations of entries, which are themselves averages over the pool.
-const SUSPECT: f64 = SLOW / 2.0;
+const SUSPECT_SLOWNESS: f64 = SLOWNESS_LIMIT / 2.0;
 /// Failure rate, 0 to 1, above which a worker is an outlier unless its peers fail too.
-pub const FAILING: f64 = 0.5;
+pub const FAILURE_RATE_LIMIT: f64 = 0.5;
 /// Samples that are needed before a worker can be ejected, so that a few answers that are slow by
 /// chance don't eject it.
-pub const LEAST_SEEN: u32 = 5;
+pub const MIN_SAMPLES: u32 = 5;
 /// Duration of a worker's first ejection.
-pub const FIRST_ASIDE: Duration = Duration::from_secs(5);
+pub const INITIAL_EJECTION: Duration = Duration::from_secs(5);
 /// Longest duration of an ejection.
-pub const LONGEST_ASIDE: Duration = Duration::from_secs(120);
+pub const MAX_EJECTION: Duration = Duration::from_secs(120);
 /// Time after an ejection over which a worker's share of the draws rises to 1.
-pub const RAMP: Duration = Duration::from_secs(10);
+pub const RAMP_UP: Duration = Duration::from_secs(10);
 /// Share of the draws directly after an ejection.
-const FIRST_PROBE: f64 = 0.05;
+const INITIAL_DRAW_SHARE: f64 = 0.05;
 /// Weight of the newest sample in a worker's moving averages.
-const NEWEST: f64 = 0.2;
+const SMOOTHING: f64 = 0.2;
 
 /// Outcome of a request to a worker, as outlier detection counts it.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -48,22 +48,22 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Record {
+struct WorkerStats {
     slowness: f64,
-    failing: f64,
-    seen: u32,
-    aside: u32,
-    back_at: Option<Millis>,
+    failure_rate: f64,
+    samples: u32,
+    ejections: u32,
+    ejected_until: Option<Millis>,
 }
 
-impl Default for Record {
+impl Default for WorkerStats {
     fn default() -> Self {
         Self {
             slowness: 1.0,
-            failing: 0.0,
-            seen: 0,
-            aside: 0,
-            back_at: None,
+            failure_rate: 0.0,
+            samples: 0,
+            ejections: 0,
+            ejected_until: None,
         }
     }
 }
@@ -71,133 +71,133 @@
 /// Moving averages of each worker's outcomes, and the ejected workers.
 #[derive(Debug, Default)]
 pub struct Outliers {
-    records: IndexMap<WorkerId, Record>,
+    workers: IndexMap<WorkerId, WorkerStats>,
 }
 
 impl Outliers {
     /// Records an outcome, in a pool of `pool` workers. Returns whether the worker is ejected for it.
     pub fn note(&mut self, worker: &WorkerId, sample: Sample, pool: usize, now: Millis) -> bool {
-        let record = self.records.entry(worker.clone()).or_default();
-        record.note(sample);
-        if record.is_aside(now) || record.seen < LEAST_SEEN {
+        let stats = self.workers.entry(worker.clone()).or_default();
+        stats.note(sample);
+        if stats.is_ejected(now) || stats.samples < MIN_SAMPLES {
             return false;
         }
-        let record = *record;
-        if !record.is_suspect() || !self.is_outlier(worker, &record) {
+        let stats = *stats;
+        if !stats.is_suspect() || !self.is_outlier(worker, &stats) {
             return false;
         }
-        if (self.aside(now) + 1) * MOST_ASIDE > pool {
+        if (self.ejected_count(now) + 1) * MAX_EJECTED_DIVISOR > pool {
             return false;
         }
-        self.set_aside(worker, now);
+        self.eject(worker, now);
         true
     }
 
     /// Whether the worker takes part in a draw at `now`, at random by its share of the draws.
     pub fn may_draw(&self, worker: &WorkerId, now: Millis, rng: &mut impl Rng) -> bool {
-        let part = self.part(worker, now);
-        part >= 1.0 || (part > 0.0 && rng.random_range(0.0..1.0) < part)
+        let draw_share = self.draw_share(worker, now);
+        draw_share >= 1.0 || (draw_share > 0.0 && rng.random_range(0.0..1.0) < draw_share)
     }
 
     /// Share of the draws in which a worker takes part: 0 while ejected, then rising to 1.
-    pub fn part(&self, worker: &WorkerId, now: Millis) -> f64 {
-        self.records
+    pub fn draw_share(&self, worker: &WorkerId, now: Millis) -> f64 {
+        self.workers
             .get(worker)
-            .map_or(1.0, |record| record.part(now))
+            .map_or(1.0, |stats| stats.draw_share(now))
     }
 
     /// Whether a worker is ejected at `now`.
-    pub fn is_aside(&self, worker: &WorkerId, now: Millis) -> bool {
-        self.records
+    pub fn is_ejected(&self, worker: &WorkerId, now: Millis) -> bool {
+        self.workers
             .get(worker)
-            .is_some_and(|record| record.is_aside(now))
+            .is_some_and(|stats| stats.is_ejected(now))
     }
 
     /// Number of workers that are ejected at `now`.
-    pub fn aside(&self, now: Millis) -> usize {
-        self.records
+    pub fn ejected_count(&self, now: Millis) -> usize {
+        self.workers
             .values()
-            .filter(|record| record.is_aside(now))
+            .filter(|stats| stats.is_ejected(now))
             .count()
     }
 
     /// Moving average of a worker's durations, in multiples of its entries' usual ones; 1 without
     /// samples.
     pub fn slowness(&self, worker: &WorkerId) -> f64 {
-        self.records
-            .get(worker)
-            .map_or(1.0, |record| record.slowness)
+        self.workers.get(worker).map_or(1.0, |stats| stats.slowness)
     }
 
     /// Moving average of a worker's failures, 0 to 1.
-    pub fn failing(&self, worker: &WorkerId) -> f64 {
-        self.records
+    pub fn failure_rate(&self, worker: &WorkerId) -> f64 {
+        self.workers
             .get(worker)
-            .map_or(0.0, |record| record.failing)
+            .map_or(0.0, |stats| stats.failure_rate)
     }
 
     /// Removes the records of all workers but those for which `is_there` holds.
     pub fn retain(&mut self, is_there: impl Fn(&WorkerId) -> bool) {
-        self.records.retain(|worker, _| is_there(worker));
+        self.workers.retain(|worker, _| is_there(worker));
     }
 
-    fn is_outlier(&self, worker: &WorkerId, record: &Record) -> bool {
+    fn is_outlier(&self, worker: &WorkerId, stats: &WorkerStats) -> bool {
         let others = self
-            .records
+            .workers
             .iter()
-            .filter(|(other, r)| *other != worker && r.seen > 0);
+            .filter(|(other, r)| *other != worker && r.samples > 0);
         let mut slowness: Vec<f64> = others.clone().map(|(_, r)| r.slowness).collect();
-        let mut failing: Vec<f64> = others.map(|(_, r)| r.failing).collect();
-        let (Some(usual), Some(usual_failing)) = (median(&mut slowness), median(&mut failing))
+        let mut failure_rate: Vec<f64> = others.map(|(_, r)| r.failure_rate).collect();
+        let (Some(median_slowness), Some(median_failure_rate)) =
+            (median(&mut slowness), median(&mut failure_rate))
         else {
             return false;
         };
-        record.slowness > SLOW * usual || record.failing > FAILING.max(2.0 * usual_failing)
+        stats.slowness > SLOWNESS_LIMIT * median_slowness
+            || stats.failure_rate > FAILURE_RATE_LIMIT.max(2.0 * median_failure_rate)
     }
 
-    fn set_aside(&mut self, worker: &WorkerId, now: Millis) {
-        if let Some(record) = self.records.get_mut(worker) {
-            let time = FIRST_ASIDE * 2_u32.saturating_pow(record.aside.min(8));
-            *record = Record {
-                aside: record.aside + 1,
-                back_at: Some(now + time.min(LONGEST_ASIDE)),
-                ..Record::default()
+    fn eject(&mut self, worker: &WorkerId, now: Millis) {
+        if let Some(stats) = self.workers.get_mut(worker) {
+            let duration = INITIAL_EJECTION * 2_u32.saturating_pow(stats.ejections.min(8));
+            *stats = WorkerStats {
+                ejections: stats.ejections + 1,
+                ejected_until: Some(now + duration.min(MAX_EJECTION)),
+                ..WorkerStats::default()
             };
         }
     }
 }
 
-impl Record {
+impl WorkerStats {
     fn note(&mut self, sample: Sample) {
         let (slowness, failed) = match sample {
             Sample::Answered(slowness) => (Some(slowness), 0.0),
             Sample::Failed => (None, 1.0),
         };
         if let Some(slowness) = slowness {
-            self.slowness += NEWEST * (slowness - self.slowness);
+            self.slowness += SMOOTHING * (slowness - self.slowness);
         }
-        self.failing += NEWEST * (failed - self.failing);
-        self.seen = self.seen.saturating_add(1);
+        self.failure_rate += SMOOTHING * (failed - self.failure_rate);
+        self.samples = self.samples.saturating_add(1);
     }
 
     /// Whether the worker is to be compared with its peers.
     fn is_suspect(&self) -> bool {
-        self.slowness > SUSPECT || self.failing > FAILING
+        self.slowness > SUSPECT_SLOWNESS || self.failure_rate > FAILURE_RATE_LIMIT
     }
 
-    fn is_aside(&self, now: Millis) -> bool {
-        self.back_at.is_some_and(|back| now < back)
+    fn is_ejected(&self, now: Millis) -> bool {
+        self.ejected_until.is_some_and(|end| now < end)
     }
 
-    fn part(&self, now: Millis) -> f64 {
-        let Some(back) = self.back_at else {
+    fn draw_share(&self, now: Millis) -> f64 {
+        let Some(end) = self.ejected_until else {
             return 1.0;
         };
-        if now < back {
+        if now < end {
             return 0.0;
         }
-        let risen = now.since(back).as_secs_f64() / RAMP.as_secs_f64();
-        (FIRST_PROBE + risen).min(1.0)
+        let ramped_up = now.since(end).as_secs_f64() / RAMP_UP.as_secs_f64();
+        (INITIAL_DRAW_SHARE + ramped_up).min(1.0)
     }
 }
 
--- a/src/lapisdrum/policy/placement.rs
+++ b/src/lapisdrum/policy/placement.rs
@@ -6,14 +6,15 @@
 //! without spreading over racks, the failure of one switch takes all of an entry's tasks.
 //!
 //! A batch task waits rather than go to a host whose services it is estimated to slow beyond
-//! [`MOST_SLOWDOWN`]: the task can wait, and a service can't undo the delays that happen before the
+//! [`MAX_SLOWDOWN`]: the task can wait, and a service can't undo the delays that happen before the
 //! first report, which arrives late.
 //!
-//! A task goes only where its declared size fits. Up to [`SAMPLE`] of the hosts that fit are sampled,
-//! and the one with the lowest cost is chosen: the estimated interference in both directions
-//! ([`super::interference`]), weighted by class, plus the capacity that stays unused, plus the share of
-//! the entry's tasks in the same rack. Sampling bounds the cost of a decision however many workers
-//! there are: the best of 24 is within the best tenth of all hosts in 92 of 100 decisions (1 - 0.9^24).
+//! A task goes only where its declared size fits. Up to [`SAMPLE_SIZE`] of the hosts that fit are
+//! sampled, and the one with the lowest cost is chosen: the estimated interference in both directions
+//! ([`super::interference`]), weighted by class, plus the capacity that stays unused, plus the share
+//! of the entry's tasks in the same rack. Sampling bounds the cost of a decision however many workers
+//! there are: the best of 24 is within the best tenth of all hosts in 92 of 100 decisions
+//! (1 - 0.9^24).
 
 use super::interference::{Interference, Kind, Neighbour};
 use crate::core::{
@@ -25,18 +26,18 @@
 use rand::Rng;
 
 /// Maximum number of fitting hosts whose costs are compared.
-pub const SAMPLE: usize = 24;
+pub const SAMPLE_SIZE: usize = 24;
 /// Estimated slowdown of latency-critical work, together with all that runs on the host already, up to
 /// which a batch task may be placed. Above it [`super::eviction`] would remove the task again.
-pub const MOST_SLOWDOWN: f64 = super::eviction::DISTRESS;
+pub const MAX_SLOWDOWN: f64 = super::eviction::DISTRESS;
 /// Uncertainty of an interference estimate from which it rules out no host.
-const TOO_DOUBTFUL: f64 = 0.5;
+const MAX_UNCERTAINTY: f64 = 0.5;
 /// Weight of a slowdown of latency-critical work, relative to one of batch work.
-const CRITICAL_WEIGHT: f64 = 10.0;
+const LATENCY_CRITICAL_WEIGHT: f64 = 10.0;
 /// Cost of leaving a whole host unused: best fit decides between hosts with similar interference.
-const LEFT_OVER: f64 = 0.2;
+const UNUSED_CAPACITY_COST: f64 = 0.2;
 /// Cost of having all of an entry's placed tasks in the same rack; a part of them costs in proportion.
-const SAME_RACK: f64 = 0.3;
+const SAME_RACK_COST: f64 = 0.3;
 
 /// Running work of one kind on a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -87,17 +88,18 @@
     rng: &mut impl Rng,
 ) -> Option<usize> {
     let sample = sample_fitting(rooms, &wanted.size, rng);
-    let open = sample.into_iter().filter(|index| {
-        wanted.class != Class::Batch || is_bearable(&rooms[*index], wanted, interference, now)
+    let allowed = sample.into_iter().filter(|index| {
+        wanted.class != Class::Batch
+            || is_slowdown_acceptable(&rooms[*index], wanted, interference, now)
     });
-    let costs = open.map(|index| (cost(&rooms[index], wanted, interference, now), index));
+    let costs = allowed.map(|index| (cost(&rooms[index], wanted, interference, now), index));
     costs
         .min_by(|(a, _), (b, _)| a.total_cmp(b))
         .map(|(_, index)| index)
 }
 
-/// Up to [`SAMPLE`] hosts that fit, found from a random host on in steps of a random stride. A stride
-/// that is coprime to the number of hosts reaches every host once.
+/// Up to [`SAMPLE_SIZE`] hosts that fit, found from a random host on in steps of a random stride. A
+/// stride that is coprime to the number of hosts reaches every host once.
 fn sample_fitting(rooms: &[Room<'_>], size: &Size, rng: &mut impl Rng) -> Vec<usize> {
     let count = rooms.len();
     if count == 0 {
@@ -108,7 +110,7 @@
     (0..count)
         .map(|i| (start + i * stride) % count)
         .filter(|index| size.fits(&rooms[*index].free))
-        .take(SAMPLE)
+        .take(SAMPLE_SIZE)
         .collect()
 }
 
@@ -124,30 +126,35 @@
 
 /// Cost of placing the task on the host; lower is better.
 pub fn cost(room: &Room<'_>, wanted: &Wanted, interference: &Interference, now: Millis) -> f64 {
-    let harm = harm(room.residents, wanted, interference, now);
-    let left = left_over(room, &wanted.size);
-    let crowd = match wanted.same_placed {
+    let interference_cost = interference_cost(room.residents, wanted, interference, now);
+    let unused = unused_fraction(room, &wanted.size);
+    let rack_share = match wanted.same_placed {
         0 => 0.0,
         placed => f64::from(room.same_in_rack) / f64::from(placed),
     };
-    harm + LEFT_OVER * left + SAME_RACK * crowd
+    interference_cost + UNUSED_CAPACITY_COST * unused + SAME_RACK_COST * rack_share
 }
 
-/// Whether the services that the task would slow stay within [`MOST_SLOWDOWN`].
-fn is_bearable(room: &Room<'_>, wanted: &Wanted, interference: &Interference, now: Millis) -> bool {
-    let known = |service: Kind, kind: Kind| match interference.doubt(service, kind, now) {
-        doubt if doubt < TOO_DOUBTFUL => interference.added(service, kind, now),
+/// Whether the services that the task would slow stay within [`MAX_SLOWDOWN`].
+fn is_slowdown_acceptable(
+    room: &Room<'_>,
+    wanted: &Wanted,
+    interference: &Interference,
+    now: Millis,
+) -> bool {
+    let estimated = |service: Kind, kind: Kind| match interference.doubt(service, kind, now) {
+        doubt if doubt < MAX_UNCERTAINTY => interference.added(service, kind, now),
         _ => 0.0,
     };
     let expected = |service: Kind| {
         let residents = room.residents.iter().map(|resident| resident.neighbour);
         let others = residents.filter(|neighbour| neighbour.kind != service);
-        let present: f64 = others
-            .map(|neighbour| f64::from(neighbour.count) * known(service, neighbour.kind))
+        let from_residents: f64 = others
+            .map(|neighbour| f64::from(neighbour.count) * estimated(service, neighbour.kind))
             .sum();
-        let own = known(service, wanted.kind);
+        let from_task = estimated(service, wanted.kind);
         // A service that this task does not slow is no reason to keep it away.
-        (own > 0.0).then_some(1.0 + present + own)
+        (from_task > 0.0).then_some(1.0 + from_residents + from_task)
     };
     let services = room
         .residents
@@ -155,11 +162,16 @@
         .filter(|resident| resident.class == Class::LatencyCritical);
     services
         .filter_map(|service| expected(service.neighbour.kind))
-        .all(|slowdown| slowdown <= MOST_SLOWDOWN)
+        .all(|slowdown| slowdown <= MAX_SLOWDOWN)
 }
 
 /// Estimated slowdown that the task would cause and suffer, weighted by class.
-fn harm(residents: &[Resident], wanted: &Wanted, interference: &Interference, now: Millis) -> f64 {
+fn interference_cost(
+    residents: &[Resident],
+    wanted: &Wanted,
+    interference: &Interference,
+    now: Millis,
+) -> f64 {
     let each = residents.iter().map(|resident| {
         let count = f64::from(resident.neighbour.count);
         let kind = resident.neighbour.kind;
@@ -172,21 +184,25 @@
 
 fn weight(class: Class) -> f64 {
     match class {
-        Class::LatencyCritical => CRITICAL_WEIGHT,
-        Class::LongRunning => CRITICAL_WEIGHT / 2.0,
+        Class::LatencyCritical => LATENCY_CRITICAL_WEIGHT,
+        Class::LongRunning => LATENCY_CRITICAL_WEIGHT / 2.0,
         Class::Batch => 1.0,
     }
 }
 
 /// Fraction of the host's capacity that stays free after placement, in the scarcest dimension that the
 /// task uses. Others are left out: a host without a free accelerator would always look full.
-fn left_over(room: &Room<'_>, size: &Size) -> f64 {
-    let part = |free: u64, taken: u64, all: u64| match taken {
+fn unused_fraction(room: &Room<'_>, size: &Size) -> f64 {
+    let fraction = |free: u64, taken: u64, capacity: u64| match taken {
         0 => 1.0,
-        taken => free.saturating_sub(taken) as f64 / all.max(1) as f64,
+        taken => free.saturating_sub(taken) as f64 / capacity.max(1) as f64,
     };
-    let (free, all) = (&room.free, &room.capacity);
-    part(free.millicores, size.millicores, all.millicores)
-        .min(part(free.memory_mb, size.memory_mb, all.memory_mb))
-        .min(part(free.accelerators, size.accelerators, all.accelerators))
+    let (free, capacity) = (&room.free, &room.capacity);
+    fraction(free.millicores, size.millicores, capacity.millicores)
+        .min(fraction(free.memory_mb, size.memory_mb, capacity.memory_mb))
+        .min(fraction(
+            free.accelerators,
+            size.accelerators,
+            capacity.accelerators,
+        ))
 }
--- a/src/lapisdrum/policy/queueing/lane.rs
+++ b/src/lapisdrum/policy/queueing/lane.rs
@@ -13,7 +13,7 @@
 use std::{collections::BTreeMap, time::Duration};
 
 /// Minimum cost of a start, so that items of unknown run time are charged too.
-const LEAST_COST: Duration = Duration::from_micros(100);
+const MIN_COST: Duration = Duration::from_micros(100);
 
 impl Item {
     pub(super) fn flow(&self) -> FlowKey {
@@ -23,9 +23,9 @@
         }
     }
 
-    /// Expected run time in microseconds, at least [`LEAST_COST`].
+    /// Expected run time in microseconds, at least [`MIN_COST`].
     pub(super) fn cost(&self) -> f64 {
-        self.run.max(LEAST_COST).as_secs_f64() * 1e6
+        self.run.max(MIN_COST).as_secs_f64() * 1e6
     }
 
     /// Sort key within a flow: by deadline, then by arrival. Items without a deadline come last.
@@ -42,55 +42,55 @@
 
 /// Items of one tier, by owner and flow.
 #[derive(Debug, Default)]
-pub(super) struct Lane {
+pub(super) struct FairQueue {
     owners: IndexMap<OwnerName, Owner>,
     /// Virtual time: the highest start tag of an owner that was served.
-    clock: f64,
+    virtual_time: f64,
 }
 
 #[derive(Debug)]
 struct Owner {
     weight: u32,
     /// Start tag: the virtual time, in microseconds of run time per unit of weight, of its next start.
-    tag: f64,
-    clock: f64,
+    start_tag: f64,
+    virtual_time: f64,
     flows: IndexMap<FlowKey, Flow>,
     waiting: usize,
 }
 
 #[derive(Debug)]
 struct Flow {
-    tag: f64,
+    start_tag: f64,
     /// Ordered by [`Item::rank`].
     items: BTreeMap<(Millis, Ticket), ()>,
 }
 
-impl Lane {
+impl FairQueue {
     pub(super) fn is_empty(&self) -> bool {
         self.owners.values().all(|owner| owner.waiting == 0)
     }
 
     pub(super) fn insert(&mut self, item: &Item, ticket: Ticket) {
-        let clock = self.clock;
+        let virtual_time = self.virtual_time;
         let owner = self.owners.entry(item.owner.clone()).or_insert(Owner {
             weight: 1,
-            tag: clock,
-            clock: 0.0,
+            start_tag: virtual_time,
+            virtual_time: 0.0,
             flows: IndexMap::new(),
             waiting: 0,
         });
         if owner.waiting == 0 {
-            owner.tag = owner.tag.max(clock);
+            owner.start_tag = owner.start_tag.max(virtual_time);
         }
         owner.weight = item.weight.max(1);
         owner.waiting += 1;
-        let clock = owner.clock;
+        let virtual_time = owner.virtual_time;
         let flow = owner.flows.entry(item.flow()).or_insert(Flow {
-            tag: clock,
+            start_tag: virtual_time,
             items: BTreeMap::new(),
         });
         if flow.items.is_empty() {
-            flow.tag = flow.tag.max(clock);
+            flow.start_tag = flow.start_tag.max(virtual_time);
         }
         flow.items.insert(item.rank(ticket), ());
     }
@@ -105,11 +105,11 @@
         {
             owner.waiting -= 1;
             // The start tag of a flow ahead of its share is kept, so that it can't return uncharged.
-            if flow.items.is_empty() && flow.tag <= owner.clock {
+            if flow.items.is_empty() && flow.start_tag <= owner.virtual_time {
                 owner.flows.swap_remove(&key);
             }
         }
-        if owner.waiting == 0 && owner.tag <= self.clock {
+        if owner.waiting == 0 && owner.start_tag <= self.virtual_time {
             self.owners.swap_remove(&item.owner);
         }
     }
@@ -122,7 +122,7 @@
         let owners = self.owners.iter().filter(|(_, owner)| owner.waiting > 0);
         let found = owners.filter_map(|(name, owner)| {
             let ticket = owner.pick(|entry| may_start(entry, name))?;
-            Some((owner.tag, ticket))
+            Some((owner.start_tag, ticket))
         });
         let first = found.min_by(|(a, _), (b, _)| a.total_cmp(b));
         first.map(|(_, ticket)| ticket)
@@ -133,11 +133,11 @@
         let Some(owner) = self.owners.get_mut(owner) else {
             return;
         };
-        self.clock = self.clock.max(owner.tag);
-        owner.tag += cost / f64::from(owner.weight);
+        self.virtual_time = self.virtual_time.max(owner.start_tag);
+        owner.start_tag += cost / f64::from(owner.weight);
         if let Some(flow) = owner.flows.get_mut(key) {
-            owner.clock = owner.clock.max(flow.tag);
-            flow.tag += cost;
+            owner.virtual_time = owner.virtual_time.max(flow.start_tag);
+            flow.start_tag += cost;
         }
     }
 
@@ -145,26 +145,26 @@
     pub(super) fn ahead_of(&self, name: &OwnerName, weight: u32, key: &FlowKey) -> f64 {
         let own = self.owners.get(name);
         let own_flow = own.and_then(|owner| owner.flows.get(key));
-        let turns = own_flow.map_or(0, |flow| flow.items.len()) as f64 + 1.0;
+        let rounds = own_flow.map_or(0, |flow| flow.items.len()) as f64 + 1.0;
         let flows = own.into_iter().flat_map(|owner| owner.flows.iter());
-        let beside: f64 = flows
+        let in_owner: f64 = flows
             .map(|(other, flow)| {
                 let waiting = flow.items.len() as f64;
                 if other == key {
                     waiting
                 } else {
-                    waiting.min(turns)
+                    waiting.min(rounds)
                 }
             })
             .sum();
         let others = self.owners.iter().filter(|(other, _)| *other != name);
-        let before: f64 = others
+        let in_other_owners: f64 = others
             .map(|(_, owner)| {
                 let share = f64::from(owner.weight) / f64::from(weight.max(1));
-                (owner.waiting as f64).min((beside + 1.0) * share)
+                (owner.waiting as f64).min((in_owner + 1.0) * share)
             })
             .sum();
-        beside + before
+        in_owner + in_other_owners
     }
 
     pub(super) fn flow_len(&self, owner: &OwnerName, key: &FlowKey) -> usize {
@@ -193,23 +193,26 @@
     /// The item with the earliest deadline, among the flows that are not ahead of their share.
     fn pick(&self, may_start: impl Fn(&EntryName) -> bool) -> Option<Ticket> {
         // An owner has few entries but may have many callers: `may_start` is called once per entry.
-        let mut judged: Vec<(&EntryName, bool)> = Vec::new();
+        let mut checked: Vec<(&EntryName, bool)> = Vec::new();
         let mut ready: Vec<&Flow> = Vec::new();
         for (key, flow) in self.flows.iter().filter(|(_, flow)| !flow.items.is_empty()) {
-            let known = judged.iter().find(|(entry, _)| *entry == &key.entry);
-            let open = known.map(|(_, open)| *open).unwrap_or_else(|| {
-                let open = may_start(&key.entry);
-                judged.push((&key.entry, open));
-                open
+            let known = checked.iter().find(|(entry, _)| *entry == &key.entry);
+            let is_allowed = known.map(|(_, is_allowed)| *is_allowed).unwrap_or_else(|| {
+                let is_allowed = may_start(&key.entry);
+                checked.push((&key.entry, is_allowed));
+                is_allowed
             });
-            if open {
+            if is_allowed {
                 ready.push(flow);
             }
         }
-        let least = ready.iter().map(|flow| flow.tag).min_by(f64::total_cmp)?;
-        let limit = least.max(self.clock);
-        let due = ready.into_iter().filter(|flow| flow.tag <= limit);
-        let heads = due.filter_map(|flow| flow.items.first_key_value());
+        let min_tag = ready
+            .iter()
+            .map(|flow| flow.start_tag)
+            .min_by(f64::total_cmp)?;
+        let max_tag = min_tag.max(self.virtual_time);
+        let eligible = ready.into_iter().filter(|flow| flow.start_tag <= max_tag);
+        let heads = eligible.filter_map(|flow| flow.items.first_key_value());
         let first = heads.map(|((rank, ticket), ())| (*rank, *ticket)).min();
         first.map(|(_, ticket)| ticket)
     }
--- a/src/lapisdrum/policy/queueing/mod.rs
+++ b/src/lapisdrum/policy/queueing/mod.rs
@@ -6,16 +6,17 @@
 //! timed out: throughput is full and goodput drops to zero.
 //!
 //! - Latency-critical items start before background ones (batch and long-running), but one start in
-//!   [`REST_TURN`] is a background one while any waits, so background work is slowed but not starved.
+//!   [`BACKGROUND_START_INTERVAL`] is a background one while any waits, so background work is slowed
+//!   but not starved.
 //! - Within a tier, owners share by weight (start-time fair queueing on expected run time), and
 //!   within an owner each entry and caller (or key) is a flow with an equal share. Of the flows that
 //!   have not had more than their share, the one with the earliest deadline is next.
 //! - An item is refused at once when its entry's queue is at its bound, or when the measured drain
 //!   rate says that it can't start in time. A full queue admits an item of a shorter flow by
 //!   dropping the last item of the longest flow.
-//! - An entry whose queue has not been empty for [`STANDING`] is overloaded, and a longer queue would
-//!   not raise its throughput: a latency-critical item is then refused unless it would start within
-//!   its entry's usual run time. A shorter burst may fill the queue up to the deadline. Here too an
+//! - An entry whose queue has not been empty for [`STANDING_QUEUE_AFTER`] is overloaded, and a longer
+//!   queue would not raise its throughput: a latency-critical item is then refused unless it would
+//!   start within its entry's usual run time. A shorter burst may fill the queue up to the deadline. Here too an
 //!   item of a shorter flow displaces the last one of the longest flow; otherwise one hot caller
 //!   would have all others refused.
 //! - An item that can no longer finish by its deadline is dropped at once.
@@ -26,7 +27,7 @@
 
 use super::{
     drain::{DrainRate, Returns},
-    queueing::lane::Lane,
+    queueing::lane::FairQueue,
 };
 use crate::core::{
     catalogue::Class,
@@ -39,14 +40,14 @@
 
 /// One start in this many is a background one while both tiers wait. A tenth keeps batch work
 /// moving and takes less than a tenth from latency-critical work at full load.
-pub const REST_TURN: u32 = 10;
+pub const BACKGROUND_START_INTERVAL: u32 = 10;
 /// Time without being empty after which an entry's queue is a standing queue. Long against the random
 /// swings of a pool at nine tenths of its capacity (tens of milliseconds), short against a deadline of
 /// a second.
-pub const STANDING: Duration = Duration::from_millis(250);
+pub const STANDING_QUEUE_AFTER: Duration = Duration::from_millis(250);
 /// Lower limit of the wait that is accepted in a standing queue. With less, the queue would run empty
 /// between two answers and capacity would be unused.
-const LEAST_PATIENCE: Duration = Duration::from_millis(5);
+const MIN_ACCEPTED_WAIT: Duration = Duration::from_millis(5);
 
 /// Properties of an item that decide its order and admission.
 #[derive(Clone, Debug)]
@@ -113,13 +114,13 @@
 /// Items that wait to be started, each with its payload.
 #[derive(Debug)]
 pub struct Queue<T> {
-    urgent: Lane,
-    rest: Lane,
+    urgent: FairQueue,
+    background: FairQueue,
     items: IndexMap<Ticket, Waiting<T>>,
     entries: IndexMap<EntryName, EntryState>,
     by_deadline: BTreeMap<(Millis, Ticket), ()>,
     next_ticket: u64,
-    urgent_run: u32,
+    consecutive_urgent_starts: u32,
     rate: DrainRate,
     returns: Returns,
 }
@@ -144,20 +145,20 @@
 impl EntryState {
     fn is_standing(&self, now: Millis) -> bool {
         self.waiting_since
-            .is_some_and(|since| now.since(since) >= STANDING)
+            .is_some_and(|since| now.since(since) >= STANDING_QUEUE_AFTER)
     }
 }
 
 impl<T> Default for Queue<T> {
     fn default() -> Self {
         Self {
-            urgent: Lane::default(),
-            rest: Lane::default(),
+            urgent: FairQueue::default(),
+            background: FairQueue::default(),
             items: IndexMap::new(),
             entries: IndexMap::new(),
             by_deadline: BTreeMap::new(),
             next_ticket: 0,
-            urgent_run: 0,
+            consecutive_urgent_starts: 0,
             rate: DrainRate::default(),
             returns: Returns::default(),
         }
@@ -180,15 +181,15 @@
         }
         let mut displaced = None;
         let waiting = self.waiting_of(&item.entry);
-        let is_too_long = wait > self.patience(&item, now);
-        if is_too_long || waiting >= item.bound {
-            let reason = match is_too_long {
+        let exceeds_max_wait = wait > self.max_wait(&item, now);
+        if exceeds_max_wait || waiting >= item.bound {
+            let reason = match exceeds_max_wait {
                 true => Reason::Overload,
                 false => Reason::QueueFull,
             };
             // Above a bound that was lowered, items are not displaced: the queue has to shrink first.
-            let place = self.displaceable(&item).filter(|_| waiting <= item.bound);
-            let Some(longest) = place else {
+            let replaceable = self.displaceable(&item).filter(|_| waiting <= item.bound);
+            let Some(longest) = replaceable else {
                 return Enqueued::Refused(self.refuse(payload, reason, wait, now, rng));
             };
             displaced = self
@@ -205,23 +206,23 @@
         now: Millis,
         may_start: impl Fn(&EntryName, &OwnerName) -> bool,
     ) -> Option<(Ticket, Item, T)> {
-        let rest_first = self.urgent_run + 1 >= REST_TURN;
-        let order = match rest_first {
-            true => [Kind::Rest, Kind::Urgent],
-            false => [Kind::Urgent, Kind::Rest],
+        let is_background_first = self.consecutive_urgent_starts + 1 >= BACKGROUND_START_INTERVAL;
+        let order = match is_background_first {
+            true => [Tier::Background, Tier::Urgent],
+            false => [Tier::Urgent, Tier::Background],
         };
-        let found = order.into_iter().find_map(|kind| {
-            let ticket = self.lane(kind).pick(&may_start)?;
-            Some((kind, ticket))
+        let found = order.into_iter().find_map(|tier| {
+            let ticket = self.tier_queue(tier).pick(&may_start)?;
+            Some((tier, ticket))
         });
-        let (kind, ticket) = found?;
-        self.urgent_run = match kind {
-            Kind::Urgent if !self.rest.is_empty() => self.urgent_run + 1,
-            Kind::Urgent | Kind::Rest => 0,
+        let (tier, ticket) = found?;
+        self.consecutive_urgent_starts = match tier {
+            Tier::Urgent if !self.background.is_empty() => self.consecutive_urgent_starts + 1,
+            Tier::Urgent | Tier::Background => 0,
         };
         let item = &self.items[&ticket].item;
         let (owner, flow, cost) = (item.owner.clone(), item.flow(), item.cost());
-        self.lane_mut(kind).charge(&owner, &flow, cost);
+        self.tier_queue_mut(tier).charge(&owner, &flow, cost);
         if let Some(state) = self.entries.get_mut(&flow.entry) {
             state.rate.note(now);
         }
@@ -237,7 +238,7 @@
 
     /// Drops and returns every item that can no longer finish by its deadline.
     pub fn expire(&mut self, now: Millis, rng: &mut impl Rng) -> Vec<Refused<T>> {
-        let mut given_up = Vec::new();
+        let mut expired = Vec::new();
         while let Some(((latest, ticket), ())) = self.by_deadline.first_key_value() {
             if *latest >= now {
                 break;
@@ -247,9 +248,9 @@
                 break;
             };
             let wait = self.expected_wait(&waiting.item, now);
-            given_up.push(self.refuse(waiting.payload, Reason::Deadline, wait, now, rng));
+            expired.push(self.refuse(waiting.payload, Reason::Deadline, wait, now, rng));
         }
-        given_up
+        expired
     }
 
     /// Earliest time at which [`Self::expire`] will drop an item, unless that item starts before.
@@ -304,7 +305,8 @@
         if let Some(latest) = latest_start {
             self.by_deadline.insert((latest, ticket), ());
         }
-        self.lane_mut(Kind::of(item.class)).insert(&item, ticket);
+        self.tier_queue_mut(Tier::of(item.class))
+            .insert(&item, ticket);
         let waiting = Waiting {
             item,
             payload,
@@ -320,7 +322,8 @@
         if let Some(latest) = waiting.latest_start {
             self.by_deadline.remove(&(latest, ticket));
         }
-        self.lane_mut(Kind::of(item.class)).remove(item, ticket);
+        self.tier_queue_mut(Tier::of(item.class))
+            .remove(item, ticket);
         if let Some(state) = self.entries.get_mut(&item.entry) {
             state.waiting -= 1;
             if state.waiting == 0 {
@@ -337,32 +340,32 @@
     /// Expected time until the item would start if it were added now: the items ahead of it, at the
     /// measured drain rates of the whole queue and of its entry, whichever is longer.
     fn expected_wait(&self, item: &Item, now: Millis) -> Duration {
-        let lane = self.lane(Kind::of(item.class));
-        let ahead = lane.ahead_of(&item.owner, item.weight, &item.flow());
-        let overall = self.rate.time_for(ahead, now);
+        let tier_queue = self.tier_queue(Tier::of(item.class));
+        let items_ahead = tier_queue.ahead_of(&item.owner, item.weight, &item.flow());
+        let overall = self.rate.time_for(items_ahead, now);
         let own = self.entries.get(&item.entry).and_then(|state| {
-            let ahead = ahead.min(f64::from(state.waiting));
-            state.rate.time_for(ahead, now)
+            let items_ahead = items_ahead.min(f64::from(state.waiting));
+            state.rate.time_for(items_ahead, now)
         });
         overall.unwrap_or_default().max(own.unwrap_or_default())
     }
 
     /// Longest expected wait with which an item is admitted, apart from its deadline.
-    fn patience(&self, item: &Item, now: Millis) -> Duration {
+    fn max_wait(&self, item: &Item, now: Millis) -> Duration {
         let state = self.entries.get(&item.entry);
-        let standing = state.is_some_and(|state| state.is_standing(now));
-        match Kind::of(item.class) {
-            Kind::Urgent if standing => item.run.max(LEAST_PATIENCE),
-            Kind::Urgent | Kind::Rest => Duration::MAX,
+        let is_standing = state.is_some_and(|state| state.is_standing(now));
+        match Tier::of(item.class) {
+            Tier::Urgent if is_standing => item.run.max(MIN_ACCEPTED_WAIT),
+            Tier::Urgent | Tier::Background => Duration::MAX,
         }
     }
 
     /// The last item of the entry's longest flow, if that flow is longer than the item's own flow
     /// would become.
     fn displaceable(&self, item: &Item) -> Option<Ticket> {
-        let lane = self.lane(Kind::of(item.class));
-        let own = lane.flow_len(&item.owner, &item.flow());
-        let (longest, ticket) = lane.longest_flow(&item.owner, &item.entry)?;
+        let tier_queue = self.tier_queue(Tier::of(item.class));
+        let own = tier_queue.flow_len(&item.owner, &item.flow());
+        let (longest, ticket) = tier_queue.longest_flow(&item.owner, &item.entry)?;
         (longest > own + 1).then_some(ticket)
     }
 
@@ -383,33 +386,33 @@
         }
     }
 
-    fn lane(&self, kind: Kind) -> &Lane {
-        match kind {
-            Kind::Urgent => &self.urgent,
-            Kind::Rest => &self.rest,
+    fn tier_queue(&self, tier: Tier) -> &FairQueue {
+        match tier {
+            Tier::Urgent => &self.urgent,
+            Tier::Background => &self.background,
         }
     }
 
-    fn lane_mut(&mut self, kind: Kind) -> &mut Lane {
-        match kind {
-            Kind::Urgent => &mut self.urgent,
-            Kind::Rest => &mut self.rest,
+    fn tier_queue_mut(&mut self, tier: Tier) -> &mut FairQueue {
+        match tier {
+            Tier::Urgent => &mut self.urgent,
+            Tier::Background => &mut self.background,
         }
     }
 }
 
 /// Tier that an item waits in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Kind {
+enum Tier {
     Urgent,
-    Rest,
+    Background,
 }
 
-impl Kind {
+impl Tier {
     fn of(class: Class) -> Self {
         match class {
             Class::LatencyCritical => Self::Urgent,
-            Class::Batch | Class::LongRunning => Self::Rest,
+            Class::Batch | Class::LongRunning => Self::Background,
         }
     }
 }
--- a/src/lapisdrum/policy/routing.rs
+++ b/src/lapisdrum/policy/routing.rs
@@ -9,8 +9,8 @@
 //! The score is the work queued ahead of the request, times the worker's slowness: the durations of
 //! its requests relative to the usual durations of their entries. An outstanding request counts as an
 //! answer of its current age, so a worker that hangs is avoided before its first timeout. Slowness
-//! decays towards 1 with a half-life of [`FORGET`] without answers, so that a worker that has recovered
-//! is tried again.
+//! decays towards 1 with a half-life of [`SLOWNESS_HALF_LIFE`] without answers, so that a worker that
+//! has recovered is tried again.
 
 use super::outliers::{Outliers, Sample};
 use crate::core::{
@@ -22,21 +22,21 @@
 use std::{collections::VecDeque, time::Duration};
 
 /// Half-life of a worker's measured slowness while it returns no answers.
-pub const FORGET: Duration = Duration::from_secs(10);
+pub const SLOWNESS_HALF_LIFE: Duration = Duration::from_secs(10);
 /// Weight of the newest answer in the moving average of an entry's duration.
-const NEWEST: f64 = 0.05;
+const DURATION_SMOOTHING: f64 = 0.05;
 /// Weight of the newest answer in the moving average of a worker's slowness, which covers the last
 /// few answers.
-const NEWEST_OF_WORKER: f64 = 0.3;
+const SLOWNESS_SMOOTHING: f64 = 0.3;
 /// Upper limit of a worker's slowness.
-const MOST_SLOW: f64 = 100.0;
+const MAX_SLOWNESS: f64 = 100.0;
 /// Ratio of two scores up to which they count as equal. Such a difference is noise, and a worker must
 /// not lose every comparison by it.
-const ALIKE: f64 = 1.1;
+const EQUAL_SCORE_RATIO: f64 = 1.1;
 /// Lower limit of measured durations, in milliseconds: the clock counts whole milliseconds.
-const LEAST_MS: f64 = 0.5;
+const MIN_DURATION_MS: f64 = 0.5;
 /// Draws after which an ejected worker is accepted too.
-const DRAWS: usize = 8;
+const MAX_DRAWS: usize = 8;
 
 /// A worker that has free capacity for the request.
 #[derive(Clone, Copy, Debug)]
@@ -61,9 +61,9 @@
 }
 
 #[derive(Debug, Default)]
-struct Record {
+struct WorkerStats {
     slowness: f64,
-    heard_at: Option<Millis>,
+    answered_at: Option<Millis>,
     /// Outstanding requests, the oldest first: when each was sent, and the usual duration of its entry
     /// in milliseconds.
     sent: VecDeque<(Millis, Option<f64>)>,
@@ -72,8 +72,8 @@
 /// Latency and failures of workers, as this daemon has measured them.
 #[derive(Debug, Default)]
 pub struct Routing {
-    records: IndexMap<WorkerId, Record>,
-    usual: IndexMap<EntryName, f64>,
+    workers: IndexMap<WorkerId, WorkerStats>,
+    usual_ms: IndexMap<EntryName, f64>,
     outliers: Outliers,
 }
 
@@ -89,18 +89,20 @@
         let first = self.draw(candidates, None, now, rng)?;
         let second = self.draw(candidates, Some(first), now, rng)?;
         let (a, b) = (candidates[first], candidates[second]);
-        Some(if self.score(&a, now) <= ALIKE * self.score(&b, now) {
-            first
-        } else {
-            second
-        })
+        Some(
+            if self.score(&a, now) <= EQUAL_SCORE_RATIO * self.score(&b, now) {
+                first
+            } else {
+                second
+            },
+        )
     }
 
     /// Records that a request was sent at `now`.
     pub fn sent(&mut self, worker: &WorkerId, entry: &EntryName, now: Millis) {
-        let usual = self.usual.get(entry).copied();
-        let record = record_of(&mut self.records, worker);
-        record.sent.push_back((now, usual));
+        let usual_ms = self.usual_ms.get(entry).copied();
+        let stats = stats_of(&mut self.workers, worker);
+        stats.sent.push_back((now, usual_ms));
     }
 
     /// Records the outcome of a request that was sent at `sent_at`, in a pool of `pool` workers. Returns
@@ -114,20 +116,20 @@
         pool: usize,
         now: Millis,
     ) -> bool {
-        let took = (now.since(sent_at).as_secs_f64() * 1e3).max(LEAST_MS);
+        let took_ms = (now.since(sent_at).as_secs_f64() * 1e3).max(MIN_DURATION_MS);
         // The first answer of an entry has nothing to compare with, so it counts as usual.
-        let usual = self.usual.get(entry).copied().unwrap_or(took);
-        let record = record_of(&mut self.records, worker);
-        if let Some(at) = record.sent.iter().position(|(at, _)| *at == sent_at) {
-            record.sent.remove(at);
+        let usual_ms = self.usual_ms.get(entry).copied().unwrap_or(took_ms);
+        let stats = stats_of(&mut self.workers, worker);
+        if let Some(at) = stats.sent.iter().position(|(at, _)| *at == sent_at) {
+            stats.sent.remove(at);
         }
         match end {
             End::Answered => {
-                let ratio = (took / usual).min(MOST_SLOW);
-                record.note(ratio, now);
-                self.note_usual(entry, took);
+                let slowness_sample = (took_ms / usual_ms).min(MAX_SLOWNESS);
+                stats.note(slowness_sample, now);
+                self.note_duration(entry, took_ms);
                 self.outliers
-                    .note(worker, Sample::Answered(ratio), pool, now)
+                    .note(worker, Sample::Answered(slowness_sample), pool, now)
             }
             End::Failed => self.outliers.note(worker, Sample::Failed, pool, now),
             End::Full | End::Abandoned => false,
@@ -136,8 +138,8 @@
 
     /// Moving average of an entry's request duration; `None` before the first answer.
     pub fn usual_run(&self, entry: &EntryName) -> Option<Duration> {
-        let usual = self.usual.get(entry)?;
-        Some(Duration::from_secs_f64(usual / 1e3))
+        let usual_ms = self.usual_ms.get(entry)?;
+        Some(Duration::from_secs_f64(usual_ms / 1e3))
     }
 
     /// Outlier detection over the same workers.
@@ -147,84 +149,91 @@
 
     /// Removes the records of all workers but those for which `is_there` holds.
     pub fn retain(&mut self, is_there: impl Fn(&WorkerId) -> bool) {
-        self.records.retain(|worker, _| is_there(worker));
+        self.workers.retain(|worker, _| is_there(worker));
         self.outliers.retain(is_there);
     }
 
     fn draw(
         &self,
         candidates: &[Candidate<'_>],
-        other_than: Option<usize>,
+        excluded: Option<usize>,
         now: Millis,
         rng: &mut impl Rng,
     ) -> Option<usize> {
         if candidates.is_empty() {
             return None;
         }
-        let mut last = rng.random_range(0..candidates.len());
-        for _ in 0..DRAWS {
-            let allowed = self.outliers.may_draw(candidates[last].worker, now, rng);
-            if allowed && (Some(last) != other_than || candidates.len() == 1) {
-                return Some(last);
+        let mut drawn = rng.random_range(0..candidates.len());
+        for _ in 0..MAX_DRAWS {
+            let allowed = self.outliers.may_draw(candidates[drawn].worker, now, rng);
+            if allowed && (Some(drawn) != excluded || candidates.len() == 1) {
+                return Some(drawn);
             }
-            last = rng.random_range(0..candidates.len());
+            drawn = rng.random_range(0..candidates.len());
         }
-        Some(other_than.unwrap_or(last))
+        Some(excluded.unwrap_or(drawn))
     }
 
     /// Expected duration of one more request, in multiples of the usual one; lower is better.
     fn score(&self, candidate: &Candidate<'_>, now: Millis) -> f64 {
-        let record = self.records.get(candidate.worker);
-        let slowness = record.map_or(1.0, |record| record.slowness(now));
-        let failing = self.outliers.failing(candidate.worker);
-        let tries = 1.0 / (1.0 - failing).max(0.01);
-        (f64::from(candidate.outstanding) + 1.0) * slowness * tries
+        let stats = self.workers.get(candidate.worker);
+        let slowness = stats.map_or(1.0, |stats| stats.slowness(now));
+        let failure_rate = self.outliers.failure_rate(candidate.worker);
+        let expected_attempts = 1.0 / (1.0 - failure_rate).max(0.01);
+        (f64::from(candidate.outstanding) + 1.0) * slowness * expected_attempts
     }
 
-    fn note_usual(&mut self, entry: &EntryName, took: f64) {
-        match self.usual.get_mut(entry) {
+    fn note_duration(&mut self, entry: &EntryName, took_ms: f64) {
+        match self.usual_ms.get_mut(entry) {
             // An answer counts at most threefold, so that one slow worker can't raise the average far.
-            Some(usual) => *usual += NEWEST * (took.min(*usual * 3.0) - *usual),
+            Some(usual_ms) => {
+                *usual_ms += DURATION_SMOOTHING * (took_ms.min(*usual_ms * 3.0) - *usual_ms)
+            }
             None => {
-                self.usual.insert(entry.clone(), took);
+                self.usual_ms.insert(entry.clone(), took_ms);
             }
         }
     }
 }
 
-fn record_of<'a>(records: &'a mut IndexMap<WorkerId, Record>, worker: &WorkerId) -> &'a mut Record {
-    if !records.contains_key(worker) {
-        records.insert(
+fn stats_of<'a>(
+    workers: &'a mut IndexMap<WorkerId, WorkerStats>,
+    worker: &WorkerId,
+) -> &'a mut WorkerStats {
+    if !workers.contains_key(worker) {
+        workers.insert(
             worker.clone(),
-            Record {
+            WorkerStats {
                 slowness: 1.0,
-                ..Record::default()
+                ..WorkerStats::default()
             },
         );
     }
-    &mut records[worker]
+    &mut workers[worker]
 }
 
-impl Record {
-    fn note(&mut self, ratio: f64, now: Millis) {
-        let known = self.remembered(now);
-        self.slowness = known + NEWEST_OF_WORKER * (ratio - known);
-        self.heard_at = Some(now);
+impl WorkerStats {
+    fn note(&mut self, slowness_sample: f64, now: Millis) {
+        let previous = self.decayed_slowness(now);
+        self.slowness = previous + SLOWNESS_SMOOTHING * (slowness_sample - previous);
+        self.answered_at = Some(now);
     }
 
     /// Recent slowness, decayed towards 1 by the time since the last answer.
-    fn remembered(&self, now: Millis) -> f64 {
-        let age = self.heard_at.map_or(Duration::ZERO, |at| now.since(at));
-        let kept = 0.5_f64.powf(age.as_secs_f64() / FORGET.as_secs_f64());
-        1.0 + (self.slowness - 1.0) * kept
+    fn decayed_slowness(&self, now: Millis) -> f64 {
+        let age = self.answered_at.map_or(Duration::ZERO, |at| now.since(at));
+        let weight = 0.5_f64.powf(age.as_secs_f64() / SLOWNESS_HALF_LIFE.as_secs_f64());
+        1.0 + (self.slowness - 1.0) * weight
     }
 
     /// The greater of the recent slowness and the relative age of the oldest outstanding request.
     fn slowness(&self, now: Millis) -> f64 {
-        let oldest = self.sent.front().map_or(0.0, |(at, usual)| {
+        let oldest = self.sent.front().map_or(0.0, |(at, usual_ms)| {
             let age = now.since(*at).as_secs_f64() * 1e3;
-            usual.map_or(0.0, |usual| age / usual.max(LEAST_MS))
+            usual_ms.map_or(0.0, |usual_ms| age / usual_ms.max(MIN_DURATION_MS))
         });
-        self.remembered(now).max(oldest).clamp(0.1, MOST_SLOW)
+        self.decayed_slowness(now)
+            .max(oldest)
+            .clamp(0.1, MAX_SLOWNESS)
     }
 }
--- a/tests/testsuite/policy/outliers.rs
+++ b/tests/testsuite/policy/outliers.rs
@@ -3,7 +3,9 @@
 use super::{seeded, worker};
 use lapisdrum::{
     core::time::Millis,
-    policy::outliers::{FIRST_ASIDE, LEAST_SEEN, MOST_ASIDE, Outliers, RAMP, Sample},
+    policy::outliers::{
+        INITIAL_EJECTION, MAX_EJECTED_DIVISOR, MIN_SAMPLES, Outliers, RAMP_UP, Sample,
+    },
 };
 use proptest::prelude::*;
 use rand::Rng;
@@ -37,7 +39,7 @@
                 _ => Sample::Answered(1.0),
             };
             outliers.note(&worker(rng.random_range(0..pool)), sample, pool, now);
-            prop_assert!(outliers.aside(now) * MOST_ASIDE <= pool);
+            prop_assert!(outliers.ejected_count(now) * MAX_EJECTED_DIVISOR <= pool);
         }
     }
 }
@@ -52,7 +54,7 @@
         10,
         Millis(0)
     ));
-    assert!(outliers.is_aside(&worker(0), Millis(0)));
+    assert!(outliers.is_ejected(&worker(0), Millis(0)));
 }
 
 #[test]
@@ -62,10 +64,10 @@
         &mut outliers,
         0,
         Sample::Failed,
-        2 * LEAST_SEEN,
+        2 * MIN_SAMPLES,
         Millis(0)
     ));
-    assert_eq!(outliers.part(&worker(0), Millis(0)), 0.0);
+    assert_eq!(outliers.draw_share(&worker(0), Millis(0)), 0.0);
 }
 
 /// The load doubles and every worker takes three times as long: nobody is to blame, nobody is set
@@ -86,16 +88,16 @@
 fn a_worker_comes_back_slowly() {
     let mut outliers = sound_pool();
     note(&mut outliers, 0, Sample::Answered(10.0), 10, Millis(0));
-    let back = Millis(0) + FIRST_ASIDE;
+    let back = Millis(0) + INITIAL_EJECTION;
     assert_eq!(
-        outliers.part(&worker(0), back.before(Duration::from_millis(1))),
+        outliers.draw_share(&worker(0), back.before(Duration::from_millis(1))),
         0.0
     );
-    assert!(outliers.part(&worker(0), back) < 0.1);
-    assert!(outliers.part(&worker(0), back + RAMP / 2) < 0.6);
-    assert_eq!(outliers.part(&worker(0), back + RAMP), 1.0);
+    assert!(outliers.draw_share(&worker(0), back) < 0.1);
+    assert!(outliers.draw_share(&worker(0), back + RAMP_UP / 2) < 0.6);
+    assert_eq!(outliers.draw_share(&worker(0), back + RAMP_UP), 1.0);
     assert!(note(&mut outliers, 0, Sample::Answered(10.0), 10, back));
-    let second = back + FIRST_ASIDE * 2;
-    assert!(outliers.is_aside(&worker(0), second.before(Duration::from_millis(1))));
-    assert!(!outliers.is_aside(&worker(0), second));
+    let second = back + INITIAL_EJECTION * 2;
+    assert!(outliers.is_ejected(&worker(0), second.before(Duration::from_millis(1))));
+    assert!(!outliers.is_ejected(&worker(0), second));
 }
--- a/tests/testsuite/policy/queueing.rs
+++ b/tests/testsuite/policy/queueing.rs
@@ -5,7 +5,9 @@
 use indexmap::IndexMap;
 use lapisdrum::{
     core::{catalogue::Class, time::Millis},
-    policy::queueing::{Enqueued, Item, Queue, REST_TURN, Reason, STANDING, Ticket},
+    policy::queueing::{
+        BACKGROUND_START_INTERVAL, Enqueued, Item, Queue, Reason, STANDING_QUEUE_AFTER, Ticket,
+    },
 };
 use proptest::prelude::*;
 use std::time::Duration;
@@ -149,11 +151,11 @@
     #[test]
     fn batch_is_not_starved(turns in 1..20_u32) {
         let mut queue: Queue<bool> = Queue::default();
-        for _ in 0..turns * REST_TURN {
+        for _ in 0..turns * BACKGROUND_START_INTERVAL {
             put(&mut queue, item("a", 0), false, Millis(0));
             put(&mut queue, batch("b"), true, Millis(0));
         }
-        let batch_starts = (0..turns * REST_TURN).filter(|_| take(&mut queue, Millis(0)) == Some(true));
+        let batch_starts = (0..turns * BACKGROUND_START_INTERVAL).filter(|_| take(&mut queue, Millis(0)) == Some(true));
         prop_assert_eq!(batch_starts.count(), turns as usize);
     }
 }
@@ -264,7 +266,7 @@
         take(&mut queue, Millis(n * 10)).expect("work waits");
     }
     let now = Millis(300);
-    assert!(now.since(Millis(0)) > STANDING);
+    assert!(now.since(Millis(0)) > STANDING_QUEUE_AFTER);
     let due = |caller| Item {
         deadline: Some(Millis(10_000)),
         ..item("map", caller)
--- a/tests/testsuite/policy/routing.rs
+++ b/tests/testsuite/policy/routing.rs
@@ -3,7 +3,7 @@
 use super::{entry, seeded, worker};
 use lapisdrum::{
     core::{id::WorkerId, time::Millis},
-    policy::routing::{Candidate, End, FORGET, Routing},
+    policy::routing::{Candidate, End, Routing, SLOWNESS_HALF_LIFE},
 };
 use proptest::prelude::*;
 use std::time::Duration;
@@ -83,7 +83,7 @@
         exchange(&mut routing, &workers, 20, 50, Millis(i * 1_000));
     }
     assert!(draws_of_first(&routing, &workers, Millis(4_000)) < 30);
-    let later = Millis(4_000) + FORGET * 20;
+    let later = Millis(4_000) + SLOWNESS_HALF_LIFE * 20;
     assert!(draws_of_first(&routing, &workers, later) > 60);
 }
 
@@ -142,5 +142,5 @@
             Millis(i + 1),
         );
     }
-    assert_eq!(routing.outliers().aside(Millis(60)), 0);
+    assert_eq!(routing.outliers().ejected_count(Millis(60)), 0);
 }
