--- a/src/lapisdrum/policy/outliers.rs
+++ b/src/lapisdrum/policy/outliers.rs
@@ -1,202 +1,203 @@
-//! Which workers are set aside because they are slow or fail, and how they come back.
+//! Outlier ejection: workers that are slow or fail get no requests for a time.
 //!
 //! Load patterns: one worker ten times slower than the rest; one that hangs; one that fails at once,
-//! so that it always has the least work outstanding and draws every request to itself. Without it
+//! so that it always has the fewest requests outstanding and attracts all new ones. Without ejection
 //! the last one alone can fail most of the traffic.
 //!
-//! A worker is judged against the median of its peers, never against a fixed time, so a slow entry
-//! or a general overload sets nobody aside. It is set aside for a time that doubles with each
-//! repetition and then comes back on a growing part of the draws ([`RAMP`]). At most a third of the
-//! pool is aside at once ([`MOST_ASIDE`]): where more than that seems slow, the cause is the load or
-//! the network and not the workers, and fewer of them would only be worse.
+//! A worker is compared with the median of its peers, never with a fixed time, so a slow entry or a
+//! general overload ejects no worker. The ejection time doubles with each repetition; afterwards the
+//! worker takes part in a growing share of the draws ([`RAMP_UP`]). At most a third of the pool is
+//! ejected at once ([`MAX_EJECTED_DIVISOR`]): if more than that seem slow, the cause is the load or the
+//! network, and fewer workers would only make it worse.
 
 use crate::core::{id::WorkerId, time::Millis};
 use indexmap::IndexMap;
 use rand::Rng;
 use std::time::Duration;
 
-/// One part in so many of the pool may be aside.
-pub const MOST_ASIDE: usize = 3;
-/// Slowness relative to the median of the pool from which a worker is an outlier.
-pub const SLOW: f64 = 3.0;
-/// Slowness relative to its entries' usual times below which a worker is compared with nobody: the
-/// usual times are themselves averages over the pool.
-const SUSPECT: f64 = SLOW / 2.0;
-/// Part of failed sends from which a worker is an outlier.
-pub const FAILING: f64 = 0.5;
-/// Sends that must have ended before a worker is judged: enough that a few slow answers by chance
-/// set nobody aside.
-pub const LEAST_SEEN: u32 = 5;
-/// First time aside.
-pub const FIRST_ASIDE: Duration = Duration::from_secs(5);
-/// Longest time aside.
-pub const LONGEST_ASIDE: Duration = Duration::from_secs(120);
-/// Time over which a worker that comes back is drawn more and more often.
-pub const RAMP: Duration = Duration::from_secs(10);
-/// Part of the draws with which the return begins.
-const FIRST_PROBE: f64 = 0.05;
-/// Weight of the newest send in a worker's averages.
-const NEWEST: f64 = 0.2;
-
-/// How a send to a worker ended, for judging the worker.
+/// At most the pool's size divided by this is ejected at once.
+pub const MAX_EJECTED_DIVISOR: usize = 3;
+/// Ratio to the median slowness of its peers above which a worker is an outlier.
+pub const SLOWNESS_LIMIT: f64 = 3.0;
+/// Slowness up to which a worker is not compared with its peers. Slowness is relative to the usual
+/// durations of entries, which are themselves averages over the pool.
+const SUSPECT_SLOWNESS: f64 = SLOWNESS_LIMIT / 2.0;
+/// Failure rate, 0 to 1, above which a worker is an outlier unless its peers fail too.
+pub const FAILURE_RATE_LIMIT: f64 = 0.5;
+/// Samples that are needed before a worker can be ejected, so that a few answers that are slow by
+/// chance don't eject it.
+pub const MIN_SAMPLES: u32 = 5;
+/// Duration of a worker's first ejection.
+pub const INITIAL_EJECTION: Duration = Duration::from_secs(5);
+/// Longest duration of an ejection.
+pub const MAX_EJECTION: Duration = Duration::from_secs(120);
+/// Time after an ejection over which a worker's share of the draws rises to 1.
+pub const RAMP_UP: Duration = Duration::from_secs(10);
+/// Share of the draws directly after an ejection.
+const INITIAL_DRAW_SHARE: f64 = 0.05;
+/// Weight of the newest sample in a worker's moving averages.
+const SMOOTHING: f64 = 0.2;
+
+/// Outcome of a request to a worker, as outlier detection counts it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Sample {
-    /// Answered, in this many times the time that its entry usually takes.
+    /// Answered; the duration in multiples of the entry's usual one.
     Answered(f64),
-    /// Failed, or not answered in time.
+    /// Not reached, answered with a server error, or not answered in time.
     Failed,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Record {
+struct WorkerStats {
     slowness: f64,
-    failing: f64,
-    seen: u32,
-    aside: u32,
-    back_at: Option<Millis>,
+    failure_rate: f64,
+    samples: u32,
+    ejections: u32,
+    ejected_until: Option<Millis>,
 }
 
-impl Default for Record {
+impl Default for WorkerStats {
     fn default() -> Self {
         Self {
             slowness: 1.0,
-            failing: 0.0,
-            seen: 0,
-            aside: 0,
-            back_at: None,
+            failure_rate: 0.0,
+            samples: 0,
+            ejections: 0,
+            ejected_until: None,
         }
     }
 }
 
-/// What is known of each worker's answers, and who is set aside.
+/// Moving averages of each worker's outcomes, and the ejected workers.
 #[derive(Debug, Default)]
 pub struct Outliers {
-    records: IndexMap<WorkerId, Record>,
+    workers: IndexMap<WorkerId, WorkerStats>,
 }
 
 impl Outliers {
-    /// Takes how a send ended. Returns whether the worker is set aside by it, in a pool of `pool`.
+    /// Records an outcome, in a pool of `pool` workers. Returns whether the worker is ejected for it.
     pub fn note(&mut self, worker: &WorkerId, sample: Sample, pool: usize, now: Millis) -> bool {
-        let record = self.records.entry(worker.clone()).or_default();
-        record.note(sample);
-        if record.is_aside(now) || record.seen < LEAST_SEEN {
+        let stats = self.workers.entry(worker.clone()).or_default();
+        stats.note(sample);
+        if stats.is_ejected(now) || stats.samples < MIN_SAMPLES {
             return false;
         }
-        let record = *record;
-        if !record.is_suspect() || !self.is_outlier(worker, &record) {
+        let stats = *stats;
+        if !stats.is_suspect() || !self.is_outlier(worker, &stats) {
             return false;
         }
-        if (self.aside(now) + 1) * MOST_ASIDE > pool {
+        if (self.ejected_count(now) + 1) * MAX_EJECTED_DIVISOR > pool {
             return false;
         }
-        self.set_aside(worker, now);
+        self.eject(worker, now);
         true
     }
 
-    /// Whether the worker may be drawn at `now`: never while aside, on part of the draws afterwards.
+    /// Whether the worker takes part in a draw at `now`, at random by its share of the draws.
     pub fn may_draw(&self, worker: &WorkerId, now: Millis, rng: &mut impl Rng) -> bool {
-        let part = self.part(worker, now);
-        part >= 1.0 || (part > 0.0 && rng.random_range(0.0..1.0) < part)
+        let draw_share = self.draw_share(worker, now);
+        draw_share >= 1.0 || (draw_share > 0.0 && rng.random_range(0.0..1.0) < draw_share)
     }
 
-    /// Part of the draws in which a worker takes part, 0 to 1.
-    pub fn part(&self, worker: &WorkerId, now: Millis) -> f64 {
-        self.records
+    /// Share of the draws in which a worker takes part: 0 while ejected, then rising to 1.
+    pub fn draw_share(&self, worker: &WorkerId, now: Millis) -> f64 {
+        self.workers
             .get(worker)
-            .map_or(1.0, |record| record.part(now))
+            .map_or(1.0, |stats| stats.draw_share(now))
     }
 
-    /// Whether a worker is set aside.
-    pub fn is_aside(&self, worker: &WorkerId, now: Millis) -> bool {
-        self.records
+    /// Whether a worker is ejected at `now`.
+    pub fn is_ejected(&self, worker: &WorkerId, now: Millis) -> bool {
+        self.workers
             .get(worker)
-            .is_some_and(|record| record.is_aside(now))
+            .is_some_and(|stats| stats.is_ejected(now))
     }
 
-    /// Workers that are set aside.
-    pub fn aside(&self, now: Millis) -> usize {
-        self.records
+    /// Number of workers that are ejected at `now`.
+    pub fn ejected_count(&self, now: Millis) -> usize {
+        self.workers
             .values()
-            .filter(|record| record.is_aside(now))
+            .filter(|stats| stats.is_ejected(now))
             .count()
     }
 
-    /// How slow a worker is relative to its entries' usual times; 1 when nothing is known.
+    /// Moving average of a worker's durations, in multiples of its entries' usual ones; 1 without
+    /// samples.
     pub fn slowness(&self, worker: &WorkerId) -> f64 {
-        self.records
-            .get(worker)
-            .map_or(1.0, |record| record.slowness)
+        self.workers.get(worker).map_or(1.0, |stats| stats.slowness)
     }
 
-    /// Part of a worker's late sends that failed.
-    pub fn failing(&self, worker: &WorkerId) -> f64 {
-        self.records
+    /// Moving average of a worker's failures, 0 to 1.
+    pub fn failure_rate(&self, worker: &WorkerId) -> f64 {
+        self.workers
             .get(worker)
-            .map_or(0.0, |record| record.failing)
+            .map_or(0.0, |stats| stats.failure_rate)
     }
 
-    /// Forgets workers that are gone.
+    /// Removes the records of all workers but those for which `is_there` holds.
     pub fn retain(&mut self, is_there: impl Fn(&WorkerId) -> bool) {
-        self.records.retain(|worker, _| is_there(worker));
+        self.workers.retain(|worker, _| is_there(worker));
     }
 
-    fn is_outlier(&self, worker: &WorkerId, record: &Record) -> bool {
+    fn is_outlier(&self, worker: &WorkerId, stats: &WorkerStats) -> bool {
         let others = self
-            .records
+            .workers
             .iter()
-            .filter(|(other, r)| *other != worker && r.seen > 0);
+            .filter(|(other, r)| *other != worker && r.samples > 0);
         let mut slowness: Vec<f64> = others.clone().map(|(_, r)| r.slowness).collect();
-        let mut failing: Vec<f64> = others.map(|(_, r)| r.failing).collect();
-        let (Some(usual), Some(usual_failing)) = (median(&mut slowness), median(&mut failing))
+        let mut failure_rate: Vec<f64> = others.map(|(_, r)| r.failure_rate).collect();
+        let (Some(median_slowness), Some(median_failure_rate)) =
+            (median(&mut slowness), median(&mut failure_rate))
         else {
             return false;
         };
-        record.slowness > SLOW * usual || record.failing > FAILING.max(2.0 * usual_failing)
+        stats.slowness > SLOWNESS_LIMIT * median_slowness
+            || stats.failure_rate > FAILURE_RATE_LIMIT.max(2.0 * median_failure_rate)
     }
 
-    fn set_aside(&mut self, worker: &WorkerId, now: Millis) {
-        if let Some(record) = self.records.get_mut(worker) {
-            let time = FIRST_ASIDE * 2_u32.saturating_pow(record.aside.min(8));
-            *record = Record {
-                aside: record.aside + 1,
-                back_at: Some(now + time.min(LONGEST_ASIDE)),
-                ..Record::default()
+    fn eject(&mut self, worker: &WorkerId, now: Millis) {
+        if let Some(stats) = self.workers.get_mut(worker) {
+            let duration = INITIAL_EJECTION * 2_u32.saturating_pow(stats.ejections.min(8));
+            *stats = WorkerStats {
+                ejections: stats.ejections + 1,
+                ejected_until: Some(now + duration.min(MAX_EJECTION)),
+                ..WorkerStats::default()
             };
         }
     }
 }
 
-impl Record {
+impl WorkerStats {
     fn note(&mut self, sample: Sample) {
         let (slowness, failed) = match sample {
             Sample::Answered(slowness) => (Some(slowness), 0.0),
             Sample::Failed => (None, 1.0),
         };
         if let Some(slowness) = slowness {
-            self.slowness += NEWEST * (slowness - self.slowness);
+            self.slowness += SMOOTHING * (slowness - self.slowness);
         }
-        self.failing += NEWEST * (failed - self.failing);
-        self.seen = self.seen.saturating_add(1);
+        self.failure_rate += SMOOTHING * (failed - self.failure_rate);
+        self.samples = self.samples.saturating_add(1);
     }
 
-    /// Whether it is worth comparing with all the others.
+    /// Whether the worker is to be compared with its peers.
     fn is_suspect(&self) -> bool {
-        self.slowness > SUSPECT || self.failing > FAILING
+        self.slowness > SUSPECT_SLOWNESS || self.failure_rate > FAILURE_RATE_LIMIT
     }
 
-    fn is_aside(&self, now: Millis) -> bool {
-        self.back_at.is_some_and(|back| now < back)
+    fn is_ejected(&self, now: Millis) -> bool {
+        self.ejected_until.is_some_and(|end| now < end)
     }
 
-    fn part(&self, now: Millis) -> f64 {
-        let Some(back) = self.back_at else {
+    fn draw_share(&self, now: Millis) -> f64 {
+        let Some(end) = self.ejected_until else {
             return 1.0;
         };
-        if now < back {
+        if now < end {
             return 0.0;
         }
-        let risen = now.since(back).as_secs_f64() / RAMP.as_secs_f64();
-        (FIRST_PROBE + risen).min(1.0)
+        let ramped_up = now.since(end).as_secs_f64() / RAMP_UP.as_secs_f64();
+        (INITIAL_DRAW_SHARE + ramped_up).min(1.0)
     }
 }
 
--- a/src/lapisdrum/policy/placement.rs
+++ b/src/lapisdrum/policy/placement.rs
@@ -1,19 +1,19 @@
-//! Which worker a task goes to.
+//! Chooses the host for a task.
 //!
 //! Load patterns: small batch tasks beside a few large ones; noisy tasks beside services; racks that
-//! fail whole. Without best fit the small tasks are spread thin over all hosts and no host has room
-//! for a large one; without interference the noisy task is put beside the service; without the
-//! spread one switch takes all of an entry's tasks.
+//! fail as a whole. Without best fit, small tasks are spread over all hosts and none has free capacity
+//! for a large one; without interference estimates, the noisy task is placed beside the service;
+//! without spreading over racks, the failure of one switch takes all of an entry's tasks.
 //!
-//! Batch work waits rather than go where the services that run there would be slowed beyond
-//! [`MOST_SLOWDOWN`] by what is known: a batch task can wait for a place, and a service can't undo what
-//! it suffered before the first late report.
+//! A batch task waits rather than go to a host whose services it is estimated to slow beyond
+//! [`MAX_SLOWDOWN`]: the task can wait, and a service can't undo the delays that happen before the
+//! first report, which arrives late.
 //!
-//! A task goes only where its declared size fits. Of the hosts that fit, [`SAMPLE`] are drawn and
-//! the one with the least cost is taken: what the task suffers and does there by the learned
-//! interference ([`super::interference`]), weighed by class, plus what is left over, plus the tasks
-//! of the same entry in the same rack. A sample keeps the decision short however many workers there
-//! are: of 24 draws the best is within the best tenth of all hosts in 92 of 100 decisions
+//! A task goes only where its declared size fits. Up to [`SAMPLE_SIZE`] of the hosts that fit are
+//! sampled, and the one with the lowest cost is chosen: the estimated interference in both directions
+//! ([`super::interference`]), weighted by class, plus the capacity that stays unused, plus the share
+//! of the entry's tasks in the same rack. Sampling bounds the cost of a decision however many workers
+//! there are: the best of 24 is within the best tenth of all hosts in 92 of 100 decisions
 //! (1 - 0.9^24).
 
 use super::interference::{Interference, Kind, Neighbour};
@@ -25,60 +25,61 @@
 };
 use rand::Rng;
 
-/// Hosts that fit of which the costs are compared.
-pub const SAMPLE: usize = 24;
-/// Slowdown of latency-critical work that batch work may be expected to cause, with all that runs on
-/// the host already: from there on [`super::eviction`] would move it away again.
-pub const MOST_SLOWDOWN: f64 = super::eviction::DISTRESS;
-/// Doubt from which an estimate forbids nothing.
-const TOO_DOUBTFUL: f64 = 0.5;
-/// Weight of a slowdown of latency-critical work against one of batch work.
-const CRITICAL_WEIGHT: f64 = 10.0;
-/// Cost of a whole host left over beyond the task: best fit decides between hosts that disturb alike.
-const LEFT_OVER: f64 = 0.2;
-/// Cost of each task of the same entry in the same rack, relative to all of that entry's.
-const SAME_RACK: f64 = 0.3;
+/// Maximum number of fitting hosts whose costs are compared.
+pub const SAMPLE_SIZE: usize = 24;
+/// Estimated slowdown of latency-critical work, together with all that runs on the host already, up to
+/// which a batch task may be placed. Above it [`super::eviction`] would remove the task again.
+pub const MAX_SLOWDOWN: f64 = super::eviction::DISTRESS;
+/// Uncertainty of an interference estimate from which it rules out no host.
+const MAX_UNCERTAINTY: f64 = 0.5;
+/// Weight of a slowdown of latency-critical work, relative to one of batch work.
+const LATENCY_CRITICAL_WEIGHT: f64 = 10.0;
+/// Cost of leaving a whole host unused: best fit decides between hosts with similar interference.
+const UNUSED_CAPACITY_COST: f64 = 0.2;
+/// Cost of having all of an entry's placed tasks in the same rack; a part of them costs in proportion.
+const SAME_RACK_COST: f64 = 0.3;
 
-/// Something that runs on a host, as placement weighs it.
+/// Running work of one kind on a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Resident {
-    /// Its kind and how many of it.
+    /// The kind, and the number of tasks or requests of it.
     pub neighbour: Neighbour,
-    /// Its class.
+    /// Class of the kind, which weights its slowdown.
     pub class: Class,
 }
 
-/// A host that may take a task: live, not leaving, claimed, not set aside.
+/// A host that may take a task: its worker is live, claimed, not leaving and not ejected.
 #[derive(Clone, Copy, Debug)]
 pub struct Room<'a> {
-    /// The worker.
+    /// Worker that runs on the host.
     pub worker: &'a WorkerId,
-    /// Its rack.
+    /// Rack of the host.
     pub rack: &'a Rack,
-    /// All that it has.
+    /// Total capacity.
     pub capacity: Size,
-    /// What is free on it.
+    /// Free capacity.
     pub free: Size,
-    /// Tasks and latency-critical requests that run there, one a kind.
+    /// Tasks and latency-critical requests that run on the host, one element per kind.
     pub residents: &'a [Resident],
-    /// Tasks of the wanted entry in this host's rack.
+    /// Number of tasks in this host's rack of the same entry as the task to place.
     pub same_in_rack: u32,
 }
 
-/// A task that needs a place.
+/// A task to place.
 #[derive(Clone, Copy, Debug)]
 pub struct Wanted {
-    /// Its kind.
+    /// Kind by which interference is estimated.
     pub kind: Kind,
-    /// Its class.
+    /// Batch tasks are kept from services that they would slow too far; others are not.
     pub class: Class,
-    /// Its declared size.
+    /// Declared size, which must fit into the free capacity.
     pub size: Size,
-    /// Tasks of the same entry that are placed in all racks.
+    /// Number of placed tasks of the same entry, over all racks.
     pub same_placed: u32,
 }
 
-/// Picks a host; none when the task fits nowhere.
+/// Chooses a host, by index; `None` when no host fits, or when a batch task would slow the services of
+/// every sampled host too far.
 pub fn choose(
     rooms: &[Room<'_>],
     wanted: &Wanted,
@@ -87,17 +88,18 @@
     rng: &mut impl Rng,
 ) -> Option<usize> {
     let sample = sample_fitting(rooms, &wanted.size, rng);
-    let open = sample.into_iter().filter(|index| {
-        wanted.class != Class::Batch || is_bearable(&rooms[*index], wanted, interference, now)
+    let allowed = sample.into_iter().filter(|index| {
+        wanted.class != Class::Batch
+            || is_slowdown_acceptable(&rooms[*index], wanted, interference, now)
     });
-    let costs = open.map(|index| (cost(&rooms[index], wanted, interference, now), index));
+    let costs = allowed.map(|index| (cost(&rooms[index], wanted, interference, now), index));
     costs
         .min_by(|(a, _), (b, _)| a.total_cmp(b))
         .map(|(_, index)| index)
 }
 
-/// Up to [`SAMPLE`] hosts that fit, visited from a random one on in steps of a random stride. A
-/// stride that shares no factor with their number visits every host once.
+/// Up to [`SAMPLE_SIZE`] hosts that fit, found from a random host on in steps of a random stride. A
+/// stride that is coprime to the number of hosts reaches every host once.
 fn sample_fitting(rooms: &[Room<'_>], size: &Size, rng: &mut impl Rng) -> Vec<usize> {
     let count = rooms.len();
     if count == 0 {
@@ -108,7 +110,7 @@
     (0..count)
         .map(|i| (start + i * stride) % count)
         .filter(|index| size.fits(&rooms[*index].free))
-        .take(SAMPLE)
+        .take(SAMPLE_SIZE)
         .collect()
 }
 
@@ -122,32 +124,37 @@
     if b == 0 { a } else { gcd(b, a % b) }
 }
 
-/// Cost of a task on a host; lower is better.
+/// Cost of placing the task on the host; lower is better.
 pub fn cost(room: &Room<'_>, wanted: &Wanted, interference: &Interference, now: Millis) -> f64 {
-    let harm = harm(room.residents, wanted, interference, now);
-    let left = left_over(room, &wanted.size);
-    let crowd = match wanted.same_placed {
+    let interference_cost = interference_cost(room.residents, wanted, interference, now);
+    let unused = unused_fraction(room, &wanted.size);
+    let rack_share = match wanted.same_placed {
         0 => 0.0,
         placed => f64::from(room.same_in_rack) / f64::from(placed),
     };
-    harm + LEFT_OVER * left + SAME_RACK * crowd
+    interference_cost + UNUSED_CAPACITY_COST * unused + SAME_RACK_COST * rack_share
 }
 
-/// Whether the services on a host stay within the slowdown that batch work may cause.
-fn is_bearable(room: &Room<'_>, wanted: &Wanted, interference: &Interference, now: Millis) -> bool {
-    let known = |service: Kind, kind: Kind| match interference.doubt(service, kind, now) {
-        doubt if doubt < TOO_DOUBTFUL => interference.added(service, kind, now),
+/// Whether the services that the task would slow stay within [`MAX_SLOWDOWN`].
+fn is_slowdown_acceptable(
+    room: &Room<'_>,
+    wanted: &Wanted,
+    interference: &Interference,
+    now: Millis,
+) -> bool {
+    let estimated = |service: Kind, kind: Kind| match interference.doubt(service, kind, now) {
+        doubt if doubt < MAX_UNCERTAINTY => interference.added(service, kind, now),
         _ => 0.0,
     };
     let expected = |service: Kind| {
         let residents = room.residents.iter().map(|resident| resident.neighbour);
         let others = residents.filter(|neighbour| neighbour.kind != service);
-        let present: f64 = others
-            .map(|neighbour| f64::from(neighbour.count) * known(service, neighbour.kind))
+        let from_residents: f64 = others
+            .map(|neighbour| f64::from(neighbour.count) * estimated(service, neighbour.kind))
             .sum();
-        let own = known(service, wanted.kind);
-        // What the task does not add to is none of its business.
-        (own > 0.0).then_some(1.0 + present + own)
+        let from_task = estimated(service, wanted.kind);
+        // A service that this task does not slow is no reason to keep it away.
+        (from_task > 0.0).then_some(1.0 + from_residents + from_task)
     };
     let services = room
         .residents
@@ -155,11 +162,16 @@
         .filter(|resident| resident.class == Class::LatencyCritical);
     services
         .filter_map(|service| expected(service.neighbour.kind))
-        .all(|slowdown| slowdown <= MOST_SLOWDOWN)
+        .all(|slowdown| slowdown <= MAX_SLOWDOWN)
 }
 
-/// Slowdown that the task would suffer and cause, weighed by class.
-fn harm(residents: &[Resident], wanted: &Wanted, interference: &Interference, now: Millis) -> f64 {
+/// Estimated slowdown that the task would cause and suffer, weighted by class.
+fn interference_cost(
+    residents: &[Resident],
+    wanted: &Wanted,
+    interference: &Interference,
+    now: Millis,
+) -> f64 {
     let each = residents.iter().map(|resident| {
         let count = f64::from(resident.neighbour.count);
         let kind = resident.neighbour.kind;
@@ -172,21 +184,25 @@
 
 fn weight(class: Class) -> f64 {
     match class {
-        Class::LatencyCritical => CRITICAL_WEIGHT,
-        Class::LongRunning => CRITICAL_WEIGHT / 2.0,
+        Class::LatencyCritical => LATENCY_CRITICAL_WEIGHT,
+        Class::LongRunning => LATENCY_CRITICAL_WEIGHT / 2.0,
         Class::Batch => 1.0,
     }
 }
 
-/// The part of a host that is left over in the scarcest dimension that the task takes, 0 to 1. Those
-/// that it does not take say nothing: a host without a free accelerator would always look full.
-fn left_over(room: &Room<'_>, size: &Size) -> f64 {
-    let part = |free: u64, taken: u64, all: u64| match taken {
+/// Fraction of the host's capacity that stays free after placement, in the scarcest dimension that the
+/// task uses. Others are left out: a host without a free accelerator would always look full.
+fn unused_fraction(room: &Room<'_>, size: &Size) -> f64 {
+    let fraction = |free: u64, taken: u64, capacity: u64| match taken {
         0 => 1.0,
-        taken => free.saturating_sub(taken) as f64 / all.max(1) as f64,
+        taken => free.saturating_sub(taken) as f64 / capacity.max(1) as f64,
     };
-    let (free, all) = (&room.free, &room.capacity);
-    part(free.millicores, size.millicores, all.millicores)
-        .min(part(free.memory_mb, size.memory_mb, all.memory_mb))
-        .min(part(free.accelerators, size.accelerators, all.accelerators))
+    let (free, capacity) = (&room.free, &room.capacity);
+    fraction(free.millicores, size.millicores, capacity.millicores)
+        .min(fraction(free.memory_mb, size.memory_mb, capacity.memory_mb))
+        .min(fraction(
+            free.accelerators,
+            size.accelerators,
+            capacity.accelerators,
+        ))
 }
--- a/src/lapisdrum/policy/queueing/lane.rs
+++ b/src/lapisdrum/policy/queueing/lane.rs
@@ -1,8 +1,8 @@
-//! One class of waiting items: owners that share by weight, and the flows of each owner.
+//! Fair queue of one tier: owners share by weight, and the flows of an owner share equally.
 //!
-//! Start-time fair queueing at both levels: whoever is served is charged its expected run time, and
-//! the one that was charged least is next. One that comes back after idling starts where the others
-//! are, so that unused turns are not saved up.
+//! Start-time fair queueing at both levels: each start is charged its expected run time, and the
+//! owner or flow with the lowest start tag is next. One that was idle resumes at the current virtual
+//! time, so that it can't claim the turns that it did not use.
 
 use super::{Item, Ticket};
 use crate::core::{
@@ -12,8 +12,8 @@
 use indexmap::IndexMap;
 use std::{collections::BTreeMap, time::Duration};
 
-/// Run time that a start is taken to cost at least, so that items of unknown cost count too.
-const LEAST_COST: Duration = Duration::from_micros(100);
+/// Minimum cost of a start, so that items of unknown run time are charged too.
+const MIN_COST: Duration = Duration::from_micros(100);
 
 impl Item {
     pub(super) fn flow(&self) -> FlowKey {
@@ -23,12 +23,12 @@
         }
     }
 
-    /// Cost in microseconds of run time.
+    /// Expected run time in microseconds, at least [`MIN_COST`].
     pub(super) fn cost(&self) -> f64 {
-        self.run.max(LEAST_COST).as_secs_f64() * 1e6
+        self.run.max(MIN_COST).as_secs_f64() * 1e6
     }
 
-    /// Items without a deadline stand behind all that have one, in order of arrival.
+    /// Sort key within a flow: by deadline, then by arrival. Items without a deadline come last.
     pub(super) fn rank(&self, ticket: Ticket) -> (Millis, Ticket) {
         (self.deadline.unwrap_or(Millis(u64::MAX)), ticket)
     }
@@ -40,57 +40,57 @@
     caller: u64,
 }
 
-/// One class: owners that share by weight.
+/// Items of one tier, by owner and flow.
 #[derive(Debug, Default)]
-pub(super) struct Lane {
+pub(super) struct FairQueue {
     owners: IndexMap<OwnerName, Owner>,
-    /// Virtual time: the start tag of the owner that was served last.
-    clock: f64,
+    /// Virtual time: the highest start tag of an owner that was served.
+    virtual_time: f64,
 }
 
 #[derive(Debug)]
 struct Owner {
     weight: u32,
-    /// Virtual time from which it may be served next.
-    tag: f64,
-    clock: f64,
+    /// Start tag: the virtual time, in microseconds of run time per unit of weight, of its next start.
+    start_tag: f64,
+    virtual_time: f64,
     flows: IndexMap<FlowKey, Flow>,
     waiting: usize,
 }
 
 #[derive(Debug)]
 struct Flow {
-    tag: f64,
-    /// In order of deadline, then arrival.
+    start_tag: f64,
+    /// Ordered by [`Item::rank`].
     items: BTreeMap<(Millis, Ticket), ()>,
 }
 
-impl Lane {
+impl FairQueue {
     pub(super) fn is_empty(&self) -> bool {
         self.owners.values().all(|owner| owner.waiting == 0)
     }
 
     pub(super) fn insert(&mut self, item: &Item, ticket: Ticket) {
-        let clock = self.clock;
+        let virtual_time = self.virtual_time;
         let owner = self.owners.entry(item.owner.clone()).or_insert(Owner {
             weight: 1,
-            tag: clock,
-            clock: 0.0,
+            start_tag: virtual_time,
+            virtual_time: 0.0,
             flows: IndexMap::new(),
             waiting: 0,
         });
         if owner.waiting == 0 {
-            owner.tag = owner.tag.max(clock);
+            owner.start_tag = owner.start_tag.max(virtual_time);
         }
         owner.weight = item.weight.max(1);
         owner.waiting += 1;
-        let clock = owner.clock;
+        let virtual_time = owner.virtual_time;
         let flow = owner.flows.entry(item.flow()).or_insert(Flow {
-            tag: clock,
+            start_tag: virtual_time,
             items: BTreeMap::new(),
         });
         if flow.items.is_empty() {
-            flow.tag = flow.tag.max(clock);
+            flow.start_tag = flow.start_tag.max(virtual_time);
         }
         flow.items.insert(item.rank(ticket), ());
     }
@@ -104,17 +104,17 @@
             && flow.items.remove(&item.rank(ticket)).is_some()
         {
             owner.waiting -= 1;
-            // A flow that is ahead of its share is remembered until the others have caught up.
-            if flow.items.is_empty() && flow.tag <= owner.clock {
+            // The start tag of a flow ahead of its share is kept, so that it can't return uncharged.
+            if flow.items.is_empty() && flow.start_tag <= owner.virtual_time {
                 owner.flows.swap_remove(&key);
             }
         }
-        if owner.waiting == 0 && owner.tag <= self.clock {
+        if owner.waiting == 0 && owner.start_tag <= self.virtual_time {
             self.owners.swap_remove(&item.owner);
         }
     }
 
-    /// The next item by share and deadline among those that may start.
+    /// The next item by share and deadline, among those that `may_start` allows.
     pub(super) fn pick(
         &self,
         may_start: &impl Fn(&EntryName, &OwnerName) -> bool,
@@ -122,7 +122,7 @@
         let owners = self.owners.iter().filter(|(_, owner)| owner.waiting > 0);
         let found = owners.filter_map(|(name, owner)| {
             let ticket = owner.pick(|entry| may_start(entry, name))?;
-            Some((owner.tag, ticket))
+            Some((owner.start_tag, ticket))
         });
         let first = found.min_by(|(a, _), (b, _)| a.total_cmp(b));
         first.map(|(_, ticket)| ticket)
@@ -133,38 +133,38 @@
         let Some(owner) = self.owners.get_mut(owner) else {
             return;
         };
-        self.clock = self.clock.max(owner.tag);
-        owner.tag += cost / f64::from(owner.weight);
+        self.virtual_time = self.virtual_time.max(owner.start_tag);
+        owner.start_tag += cost / f64::from(owner.weight);
         if let Some(flow) = owner.flows.get_mut(key) {
-            owner.clock = owner.clock.max(flow.tag);
-            flow.tag += cost;
+            owner.virtual_time = owner.virtual_time.max(flow.start_tag);
+            flow.start_tag += cost;
         }
     }
 
-    /// Items that would be started before one more of this flow.
+    /// Estimated number of items that start before a new item of this flow.
     pub(super) fn ahead_of(&self, name: &OwnerName, weight: u32, key: &FlowKey) -> f64 {
         let own = self.owners.get(name);
         let own_flow = own.and_then(|owner| owner.flows.get(key));
-        let turns = own_flow.map_or(0, |flow| flow.items.len()) as f64 + 1.0;
+        let rounds = own_flow.map_or(0, |flow| flow.items.len()) as f64 + 1.0;
         let flows = own.into_iter().flat_map(|owner| owner.flows.iter());
-        let beside: f64 = flows
+        let in_owner: f64 = flows
             .map(|(other, flow)| {
                 let waiting = flow.items.len() as f64;
                 if other == key {
                     waiting
                 } else {
-                    waiting.min(turns)
+                    waiting.min(rounds)
                 }
             })
             .sum();
         let others = self.owners.iter().filter(|(other, _)| *other != name);
-        let before: f64 = others
+        let in_other_owners: f64 = others
             .map(|(_, owner)| {
                 let share = f64::from(owner.weight) / f64::from(weight.max(1));
-                (owner.waiting as f64).min((beside + 1.0) * share)
+                (owner.waiting as f64).min((in_owner + 1.0) * share)
             })
             .sum();
-        beside + before
+        in_owner + in_other_owners
     }
 
     pub(super) fn flow_len(&self, owner: &OwnerName, key: &FlowKey) -> usize {
@@ -175,7 +175,7 @@
         flow.map_or(0, |flow| flow.items.len())
     }
 
-    /// The longest flow of an entry: its length and its last item.
+    /// Length and last item of an entry's longest flow.
     pub(super) fn longest_flow(
         &self,
         owner: &OwnerName,
@@ -190,26 +190,29 @@
 }
 
 impl Owner {
-    /// Of the flows that are not ahead of their share, the one with the earliest deadline.
+    /// The item with the earliest deadline, among the flows that are not ahead of their share.
     fn pick(&self, may_start: impl Fn(&EntryName) -> bool) -> Option<Ticket> {
-        // An owner has few entries and may have many callers: each entry is judged once.
-        let mut judged: Vec<(&EntryName, bool)> = Vec::new();
+        // An owner has few entries but may have many callers: `may_start` is called once per entry.
+        let mut checked: Vec<(&EntryName, bool)> = Vec::new();
         let mut ready: Vec<&Flow> = Vec::new();
         for (key, flow) in self.flows.iter().filter(|(_, flow)| !flow.items.is_empty()) {
-            let known = judged.iter().find(|(entry, _)| *entry == &key.entry);
-            let open = known.map(|(_, open)| *open).unwrap_or_else(|| {
-                let open = may_start(&key.entry);
-                judged.push((&key.entry, open));
-                open
+            let known = checked.iter().find(|(entry, _)| *entry == &key.entry);
+            let is_allowed = known.map(|(_, is_allowed)| *is_allowed).unwrap_or_else(|| {
+                let is_allowed = may_start(&key.entry);
+                checked.push((&key.entry, is_allowed));
+                is_allowed
             });
-            if open {
+            if is_allowed {
                 ready.push(flow);
             }
         }
-        let least = ready.iter().map(|flow| flow.tag).min_by(f64::total_cmp)?;
-        let limit = least.max(self.clock);
-        let due = ready.into_iter().filter(|flow| flow.tag <= limit);
-        let heads = due.filter_map(|flow| flow.items.first_key_value());
+        let min_tag = ready
+            .iter()
+            .map(|flow| flow.start_tag)
+            .min_by(f64::total_cmp)?;
+        let max_tag = min_tag.max(self.virtual_time);
+        let eligible = ready.into_iter().filter(|flow| flow.start_tag <= max_tag);
+        let heads = eligible.filter_map(|flow| flow.items.first_key_value());
         let first = heads.map(|((rank, ticket), ())| (*rank, *ticket)).min();
         first.map(|(_, ticket)| ticket)
     }
--- a/src/lapisdrum/policy/routing.rs
+++ b/src/lapisdrum/policy/routing.rs
@@ -1,16 +1,16 @@
-//! Which worker a request goes to: the better of two drawn at random, by outstanding work and recent
-//! latency.
+//! Which worker a request goes to: the better of two random choices, by outstanding requests and
+//! recent latency.
 //!
-//! Load pattern: many daemons route at once from figures that are a little old, to workers of which
-//! one may be slow, hang or fail. Without the random draw all of them pick the same least loaded
-//! worker and bury it; two choices spread almost as well as perfect knowledge. Without the latency a
-//! slow worker gets as many requests as a fast one until its slots are full, and its callers wait.
+//! Load pattern: many daemons route at the same time on slightly stale metrics, to workers of which
+//! one may be slow, hang or fail. Without the random choice all daemons would pick the same least
+//! loaded worker and overload it; two choices spread load almost as well as perfect knowledge. Without
+//! latency in the score a slow worker gets as many requests as a fast one until its slots are full.
 //!
-//! The score is the work that a request would find before it, times how slow the worker is: its
-//! requests' times relative to what their entries usually take. A request that has been outstanding
-//! for long counts as an answer of that age, so a worker that hangs is avoided before its first
-//! timeout. What is known of a worker loses half its weight in [`FORGET`] without news, so that one
-//! that has mended is tried again.
+//! The score is the work queued ahead of the request, times the worker's slowness: the durations of
+//! its requests relative to the usual durations of their entries. An outstanding request counts as an
+//! answer of its current age, so a worker that hangs is avoided before its first timeout. Slowness
+//! decays towards 1 with a half-life of [`SLOWNESS_HALF_LIFE`] without answers, so that a worker that
+//! has recovered is tried again.
 
 use super::outliers::{Outliers, Sample};
 use crate::core::{
@@ -21,63 +21,65 @@
 use rand::Rng;
 use std::{collections::VecDeque, time::Duration};
 
-/// Time without news after which half of what is known of a worker's latency is forgotten.
-pub const FORGET: Duration = Duration::from_secs(10);
-/// Weight of the newest answer in an entry's usual time.
-const NEWEST: f64 = 0.05;
-/// Weight of the newest answer in a worker's recent slowness: the last few answers.
-const NEWEST_OF_WORKER: f64 = 0.3;
-/// Slowness beyond which it makes no difference.
-const MOST_SLOW: f64 = 100.0;
-/// Scores closer than this, relative to the better one, are alike: a difference that small is noise,
-/// and a worker that is behind by it must not lose every comparison.
-const ALIKE: f64 = 1.1;
-/// Least run time that is reckoned with, in milliseconds: the clock counts whole ones.
-const LEAST_MS: f64 = 0.5;
-/// Draws in which a worker that may not be drawn is passed over before any is taken.
-const DRAWS: usize = 8;
-
-/// A worker that has room for the request.
+/// Half-life of a worker's measured slowness while it returns no answers.
+pub const SLOWNESS_HALF_LIFE: Duration = Duration::from_secs(10);
+/// Weight of the newest answer in the moving average of an entry's duration.
+const DURATION_SMOOTHING: f64 = 0.05;
+/// Weight of the newest answer in the moving average of a worker's slowness, which covers the last
+/// few answers.
+const SLOWNESS_SMOOTHING: f64 = 0.3;
+/// Upper limit of a worker's slowness.
+const MAX_SLOWNESS: f64 = 100.0;
+/// Ratio of two scores up to which they count as equal. Such a difference is noise, and a worker must
+/// not lose every comparison by it.
+const EQUAL_SCORE_RATIO: f64 = 1.1;
+/// Lower limit of measured durations, in milliseconds: the clock counts whole milliseconds.
+const MIN_DURATION_MS: f64 = 0.5;
+/// Draws after which an ejected worker is accepted too.
+const MAX_DRAWS: usize = 8;
+
+/// A worker that has free capacity for the request.
 #[derive(Clone, Copy, Debug)]
 pub struct Candidate<'a> {
-    /// The worker.
+    /// Identity under which its answers are recorded.
     pub worker: &'a WorkerId,
-    /// Requests that this daemon has outstanding there.
+    /// Requests that this daemon has outstanding at the worker.
     pub outstanding: u32,
 }
 
-/// How a send ended.
+/// Outcome of sending a request to a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum End {
-    /// The worker answered.
+    /// The worker answered in time, and not with a server error.
     Answered,
-    /// The worker is full and ran nothing: no fault of its own.
+    /// The worker was full and did not run the request; not counted as a failure.
     Full,
-    /// The worker failed, or did not answer in time.
+    /// The worker could not be reached, answered with a server error or did not answer in time.
     Failed,
-    /// The caller went away; says nothing of the worker.
+    /// The caller disconnected, which is no evidence about the worker.
     Abandoned,
 }
 
 #[derive(Debug, Default)]
-struct Record {
+struct WorkerStats {
     slowness: f64,
-    heard_at: Option<Millis>,
-    /// When each outstanding request was sent, the oldest first, and its entry's usual time.
+    answered_at: Option<Millis>,
+    /// Outstanding requests, the oldest first: when each was sent, and the usual duration of its entry
+    /// in milliseconds.
     sent: VecDeque<(Millis, Option<f64>)>,
 }
 
-/// What this daemon has seen of its workers' answers.
+/// Latency and failures of workers, as this daemon has measured them.
 #[derive(Debug, Default)]
 pub struct Routing {
-    records: IndexMap<WorkerId, Record>,
-    usual: IndexMap<EntryName, f64>,
+    workers: IndexMap<WorkerId, WorkerStats>,
+    usual_ms: IndexMap<EntryName, f64>,
     outliers: Outliers,
 }
 
 impl Routing {
-    /// Picks a worker; none when there is no candidate. Where every draw falls on a worker that is
-    /// set aside, one of those is taken: somebody must serve.
+    /// Chooses a worker, by index; `None` when there is no candidate. If all draws fall on ejected
+    /// workers, one of those is chosen, so that the request is served at all.
     pub fn choose(
         &self,
         candidates: &[Candidate<'_>],
@@ -87,22 +89,24 @@
         let first = self.draw(candidates, None, now, rng)?;
         let second = self.draw(candidates, Some(first), now, rng)?;
         let (a, b) = (candidates[first], candidates[second]);
-        Some(if self.score(&a, now) <= ALIKE * self.score(&b, now) {
-            first
-        } else {
-            second
-        })
+        Some(
+            if self.score(&a, now) <= EQUAL_SCORE_RATIO * self.score(&b, now) {
+                first
+            } else {
+                second
+            },
+        )
     }
 
-    /// Notes that a request was sent.
+    /// Records that a request was sent at `now`.
     pub fn sent(&mut self, worker: &WorkerId, entry: &EntryName, now: Millis) {
-        let usual = self.usual.get(entry).copied();
-        let record = record_of(&mut self.records, worker);
-        record.sent.push_back((now, usual));
+        let usual_ms = self.usual_ms.get(entry).copied();
+        let stats = stats_of(&mut self.workers, worker);
+        stats.sent.push_back((now, usual_ms));
     }
 
-    /// Notes how a request that was sent at `sent_at` ended, in a pool of `pool` workers. Returns
-    /// whether the worker is set aside by it.
+    /// Records the outcome of a request that was sent at `sent_at`, in a pool of `pool` workers. Returns
+    /// whether the worker is ejected for it.
     pub fn ended(
         &mut self,
         worker: &WorkerId,
@@ -112,117 +116,124 @@
         pool: usize,
         now: Millis,
     ) -> bool {
-        let took = (now.since(sent_at).as_secs_f64() * 1e3).max(LEAST_MS);
-        // The first answer of an entry says nothing of the worker: there is nothing to compare with.
-        let usual = self.usual.get(entry).copied().unwrap_or(took);
-        let record = record_of(&mut self.records, worker);
-        if let Some(at) = record.sent.iter().position(|(at, _)| *at == sent_at) {
-            record.sent.remove(at);
+        let took_ms = (now.since(sent_at).as_secs_f64() * 1e3).max(MIN_DURATION_MS);
+        // The first answer of an entry has nothing to compare with, so it counts as usual.
+        let usual_ms = self.usual_ms.get(entry).copied().unwrap_or(took_ms);
+        let stats = stats_of(&mut self.workers, worker);
+        if let Some(at) = stats.sent.iter().position(|(at, _)| *at == sent_at) {
+            stats.sent.remove(at);
         }
         match end {
             End::Answered => {
-                let ratio = (took / usual).min(MOST_SLOW);
-                record.note(ratio, now);
-                self.note_usual(entry, took);
+                let slowness_sample = (took_ms / usual_ms).min(MAX_SLOWNESS);
+                stats.note(slowness_sample, now);
+                self.note_duration(entry, took_ms);
                 self.outliers
-                    .note(worker, Sample::Answered(ratio), pool, now)
+                    .note(worker, Sample::Answered(slowness_sample), pool, now)
             }
             End::Failed => self.outliers.note(worker, Sample::Failed, pool, now),
             End::Full | End::Abandoned => false,
         }
     }
 
-    /// The time that a request of an entry usually takes; none before the first answer.
+    /// Moving average of an entry's request duration; `None` before the first answer.
     pub fn usual_run(&self, entry: &EntryName) -> Option<Duration> {
-        let usual = self.usual.get(entry)?;
-        Some(Duration::from_secs_f64(usual / 1e3))
+        let usual_ms = self.usual_ms.get(entry)?;
+        Some(Duration::from_secs_f64(usual_ms / 1e3))
     }
 
-    /// Who is set aside.
+    /// Outlier detection over the same workers.
     pub fn outliers(&self) -> &Outliers {
         &self.outliers
     }
 
-    /// Forgets workers that are gone.
+    /// Removes the records of all workers but those for which `is_there` holds.
     pub fn retain(&mut self, is_there: impl Fn(&WorkerId) -> bool) {
-        self.records.retain(|worker, _| is_there(worker));
+        self.workers.retain(|worker, _| is_there(worker));
         self.outliers.retain(is_there);
     }
 
     fn draw(
         &self,
         candidates: &[Candidate<'_>],
-        other_than: Option<usize>,
+        excluded: Option<usize>,
         now: Millis,
         rng: &mut impl Rng,
     ) -> Option<usize> {
         if candidates.is_empty() {
             return None;
         }
-        let mut last = rng.random_range(0..candidates.len());
-        for _ in 0..DRAWS {
-            let allowed = self.outliers.may_draw(candidates[last].worker, now, rng);
-            if allowed && (Some(last) != other_than || candidates.len() == 1) {
-                return Some(last);
+        let mut drawn = rng.random_range(0..candidates.len());
+        for _ in 0..MAX_DRAWS {
+            let allowed = self.outliers.may_draw(candidates[drawn].worker, now, rng);
+            if allowed && (Some(drawn) != excluded || candidates.len() == 1) {
+                return Some(drawn);
             }
-            last = rng.random_range(0..candidates.len());
+            drawn = rng.random_range(0..candidates.len());
         }
-        Some(other_than.unwrap_or(last))
+        Some(excluded.unwrap_or(drawn))
     }
 
-    /// Work that a request would find before it, in units of an entry's usual time.
+    /// Expected duration of one more request, in multiples of the usual one; lower is better.
     fn score(&self, candidate: &Candidate<'_>, now: Millis) -> f64 {
-        let record = self.records.get(candidate.worker);
-        let slowness = record.map_or(1.0, |record| record.slowness(now));
-        let failing = self.outliers.failing(candidate.worker);
-        let tries = 1.0 / (1.0 - failing).max(0.01);
-        (f64::from(candidate.outstanding) + 1.0) * slowness * tries
+        let stats = self.workers.get(candidate.worker);
+        let slowness = stats.map_or(1.0, |stats| stats.slowness(now));
+        let failure_rate = self.outliers.failure_rate(candidate.worker);
+        let expected_attempts = 1.0 / (1.0 - failure_rate).max(0.01);
+        (f64::from(candidate.outstanding) + 1.0) * slowness * expected_attempts
     }
 
-    fn note_usual(&mut self, entry: &EntryName, took: f64) {
-        match self.usual.get_mut(entry) {
-            // One slow worker must not become the usual time: a far greater answer counts as thrice.
-            Some(usual) => *usual += NEWEST * (took.min(*usual * 3.0) - *usual),
+    fn note_duration(&mut self, entry: &EntryName, took_ms: f64) {
+        match self.usual_ms.get_mut(entry) {
+            // An answer counts at most threefold, so that one slow worker can't raise the average far.
+            Some(usual_ms) => {
+                *usual_ms += DURATION_SMOOTHING * (took_ms.min(*usual_ms * 3.0) - *usual_ms)
+            }
             None => {
-                self.usual.insert(entry.clone(), took);
+                self.usual_ms.insert(entry.clone(), took_ms);
             }
         }
     }
 }
 
-fn record_of<'a>(records: &'a mut IndexMap<WorkerId, Record>, worker: &WorkerId) -> &'a mut Record {
-    if !records.contains_key(worker) {
-        records.insert(
+fn stats_of<'a>(
+    workers: &'a mut IndexMap<WorkerId, WorkerStats>,
+    worker: &WorkerId,
+) -> &'a mut WorkerStats {
+    if !workers.contains_key(worker) {
+        workers.insert(
             worker.clone(),
-            Record {
+            WorkerStats {
                 slowness: 1.0,
-                ..Record::default()
+                ..WorkerStats::default()
             },
         );
     }
-    &mut records[worker]
+    &mut workers[worker]
 }
 
-impl Record {
-    fn note(&mut self, ratio: f64, now: Millis) {
-        let known = self.remembered(now);
-        self.slowness = known + NEWEST_OF_WORKER * (ratio - known);
-        self.heard_at = Some(now);
+impl WorkerStats {
+    fn note(&mut self, slowness_sample: f64, now: Millis) {
+        let previous = self.decayed_slowness(now);
+        self.slowness = previous + SLOWNESS_SMOOTHING * (slowness_sample - previous);
+        self.answered_at = Some(now);
     }
 
-    /// Recent slowness, brought back towards 1 by its age.
-    fn remembered(&self, now: Millis) -> f64 {
-        let age = self.heard_at.map_or(Duration::ZERO, |at| now.since(at));
-        let kept = 0.5_f64.powf(age.as_secs_f64() / FORGET.as_secs_f64());
-        1.0 + (self.slowness - 1.0) * kept
+    /// Recent slowness, decayed towards 1 by the time since the last answer.
+    fn decayed_slowness(&self, now: Millis) -> f64 {
+        let age = self.answered_at.map_or(Duration::ZERO, |at| now.since(at));
+        let weight = 0.5_f64.powf(age.as_secs_f64() / SLOWNESS_HALF_LIFE.as_secs_f64());
+        1.0 + (self.slowness - 1.0) * weight
     }
 
-    /// The greater of the recent slowness and the age of the oldest outstanding request.
+    /// The greater of the recent slowness and the relative age of the oldest outstanding request.
     fn slowness(&self, now: Millis) -> f64 {
-        let oldest = self.sent.front().map_or(0.0, |(at, usual)| {
+        let oldest = self.sent.front().map_or(0.0, |(at, usual_ms)| {
             let age = now.since(*at).as_secs_f64() * 1e3;
-            usual.map_or(0.0, |usual| age / usual.max(LEAST_MS))
+            usual_ms.map_or(0.0, |usual_ms| age / usual_ms.max(MIN_DURATION_MS))
         });
-        self.remembered(now).max(oldest).clamp(0.1, MOST_SLOW)
+        self.decayed_slowness(now)
+            .max(oldest)
+            .clamp(0.1, MAX_SLOWNESS)
     }
 }
