--- a/src/lapisdrum/daemon/evictions.rs
+++ b/src/lapisdrum/daemon/evictions.rs
@@ -1,6 +1,6 @@
-//! When a placed task certainly runs no more: its host is gone, or it is silent and every lease that
-//! anybody may have given it has run out. [`crate::state::fencing`] holds the rule; this gathers the
-//! evidence.
+//! Eviction of placed tasks that certainly no longer run: the platform no longer lists the host, or
+//! the worker does not answer and every lease that any owner may have given the task has expired.
+//! [`crate::state::fencing`] decides; this module gathers the evidence.
 
 use super::{
     Cx,
@@ -26,11 +26,12 @@
 use indexmap::IndexMap;
 use std::rc::Rc;
 
-/// Evicts what was placed on hosts that the platform no longer names: it vouches that they are dead.
+/// Evicts tasks from hosts that the platform no longer lists; it guarantees that such hosts are
+/// dead.
 ///
-/// The list lags, so a host that this process has never seen named may be one that the list does not
-/// name *yet*; an earlier owner with a fresher list may have placed tasks there. Such a host counts
-/// as gone only after a whole task lease without being named.
+/// The list lags: a host that this process has never seen listed may be too new to be listed, and
+/// an earlier owner with a newer list may have placed tasks there. Such a host counts as removed
+/// only after a whole task lease without being listed.
 pub fn forget_gone_hosts(cx: &Cx, shard: &Rc<Shard>) {
     let terms = &cx.cfg.shards.terms;
     let patience = terms.lengthened(cx.cfg.shards.task_lease);
@@ -59,7 +60,7 @@
         .retain(|worker, _| named(worker));
 }
 
-/// Evicts what a silent worker certainly no longer runs.
+/// Evicts the tasks in `judged` that a worker which does not answer certainly no longer runs.
 pub fn give_up_silent(
     cx: &Cx,
     shard: &Rc<Shard>,
@@ -83,7 +84,7 @@
     }
 }
 
-/// What is known of earlier owners that may have renewed a placement.
+/// State of the earlier owners that may have renewed the lease of a placement.
 fn earlier_owners(cx: &Cx, shard: &Shard, placement: &Placement) -> EarlierOwners {
     let state = shard.state();
     let mut suspects = state.suspects(placement.epoch, shard.epoch).peekable();
@@ -100,9 +101,10 @@
     EarlierOwners::Gone(latest)
 }
 
-/// Since when an earlier owner is known to be gone. One that released the shard was gone before this
-/// owner took it. One that was replaced or whose host left the platform's list may have renewed
-/// tasks until shortly before that was seen, so its time counts from there.
+/// Time since which an earlier owner has certainly ended; `None` while it may be alive. An owner
+/// that released the shard ended before this owner took it. One that was replaced, or whose host
+/// left the platform's list, may have renewed tasks until shortly before this was observed, so its
+/// time counts from the observation.
 fn gone_since(cx: &Cx, shard: &Shard, owner: &OwnerRecord) -> Option<Millis> {
     if owner.released {
         return Some(shard.since);
@@ -121,7 +123,8 @@
     })
 }
 
-/// Takes a placement back in the ledger. The caller knows that it runs no more.
+/// Revokes a placement in the ledger: evicts the job, or ends it if it is being cancelled. The
+/// caller ensures that the task no longer runs.
 pub fn unplace(cx: &Cx, shard: &Rc<Shard>, job: &JobId, placement: &Placement, reason: &str) {
     let current = shard.job(job);
     let Some(current) = current.filter(|job| job.placement() == Some(placement)) else {
@@ -137,7 +140,7 @@
             attempt: placement.attempt,
         },
     };
-    // While the ledger can't take it, the placement stands and the next visit tries again.
+    // If the ledger can't accept the event, the placement stays and the next poll tries again.
     let Ok(ticket) = shard.propose(cx, vec![event], Urgency::Urgent) else {
         return;
     };
@@ -157,7 +160,8 @@
     });
 }
 
-/// Tells counters and time line of an eviction.
+/// Records an eviction in the metrics and on the timeline. `reason` becomes a metric label, up to
+/// its first colon.
 pub fn note_eviction(cx: &Cx, job: &JobId, worker: &WorkerId, reason: &str) {
     if let Some(entry) = entry_of(cx, job) {
         cx.metrics.note_eviction(entry, reason);
@@ -169,7 +173,7 @@
     });
 }
 
-/// Tells counters and time line of a job's end.
+/// Records the end of a job in the metrics and on the timeline.
 pub fn note_end(cx: &Cx, job: &JobId, end: &JobEnd) {
     let word = JobState::from(end).as_str();
     if let Some(entry) = entry_of(cx, job) {
@@ -186,7 +190,7 @@
     });
 }
 
-/// The entry of a job in a shard that is owned here.
+/// Entry of a job, if this daemon owns the job's shard.
 fn entry_of(cx: &Cx, job: &JobId) -> Option<String> {
     let shards = cx.shards.borrow();
     let known = shards.get(&job.shard()?)?.job(job)?;
--- a/src/lapisdrum/daemon/grants.rs
+++ b/src/lapisdrum/daemon/grants.rs
@@ -1,9 +1,10 @@
-//! Floors: what each daemon may use of each worker for requests without asking anybody.
+//! Floors: the capacity of each worker that a daemon may use for requests without coordination.
 //!
 //! The shard's owner divides every worker's request share over the daemons of its data centre. A
-//! floor is in the ledger and lasts until its daemon gives it back or is certainly gone, so requests
-//! go on being served with neither owner nor platform. It rises only after the ledger has it and
-//! falls only after the daemon has come down, so both sides together never exceed the worker.
+//! floor is durable in the ledger until its daemon returns it or has certainly ended, so requests
+//! are still served while owner and platform are unavailable. A floor rises only after the ledger
+//! has it, and falls only after the daemon has reduced its use, so all floors together never exceed
+//! the worker.
 
 use super::{
     Cx,
@@ -28,7 +29,7 @@
 };
 use std::{rc::Rc, time::Duration};
 
-/// When a daemon should ask again after a refused exchange.
+/// Retry-after of a refused exchange.
 const RETRY: Duration = Duration::from_secs(1);
 
 /// Exchanges floors with the owners of this data centre's shards until the process ends.
@@ -58,7 +59,7 @@
             let Some(address) = cx.members.borrow().owner_address(&shard) else {
                 return;
             };
-            // Without an answer the floors stand as they are.
+            // Without an answer the floors stay unchanged.
             let Ok(reply) = cx.peers.call(&address, PeerRequest::Grants(round)).await else {
                 return;
             };
@@ -77,7 +78,8 @@
     }
 }
 
-/// The next exchange about `holding` with a shard's owner; none while no owner is known.
+/// The request for the next exchange with a shard's owner, reporting the floors in `holding`.
+/// `None` while no owner is known.
 fn next_round(cx: &Cx, shard: ShardId, holding: ByWorker) -> Option<GrantRound> {
     let epoch = owner_epoch(cx, &shard)?;
     let round = cx.floors.borrow_mut().next_round();
@@ -114,8 +116,8 @@
     grants.into_iter().map(wire).collect()
 }
 
-/// Gives every floor back at a graceful end. Where the drain was cut short, workers may be running
-/// requests still; the floors are then left to be voided after the longest deadline.
+/// Returns all floors at a graceful shutdown. If the drain was cut short, workers may still be
+/// running requests; the floors are then kept, and voided by the owner after the longest deadline.
 pub async fn give_back(cx: &Cx) {
     let nothing = Grant::default();
     let is_used = cx
@@ -125,7 +127,7 @@
         .values()
         .any(|floor| floor.used != nothing);
     if is_used {
-        log::warn!("requests may be running still; floors are not given back");
+        log::warn!("requests may still be running; floors are not returned");
         return;
     }
     cx.floors.borrow_mut().held.clear();
@@ -146,30 +148,31 @@
                 leaving: true,
                 ..round
             };
-            // Without an answer the floors are void once the next run of this daemon is seen.
+            // Without an answer, the floors are voided once the owner finds that this run has
+            // ended.
             let _ = cx.peers.call(&address, PeerRequest::Grants(round)).await;
         }
     }
 }
 
-/// As owner: takes back the floors of daemons that are certainly gone.
+/// Owner's side: voids the floors of daemons that have certainly ended.
 ///
-/// A daemon that died has left requests on workers, which run on until the deadlines that they were
-/// sent with. Its floors given to others at once would load a worker beyond its size, so they stay
-/// counted for the longest deadline of any entry after the daemon was found to be gone.
+/// Requests of a daemon that died run on workers until the deadlines that they were sent with.
+/// Giving its floors to others at once could overload a worker, so they stay reserved for the
+/// longest deadline of any entry after the daemon was found to have ended.
 fn void_gone(cx: &Cx, shard: &Rc<Shard>) {
     let runs_on = requests_run_on(cx);
     let holders: Vec<Holder> = shard.state().grants.keys().cloned().collect();
     for holder in holders {
         if peers::gone_for(cx, &holder).is_some_and(|gone| gone > runs_on) {
-            // What can't be proposed now is proposed at the next look.
+            // If the proposal is refused, the next round repeats it.
             let voided = vec![Event::GrantsVoided { of: holder }];
             let _ = shard.propose(cx, voided, Urgency::Batch);
         }
     }
 }
 
-/// How long requests of a daemon that is gone may run on.
+/// Longest time for which requests of a daemon may run after it has ended.
 pub fn requests_run_on(cx: &Cx) -> Duration {
     cx.cfg
         .shards
@@ -183,7 +186,7 @@
     deadlines.max().unwrap_or_default()
 }
 
-/// The owner's side of an exchange.
+/// Answers a daemon's exchange as the shard's owner.
 pub async fn answer(cx: &Cx, shard: &Rc<Shard>, round: GrantRound) -> PeerReply {
     if !shard.is_serving() {
         return PeerReply::Refused(Refusal::NoOwner { retry_after: RETRY });
@@ -200,8 +203,8 @@
         let (hosts, holding) = (wholes(cx), by_worker(round.holding));
         grants::changes(&shard.state(), &hosts, &holder, &holding, &targets)
     };
-    // Also without events: a floor that an earlier round raised may still be on its way to the table,
-    // and a successor that has not seen it would give the same room to another.
+    // Proposed even without events: a floor raised by an earlier round may not be durable yet, and
+    // a next owner that does not see it would give the same capacity to another daemon.
     let ticket = match shard.propose(cx, events, Urgency::Urgent) {
         Ok(ticket) => ticket,
         Err(e) => return PeerReply::Refused(e.refusal()),
@@ -217,9 +220,9 @@
     })
 }
 
-/// An exchange that was under way while a later one was answered must not take back what that one
-/// gave. One meant for an earlier owner may be older than any that this owner has seen, so it is
-/// refused by its epoch.
+/// Whether a round is newer than all earlier ones of its daemon. A delayed exchange must not revert
+/// a later one. One meant for an earlier owner may be older than any that this owner has seen, so
+/// it is refused by its epoch.
 fn is_next_round(shard: &Shard, round: &GrantRound) -> bool {
     let mut rounds = shard.grant_rounds.borrow_mut();
     let last = rounds.entry(round.holder.clone()).or_default();
@@ -228,7 +231,7 @@
     is_next
 }
 
-/// The even part of each worker's request share for one daemon.
+/// The even share of each worker's request capacity for one live daemon; empty if it is not live.
 fn targets(cx: &Cx, shard: &Shard, holder: &Holder) -> ByWorker {
     let members = cx.members.borrow();
     let patience = cx.cfg.shards.terms.lengthened(cx.cfg.shards.terms.lease);
@@ -262,7 +265,7 @@
         .collect()
 }
 
-/// What of a worker's request share no daemon holds yet; tasks are kept out of it.
+/// Capacity of a worker's request share that no daemon holds yet. Tasks must not use it.
 pub fn unclaimed_reserve(cx: &Cx, state: &State, host: &Host) -> Size {
     let percent = cx.cfg.shards.request_share_percent;
     grants::unclaimed_reserve(state, &host.worker, &whole(host), percent)
--- a/src/lapisdrum/daemon/limits.rs
+++ b/src/lapisdrum/daemon/limits.rs
@@ -1,13 +1,13 @@
-//! How much of an entry's limits over the whole system one shard may use for jobs.
+//! Limits on the jobs of an entry in one shard, derived from the entry's system-wide limits.
 //!
-//! The one place to ask. What may run at once is the shard's durable share, so that the shares add up
-//! to no more than the limit whatever each owner knows of the others; what may wait is an even
-//! division over all shards that the table names.
+//! The limit on running jobs is the shard's durable share: the shares add up to no more than the
+//! system-wide limit, whatever each owner knows of the others. The limit on waiting jobs is divided
+//! evenly over all shards in the store's table.
 
 use super::{Cx, shard::Shard, shares};
 use crate::core::{catalogue::Entry, id::ShardId};
 
-/// Jobs of an entry that may have a place in this shard at once.
+/// Jobs of an entry that this shard may have placed at once.
 pub fn job_limit(cx: &Cx, shard: &Shard, entry: &Entry) -> u32 {
     shares::of_shard(cx, entry, shard)
 }
@@ -28,7 +28,8 @@
     even_part(limit, to_u32(rank.unwrap_or_default()), to_u32(all.len()))
 }
 
-/// The part of `limit` for the one at `rank` out of `count`; what doesn't divide goes to the first.
+/// The even share of `limit` for `rank` (from 0) out of `count`. The remainder goes to the lowest
+/// ranks, one each.
 pub fn even_part(limit: u32, rank: u32, count: u32) -> u32 {
     let count = count.max(1);
     limit / count + u32::from(rank < limit % count)
--- a/src/lapisdrum/daemon/pressure.rs
+++ b/src/lapisdrum/daemon/pressure.rs
@@ -1,9 +1,10 @@
-//! What a shard's owner learns of its workers from late measurements and failures, and what it does
-//! about it: slow a task down, move it away, give a worker no tasks for a while.
+//! Interference and worker health, as a shard's owner estimates them from delayed measurements and
+//! failures, and the mitigation: throttle a task, evict it, or eject a worker for some time.
 //!
-//! The decisions stand in [`crate::policy`]; here usage is read, matched with what ran at the time of
-//! the measurement, and the steps are carried out. All of it is learned anew by the next owner: it is
-//! advice, and a ledger row for each measurement would cost more than the advice is worth.
+//! The decisions are made in [`crate::policy`]. This module reads usage, matches it with the tasks
+//! that ran at the time of the measurement, and carries the decisions out. The estimates are not
+//! durable: the next owner starts without them, since a ledger row per measurement would cost more
+//! than they are worth.
 
 use super::{Cx, sessions, shard::Shard, supervisor, visits};
 use crate::{
@@ -30,22 +31,21 @@
 
 /// Speed of a throttled task, in thousandths.
 const THROTTLED_PERMILLE: u32 = 300;
-/// Speed of a task that is let run, in thousandths.
+/// Speed of a task that is not throttled, in thousandths.
 const FULL_PERMILLE: u32 = 1_000;
-/// Time before a measurement during which the host must not have changed for the measurement to be
-/// blamed on what ran there: a worker averages over about as long.
+/// Time before a measurement during which the tasks on the host must not have changed for the
+/// measurement to be attributed to them: workers average over about this period.
 const UNCHANGED: Duration = Duration::from_secs(1);
-/// Thousandths in a whole.
 const WHOLE_PERMILLE: f64 = 1_000.0;
 
-/// What is learned under one ownership.
+/// Estimates and mitigation state of one ownership of a shard.
 #[derive(Debug, Default)]
 pub struct Pressure {
-    /// How kinds of work disturb each other.
+    /// Estimated slowdown between kinds of work that share a host.
     pub interference: Interference,
-    /// Which workers and jobs fail.
+    /// Failure history of workers and jobs.
     pub health: Health,
-    /// Evictions for relief.
+    /// Recent evictions for mitigation, which limit further ones.
     pub memory: EvictionMemory,
     hosts: IndexMap<WorkerId, HostPressure>,
 }
@@ -59,7 +59,7 @@
 }
 
 impl Pressure {
-    /// Whether a job may be given a place on a worker.
+    /// Whether a job may be placed on a worker. `is_empty`: no task is placed there.
     pub fn may_place(
         &self,
         job: &JobId,
@@ -74,7 +74,7 @@
             .is_some_and(|host| host.distress.is_on());
         let is_standing_good = match self.health.standing(worker, now) {
             Standing::Good => true,
-            // One task at a time shows whether the worker is sound again.
+            // A worker on trial gets one task at a time.
             Standing::Trial => is_empty,
             Standing::Aside => false,
         };
@@ -84,7 +84,7 @@
     }
 }
 
-/// Reads usage and acts on it until the shard is lost or given up.
+/// Polls the workers' usage and mitigates interference until the shard is lost or released.
 pub async fn watch(cx: &Cx, shard: &Rc<Shard>) {
     while shard.is_serving() {
         for (worker, address) in measurable(shard) {
@@ -129,7 +129,8 @@
     pressure.memory.forget_old(now);
 }
 
-/// Notes what runs on a worker from now on, so that a late report is matched with its own time.
+/// Records what runs on a worker from now on, so that a delayed report is matched with the tasks of
+/// its own time.
 pub fn note_history(cx: &Cx, shard: &Shard, worker: &WorkerId) {
     let neighbours: Vec<Neighbour> = residents(cx, shard, worker)
         .into_iter()
@@ -165,7 +166,8 @@
     }
 }
 
-/// Learns how kinds of work disturbed each other when the figures were taken.
+/// Updates the interference estimates from slowdowns measured at `measured_at`. Skipped when the
+/// tasks on the host changed shortly before.
 fn learn(shard: &Shard, worker: &WorkerId, usage: &Usage, measured_at: Millis) {
     let slowed = slowdowns(shard, usage);
     let mut pressure = shard.pressure.borrow_mut();
@@ -186,7 +188,7 @@
     }
 }
 
-/// What was measured to be slowed, by entry.
+/// Measured run times of tasks and requests relative to running alone, in thousandths, by entry.
 fn slowdowns(shard: &Shard, usage: &Usage) -> Vec<(EntryName, u32)> {
     let state = shard.state();
     let tasks = usage.tasks.iter().filter_map(|task| {
@@ -200,7 +202,7 @@
     tasks.chain(requests).collect()
 }
 
-/// What ran beside one of a kind.
+/// The neighbours of one task of `kind`: all of `ran` except that task.
 fn without_one(ran: &[Neighbour], kind: Kind) -> Vec<Neighbour> {
     let others = ran.iter().map(|neighbour| Neighbour {
         count: neighbour.count - u32::from(neighbour.kind == kind),
@@ -209,7 +211,7 @@
     others.filter(|neighbour| neighbour.count > 0).collect()
 }
 
-/// What the policy wants done on a host.
+/// Mitigation steps that the eviction policy asks for on a host.
 fn steps(
     cx: &Cx,
     shard: &Shard,
@@ -251,7 +253,7 @@
         .report(worst, measured_at, &tenants, memory, cx.clock.now())
 }
 
-/// A job that has its place on a worker.
+/// A job that is placed on a worker.
 struct KnownJob {
     job: JobId,
     entry: EntryName,
@@ -275,7 +277,7 @@
         .collect()
 }
 
-/// Slowdown that each job adds to the latency-critical work that was measured.
+/// Largest slowdown that each job adds to any of the measured latency-critical entries.
 fn harms(pressure: &mut Pressure, jobs: &[KnownJob], usage: &Usage, at: Millis) -> Vec<f64> {
     let names = usage
         .requests
@@ -309,7 +311,8 @@
                 note_throttle(cx, &job, worker, FULL_PERMILLE);
             }
         }
-        // A stop that the ledger can't take would leave the task down until the table is back.
+        // If the ledger can't record the stop, the task would stay down until the store is
+        // available.
         Step::Evict(job) if shard.can_write(cx) => {
             let now = cx.clock.now();
             shard.pressure.borrow_mut().memory.note(&job, worker, now);
@@ -336,7 +339,8 @@
     });
 }
 
-/// Notes a failed attempt; whether the job itself is at fault, so that no other worker will help.
+/// Records a failed attempt. True when the job itself is at fault, so that another worker would not
+/// help.
 pub fn note_failure(
     cx: &Cx,
     shard: &Shard,
@@ -356,12 +360,14 @@
             worker: worker.clone(),
             reason: "it fails the tasks of several jobs".to_owned(),
         });
-        log::warn!("worker {worker} fails the tasks of several jobs and gets none for a while");
+        log::warn!(
+            "worker {worker} is ejected from task placement: it fails the tasks of several jobs"
+        );
     }
     verdict == Verdict::JobAtFault
 }
 
-/// Notes that a task ended well on a worker.
+/// Records that a task succeeded on a worker.
 pub fn note_success(shard: &Shard, worker: &WorkerId, job: &JobId, entry: &EntryName) {
     shard
         .pressure
@@ -370,7 +376,7 @@
         .succeeded(worker, job, entry);
 }
 
-/// What runs on a worker, one line a kind.
+/// Tasks on a worker, counted by entry.
 pub fn residents(cx: &Cx, shard: &Shard, worker: &WorkerId) -> Vec<Resident> {
     let (state, index) = (shard.state(), shard.journal.index());
     let mut counts = IndexMap::new();
--- a/src/lapisdrum/daemon/queue.rs
+++ b/src/lapisdrum/daemon/queue.rs
@@ -1,8 +1,8 @@
-//! Requests that wait for room: the policies' queue, driven by what frees room.
+//! Queue of requests that wait for free capacity.
 //!
-//! A request stands in line until its entry's limits and a worker's floor have room for it; then it
-//! is handed a [`Place`], which holds that room until the request is over. The line moves when a
-//! place is given back, when floors rise, and when a deadline passes.
+//! A request waits until its entry's limits and a worker's floor allow it. It then receives a
+//! [`Place`], which reserves the capacity until the request has ended. The queue is re-evaluated
+//! when a reservation is released, when floors rise, and when a deadline passes.
 
 use super::{Cx, shares, supervisor};
 use crate::{
@@ -26,12 +26,12 @@
 use std::{cell::RefCell, rc::Rc, time::Duration};
 use tokio::sync::{Notify, oneshot};
 
-/// Longest time between two looks at the line.
+/// Longest time between two evaluations of the queue.
 const LONGEST_LOOK: Duration = Duration::from_millis(100);
-/// Time between two rounds of forgetting what is idle or gone.
+/// Interval for removing state of idle entries and of removed workers.
 const FORGET_EVERY: Duration = Duration::from_secs(5);
 
-/// The line, and what its policies have learned.
+/// The queue of waiting requests, with the state of its routing, headroom and retry policies.
 #[derive(Debug, Default)]
 pub struct Line {
     queue: RefCell<Queue<Waiting>>,
@@ -47,7 +47,7 @@
     turn: oneshot::Sender<Turn>,
 }
 
-/// How a wait in line ended.
+/// Outcome of a wait in the queue.
 #[derive(Debug)]
 enum Turn {
     Start(Place),
@@ -55,50 +55,52 @@
 }
 
 impl Line {
-    /// Has the line looked at soon.
+    /// Wakes the task that evaluates the queue.
     pub fn wake(&self) {
         self.moved.notify_one();
     }
 
-    /// Requests of an entry that wait.
+    /// Number of waiting requests of an entry.
     pub fn waiting_of(&self, entry: &EntryName) -> u32 {
         self.queue.borrow().waiting_of(entry)
     }
 
-    /// When a caller should come back that is refused for want of room.
+    /// Retry-after for a caller that is refused because there is no free capacity.
     pub fn retry_after(&self, now: Millis) -> Duration {
         let mut queue = self.queue.borrow_mut();
         queue.retry_after(now, &mut rand::rng())
     }
 
-    /// Spends a retry of an entry, if it has one left.
+    /// Takes one retry from the entry's retry budget. False when none is left or the failure must
+    /// not be retried.
     pub fn try_retry(&self, entry: &Entry, failure: crate::policy::retry::Failure) -> bool {
         let mut retries = self.retries.borrow_mut();
         let budget = retries.entry(entry.name.clone()).or_default();
         budget.try_retry(failure, entry.idempotent)
     }
 
-    /// Notes that a worker answered a request of an entry.
+    /// Credits the entry's retry budget with an answered request.
     pub fn note_success(&self, entry: &EntryName) {
         let mut retries = self.retries.borrow_mut();
         retries.entry(entry.clone()).or_default().note_success();
     }
 }
 
-/// Room for one request: a slot and its size on a worker, and one run of its entry and owner.
+/// Capacity reserved for one request: a slot and the request's size on a worker, and one run of its
+/// entry and owner. Dropping it releases the capacity.
 ///
-/// Failure: a request's answer is lost or late. The worker may be running it still, so room that is
-/// free again at once would let the host be loaded beyond its size. The worker ends a request at the
-/// deadline that came with it, and the place is held until then.
+/// Failure: a request's answer is lost or late. The worker may still be running it, so releasing
+/// the capacity at once could overload the host. The worker ends a request at the deadline that was
+/// sent with it; the reservation is held until then.
 pub struct Place {
     cx: Cx,
     entry: EntryName,
     owner: OwnerName,
     size: Size,
     weight: u32,
-    /// The worker.
+    /// Worker on which the capacity is reserved.
     pub worker: WorkerId,
-    /// Its address.
+    /// Address of the worker.
     pub address: String,
     sent_at: Millis,
     _in_flight: Rc<()>,
@@ -111,7 +113,7 @@
 }
 
 impl Place {
-    /// Takes room for a request, if there is any.
+    /// Reserves capacity for a request. `None` when no worker or limit allows it.
     pub fn take(cx: &Cx, entry: &Entry) -> Option<Self> {
         let (worker, address) = choose_worker(cx, entry)?;
         let share = shares::of_daemon(cx, entry);
@@ -136,13 +138,13 @@
         })
     }
 
-    /// Tells the policies how the send ended.
+    /// Reports the outcome of the send to the routing policy, which may eject the worker.
     pub fn note_end(&self, end: End) {
         let pool = self.cx.floors.borrow().held.len();
         let now = self.cx.clock.now();
         let mut routing = self.cx.line.routing.borrow_mut();
         if routing.ended(&self.worker, &self.entry, self.sent_at, end, pool, now) {
-            log::warn!("worker {} is set aside for requests", self.worker);
+            log::warn!("worker {} is ejected from request routing", self.worker);
             self.cx.timeline.record(Happening::WorkerSetAside {
                 worker: self.worker.clone(),
                 reason: "slow or failing requests".to_owned(),
@@ -150,7 +152,7 @@
         }
     }
 
-    /// Keeps the room taken until a time at which the request is over on its worker.
+    /// Keeps the capacity reserved until `end`, when the worker has certainly ended the request.
     pub fn hold_until(self, end: Millis) {
         let wait = end.since(self.cx.clock.now());
         supervisor::spawn("held-place", async move {
@@ -170,7 +172,7 @@
     }
 }
 
-/// Waits in line for a place. `gone` completes when the caller has gone away.
+/// Waits in the queue for capacity. `gone` completes when the caller has disconnected.
 pub async fn wait(
     cx: &Cx,
     entry: &Rc<Entry>,
@@ -187,14 +189,14 @@
         () = gone => {
             cx.line.queue.borrow_mut().remove(ticket, cx.clock.now());
             note_demand(cx, &entry.name, entry.priority);
-            // A place that was handed over at the same moment is dropped with the channel.
+            // A reservation that was sent at the same time is dropped with the channel.
             return Err(busy(Duration::ZERO));
         }
     };
     match turn {
         Ok(Turn::Start(place)) => Ok(place),
         Ok(Turn::Refused(refusal)) => Err(refusal),
-        Err(_) => unreachable!("whoever leaves the line is told"),
+        Err(_) => unreachable!("every request that leaves the queue is sent an outcome"),
     }
 }
 
@@ -244,11 +246,12 @@
             retry_after: refused.retry_after,
         },
     };
-    // A caller that has gone away needs no answer.
+    // The send fails only when the caller has disconnected.
     let _ = refused.payload.turn.send(Turn::Refused(refusal));
 }
 
-/// Tells what an entry needs at present, so that long runs leave it to the shorter ones.
+/// Updates the headroom policy with an entry's current demand, so that long runs leave slots free
+/// for shorter ones.
 fn note_demand(cx: &Cx, entry: &EntryName, weight: u32) {
     let running = cx.admission.borrow().running(entry);
     let waiting = cx.line.waiting_of(entry);
@@ -265,13 +268,13 @@
     );
 }
 
-/// Slots of all floors.
+/// Total number of slots in this daemon's floors.
 fn slots(cx: &Cx) -> u32 {
     let floors = cx.floors.borrow();
     floors.held.values().map(|floor| floor.grant.slots).sum()
 }
 
-/// Starts whatever has room.
+/// Starts waiting requests for as long as there is capacity for one.
 fn move_on(cx: &Cx) {
     let slots = slots(cx);
     loop {
@@ -293,7 +296,7 @@
             Some(place) => Turn::Start(place),
             None => Turn::Refused(busy(cx.line.retry_after(cx.clock.now()))),
         };
-        // A place for a caller that has gone away is given back here, and the line is looked at again.
+        // When the caller has disconnected, the reservation is dropped here, which wakes the queue.
         let _ = waiting.turn.send(turn);
     }
 }
@@ -303,7 +306,8 @@
     headroom.may_start(entry, slots, cx.clock.now())
 }
 
-/// Whether a request of an entry would start at once: there is room, and nobody waits for it.
+/// Whether a request of an entry would start at once: there is capacity, and no request of the
+/// entry is waiting.
 pub fn is_open_to(cx: &Cx, entry: &EntryName) -> bool {
     cx.line.waiting_of(entry) == 0 && has_room(cx, entry)
 }
@@ -317,7 +321,7 @@
     })
 }
 
-/// Looks after the line until the process ends.
+/// Expires and starts waiting requests until the process ends.
 pub async fn run(cx: Cx) -> eyre::Result<()> {
     let mut forgot_at = cx.clock.now();
     loop {
@@ -356,7 +360,7 @@
     retries.retain(|entry, _| catalogue.rows.contains_key(entry));
 }
 
-/// Charges a request to the rates of its entry and owner.
+/// Charges a request to the rate limits of its entry and owner.
 pub fn let_in(cx: &Cx, entry: &Entry) -> Result<(), Refusal> {
     let claim: Claim<'_> = shares::of_daemon(cx, entry);
     let mut admission = cx.admission.borrow_mut();
@@ -367,12 +371,12 @@
     })
 }
 
-/// Workers that are looked at for one request once they have room: two are drawn from them, and some
-/// may be set aside. Looking at all of five hundred would cost more than the request is worth.
+/// Workers with free capacity that are considered for one request. Routing draws two of them and
+/// some may be ejected; considering all of 500 workers would cost too much per request.
 const MOST_CANDIDATES: usize = 16;
 
-/// Hands `then` some workers with room for a request of an entry, beginning anywhere, so that over
-/// many requests each worker is as likely as the next.
+/// Calls `then` with up to `most` workers that have capacity for a request of an entry. The scan
+/// starts at a random worker so that requests spread evenly.
 fn with_candidates<T>(
     cx: &Cx,
     entry: &Entry,
@@ -406,8 +410,8 @@
     u32::try_from(n).unwrap_or(u32::MAX)
 }
 
-/// Connections to one worker for requests: its limit divided over the daemons, less one for
-/// commands.
+/// Connections to one worker for requests: the worker's limit divided by the number of daemons,
+/// less one for commands, at most the configured number.
 fn connection_share(cx: &Cx, connections: u32, daemons: u32) -> u32 {
     let share = (connections / daemons).saturating_sub(1).max(1);
     share.min(cx.cfg.requests.connections)
--- a/src/lapisdrum/daemon/router.rs
+++ b/src/lapisdrum/daemon/router.rs
@@ -1,9 +1,9 @@
-//! The request path: check, claim the caller's id, wait in line or go elsewhere, send, tell the
-//! outcome truthfully.
+//! The request path: validate, claim the caller's id, wait in the queue or forward to a peer, send,
+//! report the outcome.
 //!
-//! `refused` is answered only where nothing was sent, or where the worker said that it did not run
-//! the request. Everything else without an answer is `unknown`, and a request that is not
-//! idempotent is not sent a second time after it.
+//! `refused` is returned only when nothing was sent, or when the worker reported that it did not
+//! run the request. Any other missing answer is `unknown`; after it, a request that is not
+//! idempotent is not sent again.
 
 use super::{
     Cx,
@@ -28,71 +28,73 @@
 use tokio::sync::oneshot;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// When to come back to a daemon that is not ready.
+/// Retry-after of a daemon that is not ready or has no capacity for a forwarded request.
 const BUSY_RETRY: Duration = Duration::from_secs(1);
-/// Largest answer that is passed on, in bytes.
+/// Largest answer that is forwarded to the caller, in bytes.
 const ANSWER_LIMIT: usize = 16 * 1024 * 1024;
-/// Least status of an answer that tells of a fault of the worker.
+/// Lowest HTTP status that counts as a failure of the worker.
 const FIRST_SERVER_FAULT: u16 = 500;
-/// Time after a request's deadline in which its worker has certainly ended it: the deadline is
-/// counted by the worker from the request's arrival, a packet's delay after it was sent.
+/// Time after a request's deadline by which its worker has certainly ended it. The worker counts
+/// the deadline from the request's arrival, which is one network delay after it was sent.
 pub const LATE_MARGIN: Duration = Duration::from_millis(500);
-/// Time between two looks at what is still in flight.
+/// Poll interval while waiting for requests in flight to end.
 const FINISH_POLL: Duration = Duration::from_millis(5);
 
-/// Completes when the caller has gone away.
+/// Completes when the caller has disconnected.
 type CallerGone = oneshot::Receiver<Infallible>;
 
 /// A caller's request.
 #[derive(Clone, Debug)]
 pub struct RunRequest {
-    /// The entry.
+    /// Catalogue entry that serves the request.
     pub entry: EntryName,
-    /// Its body.
+    /// Request body, limited by the entry's `body_bytes`.
     pub body: Bytes,
-    /// Its content type.
+    /// `Content-Type` of the body, if the caller sent one.
     pub content_type: Option<String>,
-    /// The caller's deadline, if it is shorter than the entry's.
+    /// Time that the caller allows; the entry's deadline applies when it is shorter.
     pub deadline: Option<Duration>,
-    /// The caller's own id for the request.
+    /// Idempotency key that the caller sent.
     pub key: Option<RequestId>,
-    /// Hash of who asks; requests of one caller share one turn in line.
+    /// Hash of the caller's identity; requests with the same hash form one flow in the queue.
     pub caller: u64,
 }
 
-/// How a request ended for the caller.
+/// Outcome of a request, as the caller receives it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RunEnd {
-    /// The worker's whole answer.
+    /// The worker's complete answer.
     Done(RequestId, Answer),
-    /// Done before under the same id with this status; the answer was too large to keep.
+    /// An earlier request with the same id ended with this status; its answer was too large to
+    /// keep.
     DoneBefore(RequestId, u16),
     /// Not run.
     Refused(Refusal),
-    /// Nobody knows whether it ran.
+    /// The request may or may not have run, with the reason.
     Unknown(RequestId, String),
 }
 
-/// Serves a caller's request. Once sent it goes on when the caller goes away: its worker may be
-/// running it, and its place must stay taken.
+/// Serves a caller's request. Once sent, it continues after the caller has disconnected: its worker
+/// may be running it, so its capacity must stay reserved.
 pub async fn run(cx: &Cx, req: RunRequest) -> RunEnd {
     let (tx, rx) = oneshot::channel();
-    // Dropped with this future.
+    // Dropping this future drops the sender, which completes `caller_gone`.
     let (_caller, caller_gone) = oneshot::channel::<Infallible>();
     let (owned, in_flight) = (Rc::clone(cx), Rc::clone(&cx.in_flight));
     supervisor::spawn("request", async move {
         let end = serve(&owned, &req, caller_gone).await;
-        // Nobody listens when the caller has gone away.
+        // The send fails when the caller has disconnected.
         let _ = tx.send(end);
         drop(in_flight);
     });
     let end = rx.await;
-    end.unwrap_or_else(|_| unreachable!("a request's task always sends its end"))
+    end.unwrap_or_else(|_| unreachable!("a request's task always sends its outcome"))
 }
 
-/// Completes once no request is being served and no worker may still be running one.
+/// Completes once no request is being served, no worker may still be running one, and all claims
+/// have been reported.
 pub async fn finished(cx: &Cx) {
-    // The context itself holds one.
+    // The context itself holds one reference.
     while Rc::strong_count(&cx.in_flight) > 1 || !claims::all_told(cx) {
         tokio::time::sleep(FINISH_POLL).await;
     }
@@ -115,7 +117,8 @@
     }
 }
 
-/// Serves a request whose id the caller brought: once, whatever is repeated.
+/// Serves a request with a caller-supplied id. A repeat receives the recorded outcome and does not
+/// run again, unless the id was released.
 async fn serve_claimed(
     cx: &Cx,
     entry: &Rc<Entry>,
@@ -135,7 +138,7 @@
     end
 }
 
-/// What a repeat is told.
+/// Outcome returned to a repeated request, from the recorded end of the first.
 fn first_outcome(req: &RunRequest, key: &RequestId, end: ClaimEnd) -> RunEnd {
     let unknown = || RunEnd::Unknown(key.clone(), "an earlier try under this id".to_owned());
     let ClaimEnd::Done { status, body } = end else {
@@ -171,7 +174,7 @@
             }
         }
         RunEnd::Refused(_) => ClaimEnd::NotRun,
-        // It may run again, so its id is free to be asked again.
+        // An idempotent request may run again, so its id is released.
         RunEnd::Unknown(..) if entry.idempotent => ClaimEnd::NotRun,
         RunEnd::DoneBefore(..) | RunEnd::Unknown(..) => ClaimEnd::Unknown,
     }
@@ -193,7 +196,7 @@
         }
     }
     let gone = async {
-        // Nothing is ever sent; this ends when the other side is dropped.
+        // No value is ever sent; the receive ends when the sender is dropped.
         let _ = caller_gone.await;
     };
     match queue::wait(cx, entry, req.caller, deadline, gone).await {
@@ -202,7 +205,7 @@
     }
 }
 
-/// A refusal, unless the request was sent before and may have run.
+/// Returns the refusal, or `unknown` when an earlier send may have run the request.
 fn refused_or_unknown(
     cx: &Cx,
     id: RequestId,
@@ -215,18 +218,18 @@
     }
 }
 
-/// Serves a request that another daemon had no room for: at once or not at all, so that it neither
-/// overtakes this daemon's own callers nor goes on to a third daemon.
+/// Serves a request that another daemon had no capacity for. It is started at once or refused, so
+/// that it neither overtakes this daemon's waiting callers nor is forwarded to a third daemon.
 pub async fn run_spilled(cx: &Cx, req: RunRequest, id: RequestId) -> RunEnd {
     let (tx, rx) = oneshot::channel();
     let owned = Rc::clone(cx);
-    // Goes on when the other daemon gives up on the call, as for a caller that goes away.
+    // Continues when the other daemon drops the call, as for a caller that disconnects.
     supervisor::spawn("spilled-request", async move {
         let end = serve_spilled(&owned, &req, id).await;
         let _ = tx.send(end);
     });
     let end = rx.await;
-    end.unwrap_or_else(|_| unreachable!("a request's task always sends its end"))
+    end.unwrap_or_else(|_| unreachable!("a request's task always sends its outcome"))
 }
 
 async fn serve_spilled(cx: &Cx, req: &RunRequest, id: RequestId) -> RunEnd {
@@ -273,8 +276,8 @@
     Ok(entry)
 }
 
-/// Sends a request until it is answered, may not be sent again, or has no place left. `in_doubt` says
-/// why an earlier send may have run it.
+/// Sends a request until it is answered, may not be retried, or no capacity is left. `in_doubt` is
+/// the reason why an earlier send may have run it.
 async fn send(
     cx: &Cx,
     entry: &Entry,
@@ -327,7 +330,7 @@
 
 fn routing_end(end: &RequestEnd) -> End {
     match end {
-        // A worker that fails at once looks fastest; it counts as failing.
+        // A worker that fails at once would otherwise count as the fastest.
         RequestEnd::Answered(answer) if answer.status >= FIRST_SERVER_FAULT => End::Failed,
         RequestEnd::Answered(_) => End::Answered,
         RequestEnd::NotRun(_) => End::Full,
@@ -335,7 +338,7 @@
     }
 }
 
-/// Notes an outcome that nobody knows.
+/// Records on the timeline that a request's outcome is unknown.
 pub fn unknown(cx: &Cx, id: RequestId, why: String) -> RunEnd {
     cx.timeline.record(Happening::RequestUnknown {
         request: id.clone(),
@@ -344,12 +347,12 @@
     RunEnd::Unknown(id, why)
 }
 
-/// An id that no other daemon mints: this run's number and a random part.
+/// Generates a globally unique id: this daemon's incarnation and a random number.
 fn mint_id(cx: &Cx) -> RequestId {
     let text = format!(
         "{:016x}-{:016x}",
         cx.me.incarnation.0,
         rand::random::<u64>()
     );
-    RequestId::try_from(text).unwrap_or_else(|e| unreachable!("a minted id is valid: {e}"))
+    RequestId::try_from(text).unwrap_or_else(|e| unreachable!("a generated id is valid: {e}"))
 }
--- a/src/lapisdrum/daemon/shares.rs
+++ b/src/lapisdrum/daemon/shares.rs
@@ -1,7 +1,7 @@
 //! Shares of the entries' limits: this daemon's for requests, its shards' for jobs.
 //!
-//! The rules are in [`crate::state::shares`]; here they are driven: the rows are read at the interval
-//! of the floors' exchange, and written only when a part changes.
+//! [`crate::state::shares`] has the rules. This module reads the rows at the interval of the floor
+//! exchange and writes a row only when a share changes.
 
 use super::{Cx, grants, peers, shard::Shard};
 use crate::{
@@ -21,19 +21,19 @@
 
 /// Key prefix of the entries' rows.
 const PREFIX: &str = "shares/";
-/// Looks at one row in a round, where others write it at the same time.
+/// Attempts to update one row per round while other parties write it at the same time.
 const LOOK_TRIES: usize = 4;
-/// What is left of a past demand at each look: a burst is remembered for some ten looks.
+/// Factor by which past demand decays at each update: a burst has an effect for about ten updates.
 const DEMAND_KEPT: f64 = 0.8;
 
-/// What this daemon and its shards may use.
+/// Shares of the entries' limits that this daemon and its shards hold.
 #[derive(Debug, Default)]
 pub struct Held {
     requests: RefCell<IndexMap<EntryName, Own>>,
-    /// By ownership, not by shard alone: another owner in between may have lowered the part.
+    /// Keyed by shard and epoch: an owner between two of ours may have lowered the share.
     jobs: RefCell<IndexMap<(ShardId, Epoch, EntryName), Own>>,
-    /// How many daemons there are and this one's place among them, as of the last look: asked for by
-    /// every request.
+    /// Number of daemons and this daemon's rank among them, cached at each update since every
+    /// request needs it.
     place: Cell<(u32, u32)>,
 }
 
@@ -47,7 +47,7 @@
     format!("{PREFIX}{entry}")
 }
 
-/// Whose limits a request of an entry counts against here, and how far.
+/// The limits that a request of an entry counts against at this daemon.
 pub fn of_daemon<'a>(cx: &Cx, entry: &'a Entry) -> Claim<'a> {
     let (daemons, rank) = cx.shares.place.get();
     let even = admission::divide(&entry.limits, daemons, rank);
@@ -64,7 +64,7 @@
     }
 }
 
-/// Jobs of an entry that may have a place in an own shard at once.
+/// Jobs of an entry that a shard owned by this daemon may have placed at once.
 pub fn of_shard(cx: &Cx, entry: &Entry, shard: &Shard) -> u32 {
     let own_key = (shard.id.clone(), shard.epoch, entry.name.clone());
     let own = cx.shares.jobs.borrow().get(&own_key).copied();
@@ -86,7 +86,7 @@
     place(members.shards.keys(), shard)
 }
 
-/// How many there are with `own`, and the place of `own` among them.
+/// The number of items including `own`, and the rank of `own` among them (from 0).
 fn place<'a, T: Ord + 'a>(all: impl Iterator<Item = &'a T>, own: &T) -> (u32, u32) {
     let others: Vec<&T> = all.filter(|other| *other != own).collect();
     let rank = others.iter().filter(|other| **other < own).count();
@@ -97,7 +97,7 @@
     u32::try_from(n).unwrap_or(u32::MAX)
 }
 
-/// Looks at the rows until the process ends.
+/// Updates this daemon's and its shards' shares until the process ends.
 pub async fn run(cx: Cx) -> eyre::Result<()> {
     loop {
         look_at_all(&cx).await;
@@ -132,7 +132,7 @@
     }
 }
 
-/// Requests are the daemon's own; jobs belong to shards.
+/// The parties that hold shares of an entry here: this daemon for requests, its shards for jobs.
 fn own_parties(cx: &Cx, entry: &Entry) -> Vec<Party> {
     if entry.class == Class::LatencyCritical {
         return vec![Party::Daemon(cx.me.clone())];
@@ -144,7 +144,7 @@
         .collect()
 }
 
-/// One party's figures for a look.
+/// Usage of one party, for the update of its share.
 struct Figures {
     parties: u32,
     rank: u32,
@@ -181,8 +181,9 @@
     }
 }
 
-/// Looks at an entry's row, and again at what another party has made of it meanwhile. Daemons whose
-/// looks fall together would otherwise lose to the same one each time, and never come by a part.
+/// Updates a party's share in an entry's row, and retries on the new row after a write conflict.
+/// Without retries, of daemons that update at the same time the same one could win each round, and
+/// the others would never get a share.
 async fn look_until_settled(cx: &Cx, entry: &Entry, row: (u64, Shares), party: Party) {
     let mut row = row;
     for _ in 0..LOOK_TRIES {
@@ -197,7 +198,7 @@
     }
 }
 
-/// Whether a look has to be repeated.
+/// Whether an update must be repeated on a newer row.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Looked {
     Settled,
@@ -206,7 +207,7 @@
 
 async fn look_at(cx: &Cx, entry: &Entry, row: &(u64, Shares), party: &Party) -> Looked {
     let (version, row) = row;
-    // Counted now, and nothing more is started beyond the new part before it is written.
+    // Counted before the write; from `before_write` on, nothing is started beyond the new share.
     let Some(figures) = figures(cx, entry, party) else {
         return Looked::Settled;
     };
@@ -243,12 +244,12 @@
             Looked::Settled
         }
         TxnOutcome::Conflict(_) => Looked::Overtaken,
-        // The next look reads what has become of it.
+        // The next update reads whether the write took effect.
         TxnOutcome::Unknown(_) => Looked::Settled,
     }
 }
 
-/// Has whatever waited for a greater part go on.
+/// Wakes the queue or the placement that may have waited for a larger share.
 fn tell(cx: &Cx, party: &Party) {
     match party {
         Party::Daemon(_) => cx.line.wake(),
@@ -260,7 +261,7 @@
     }
 }
 
-/// Takes what was read into account, and returns the demand of the last while.
+/// Applies the share that was read from the row, and returns the recent demand.
 fn note_look(cx: &Cx, entry: &Entry, party: &Party, in_row: u32, figures: &Figures) -> u32 {
     let asked = f64::from(figures.running + figures.waiting);
     with_own(cx, entry, party, |own| {
@@ -286,7 +287,7 @@
     cx.shards.borrow().get(shard).map(|own| own.epoch)
 }
 
-/// The row without the parts of daemons that are certainly gone and whose requests are over.
+/// The row without the shares of daemons that have certainly ended and whose requests have ended.
 fn without_gone(cx: &Cx, row: &Shares) -> Shares {
     let runs_on = grants::requests_run_on(cx);
     let is_over = |holder: &Holder| peers::gone_for(cx, holder).is_some_and(|gone| gone > runs_on);
@@ -301,7 +302,8 @@
     next
 }
 
-/// Gives this daemon's parts up at a graceful end, where nothing runs under them any more.
+/// Releases this daemon's shares at a graceful shutdown, except those under which requests still
+/// run.
 pub async fn give_back(cx: &Cx) {
     let party = Party::Daemon(cx.me.clone());
     let Ok(rows) = cx.platform.list(PREFIX).await else {
@@ -323,7 +325,7 @@
         let txn = Txn::default()
             .compare(row.key.clone(), row.version)
             .put(row.key.clone(), &shares.without(&party));
-        // Without an answer the part is voided once this run is seen to be gone.
+        // Without an answer, the share is voided once other daemons find that this run has ended.
         let _: TxnOutcome = cx.platform.txn(&txn).await;
     }
 }
--- a/src/lapisdrum/daemon/spill.rs
+++ b/src/lapisdrum/daemon/spill.rs
@@ -1,18 +1,16 @@
-//! Requests that have no room here go to another daemon, one hop at most.
+//! Forwards requests for which this daemon has no capacity to another daemon, one hop at most.
 //!
-//! Load patterns: a balancer that sends most callers to one daemon; a data centre whose workers are
-//! full or gone; a limit so small that only some daemons have a share of it. Without the hop callers
-//! are refused or wait at one daemon while there is room at the next. A daemon of the same data
-//! centre is asked first, then one elsewhere.
+//! Load patterns: a load balancer that sends most callers to one daemon; a data centre whose
+//! workers are full or unavailable; a limit so small that only some daemons have a share of it.
+//! Without forwarding, callers are refused or wait at one daemon while another has free capacity. A
+//! daemon of the same data centre is tried first, then one of another.
 //!
-//! The other serves at once or refuses, and never passes on, so a request can't wander. Under an
-//! overload everywhere the hops themselves would be load: a peer that had no room for an entry is
-//! not asked for that entry again for [`FULL_FOR`], which bounds the calls to ten a second for each
-//! peer and entry.
+//! The peer serves the request at once or refuses it, and never forwards it. Under a system-wide
+//! overload the hops would add load themselves: a peer that had no capacity for an entry is not
+//! asked for it again for [`FULL_FOR`], which bounds the calls to 10/s per peer and entry.
 //!
-//! The outcome's truth is kept over the hop: a call that was never sent and a refusal leave the
-//! request to be served here; a call without a reply is unknown, and only an idempotent request goes
-//! on after it.
+//! A call that was never sent or was refused leaves the request to be served here. The outcome of a
+//! call without a reply is unknown, and only an idempotent request is tried again after it.
 
 use super::{
     Cx,
@@ -31,27 +29,28 @@
 use rand::seq::IndexedRandom;
 use std::{cell::RefCell, time::Duration};
 
-/// How long a peer that had no room for an entry is not asked for it.
+/// Time for which a peer that did not serve an entry's request is not asked for that entry again.
 const FULL_FOR: Duration = Duration::from_millis(100);
-/// Least time that must be left for a hop: a few round trips between data centres.
+/// Minimum time to the deadline for a hop: a few round trips between data centres.
 const LEAST_LEFT: Duration = Duration::from_millis(20);
-/// Taken off the time that the other is given, for the way back.
+/// Subtracted from the time that the peer is given, for the reply's network delay.
 const WAY_BACK: Duration = Duration::from_millis(5);
 
-/// Peers that had no room for an entry, and when they were asked.
+/// Peers that did not serve a request of an entry, because they were full or gave no usable reply,
+/// with the time of the call.
 #[derive(Debug, Default)]
 pub struct FullPeers(RefCell<IndexMap<(DaemonId, EntryName), Millis>>);
 
-/// How a hop ended.
+/// Outcome of a hop.
 enum Hop {
     Ended(RunEnd),
     NotRun,
-    /// It may have run there.
+    /// The request may have run on the peer.
     Unknown(String),
 }
 
-/// Has a request served by another daemon. An error when it is to be served here: it certainly was
-/// not run elsewhere, or, with a reason to doubt that, may run again.
+/// Has a request served by another daemon. `Err` when it is to be served here: `None` if it
+/// certainly did not run on a peer; `Some` with the reason if it may have run and is idempotent.
 pub async fn elsewhere(
     cx: &Cx,
     entry: &Entry,
@@ -119,14 +118,16 @@
     }
 }
 
-/// A live daemon of this data centre, or of another, that was not full lately.
+/// A random live daemon that is not in [`FullPeers`] for the entry: of this data centre if
+/// `is_near`, else of another.
 fn choose_peer(cx: &Cx, entry: &EntryName, is_near: bool) -> Option<(DaemonId, String)> {
     let now = cx.clock.now();
     let patience = cx.cfg.shards.terms.lengthened(cx.cfg.shards.terms.lease);
     let own = &cx.cfg.daemon.data_centre;
     let members = cx.members.borrow();
-    // As of when the rows were read: with the table away they stand still, and the daemons that were
-    // live go on being asked. Rows of other data centres are read more rarely.
+    // Liveness is judged as of the last read of the rows: while the store is unavailable they do
+    // not change, and daemons that were live are still asked. Other data centres' rows are read
+    // less often.
     let read_at = match is_near {
         true => members.hosts_read_at,
         false => members.all_read_at,
@@ -151,7 +152,7 @@
     full.insert((peer, entry.clone()), now);
 }
 
-/// Serves another daemon's request.
+/// Serves a request that another daemon forwarded.
 pub async fn answer(cx: &Cx, run: SpilledRun) -> SpilledEnd {
     let req = RunRequest {
         entry: run.entry,
--- a/src/lapisdrum/daemon/starts.rs
+++ b/src/lapisdrum/daemon/starts.rs
@@ -1,8 +1,9 @@
 //! Placing waiting jobs and starting their tasks.
 //!
-//! A pass computes the workers' rooms once and goes round the entries one job at a time, so that a
-//! long queue of one entry delays no other. It ends an entry's turn at its first job that fits
-//! nowhere, so a pass costs no more than what it places, however many jobs wait.
+//! A pass computes the workers' free capacity once and takes one job from each entry in turn
+//! (round-robin), so that a long queue of one entry delays no other. An entry's turn ends at its
+//! first job that fits on no worker, so the cost of a pass depends on the jobs that it places, not
+//! on the number that wait.
 
 use super::{
     Cx,
@@ -34,16 +35,16 @@
 };
 use std::{rc::Rc, time::Duration};
 
-/// Longest time between two looks for jobs to place.
+/// Longest time between two placement passes.
 const PASS_TICK: Duration = Duration::from_millis(500);
-/// Shortest time between two looks: 335 jobs a second must not cause as many passes.
+/// Pause after each pass: 335 jobs/s must not cause 335 passes/s.
 const PASS_GAP: Duration = Duration::from_millis(20);
-/// Most jobs that one pass places, so that a flood does not hold the thread up.
+/// Upper bound on the jobs of one pass, so that a burst does not block the thread.
 const MOST_PER_PASS: usize = 500;
-/// How long a worker that refused a task for lack of room gets no other.
+/// Time without new tasks for a worker that rejected one for lack of capacity.
 const NO_ROOM_WAIT: Duration = Duration::from_secs(1);
 
-/// Places waiting jobs until the shard is lost or given up.
+/// Places waiting jobs until the shard is lost or released.
 pub async fn place_jobs(cx: &Cx, shard: &Rc<Shard>) {
     while shard.is_serving() {
         place_waiting(cx, shard);
@@ -55,16 +56,16 @@
     }
 }
 
-/// One entry's turn in a pass.
+/// State of one entry during a pass.
 struct Turn {
     entry: EntryName,
     kind: Kind,
     class: Class,
-    /// Jobs of it that are placed.
+    /// Jobs of the entry that are already placed.
     placed: u32,
-    /// Jobs that its limit still allows.
+    /// Jobs that the entry's limit still allows.
     left: u32,
-    /// Jobs that have to go on waiting.
+    /// Jobs that cannot be placed in this pass and return to the queue.
     aside: Vec<JobId>,
 }
 
@@ -102,7 +103,7 @@
 fn turn(cx: &Cx, shard: &Shard, name: EntryName) -> Turn {
     let entry = cx.catalogue.borrow().entry(&name);
     let placed = shard.journal.index().counts(&name).placed;
-    // An accepted job of an entry that is gone from the catalogue still finishes.
+    // Accepted jobs still finish after their entry was removed from the catalogue.
     let class = entry.as_ref().map_or(Class::Batch, |entry| entry.class);
     let limit = entry.map_or(u32::MAX, |entry| limits::job_limit(cx, shard, &entry));
     let kind = shard.pressure.borrow_mut().interference.kind(&name);
@@ -121,7 +122,7 @@
     shard.journal.index_mut().put_back(&turn.entry, aside);
 }
 
-/// Places one job of an entry; false when the entry's turn is over.
+/// Takes one waiting job of an entry and tries to place it. False when the entry's turn has ended.
 fn place_next(cx: &Cx, shard: &Rc<Shard>, turn: &mut Turn, rooms: &mut [Room<'_>]) -> bool {
     if turn.left == 0 {
         return false;
@@ -129,8 +130,8 @@
     let Some(job) = shard.journal.take_waiting(&turn.entry) else {
         return false;
     };
-    // Its eviction is not durable, so its last worker may not have been told to forget it. A job that
-    // is just being accepted was nowhere before, and its place goes into the same row.
+    // While an eviction is not durable, the previous worker's session may still list the job. A job
+    // whose acceptance is not durable has no previous worker; its placement goes into the same row.
     if shard.journal.is_unsettled(&job) && !shard.journal.is_unaccepted(&job) {
         turn.aside.push(job);
         return true;
@@ -178,7 +179,7 @@
     };
     let mut open: Vec<usize> = (0..rooms.len()).filter(|i| is_open(&rooms[*i])).collect();
     let is_new = |i: &usize| !pressure.health.has_failed_on(job, rooms[*i].worker);
-    // Another try where it failed already tells little; but better there than nowhere.
+    // Prefer workers on which the job has not failed; use the others only when there is no choice.
     if open.iter().any(is_new) {
         open.retain(is_new);
     }
@@ -211,7 +212,7 @@
     true
 }
 
-/// A worker that may take tasks, as of the beginning of a pass.
+/// A worker that may take tasks, as of the start of a pass.
 struct OpenHost {
     worker: WorkerId,
     rack: Rack,
@@ -233,7 +234,7 @@
     }
 }
 
-/// Workers that may take tasks, with what is free and what runs there.
+/// Workers that may take tasks, with their free capacity and the tasks that run there.
 fn open_hosts(cx: &Cx, shard: &Shard) -> Vec<OpenHost> {
     let now = cx.clock.now();
     let members = cx.members.borrow();
@@ -264,8 +265,8 @@
 async fn start_task(cx: &Cx, shard: &Rc<Shard>, job: &JobId, placement: &Placement) {
     let worker = &placement.worker;
     let Some((start, address)) = start_command(cx, shard, job, placement) else {
-        // Nothing was sent. If the ledger can't take the eviction now, the next visit finds a lease
-        // that has run out.
+        // Nothing was sent. If the ledger can't accept the eviction now, the next poll of the
+        // worker finds an expired lease.
         note_unsent(cx, shard, job, placement);
         unplace(cx, shard, job, placement, "no right to start it");
         return;
@@ -287,7 +288,7 @@
                 worker: worker.clone(),
             });
         }
-        // Another attempt is there, which the next visit finds and stops; this one did not start.
+        // This attempt did not start. Another attempt that runs there is stopped by the next poll.
         CommandEnd::Rejected(reason, ..) => {
             if reason == RejectReason::NoRoom {
                 let until = cx.clock.now() + NO_ROOM_WAIT;
@@ -296,7 +297,7 @@
             let reason = format!("worker rejected it: {reason:?}");
             unplace(cx, shard, job, placement, &reason);
         }
-        // It may run. The next visits find out, or its lease runs out.
+        // The task may run. The next polls resolve it, or its lease expires.
         CommandEnd::Silent(_) => {}
     }
 }
@@ -315,20 +316,21 @@
     });
 }
 
-/// The start of a task, if this owner may still send it: its lease holds and the placement that was
-/// written is still the job's.
+/// The start command and the worker's address, if this owner may still send it: the shard's lease
+/// is valid and the committed placement is still the job's current one.
 fn start_command(
     cx: &Cx,
     shard: &Shard,
     job: &JobId,
     placement: &Placement,
 ) -> Option<(StartTask, String)> {
-    // After the last event of a graceful end the successor counts on no further lease.
+    // After a graceful shutdown's last event, the next owner assumes that no further lease was
+    // given.
     if !shard.is_serving() || !shard.may_act(cx.clock.now(), &cx.cfg.shards.terms) {
         return None;
     }
     let known = shard.job(job)?;
-    // An eviction between proposal and commit has taken this attempt back already.
+    // The attempt may have been evicted between proposal and commit.
     if known.placement() != Some(placement) || known.cancelling {
         return None;
     }
