--- a/src/lapisdrum/daemon/evictions.rs
+++ b/src/lapisdrum/daemon/evictions.rs
@@ -34,41 +34,41 @@
 /// only after a whole task lease without being listed.
 pub fn forget_gone_hosts(cx: &Cx, shard: &Rc<Shard>) {
     let terms = &cx.cfg.shards.terms;
-    let patience = terms.lengthened(cx.cfg.shards.task_lease);
-    let is_late = cx.clock.now().since(shard.since) > patience;
-    let gone: Vec<WorkerId> = {
+    let timeout = terms.lengthened(cx.cfg.shards.task_lease);
+    let has_waited = cx.clock.now().since(shard.since) > timeout;
+    let removed: Vec<WorkerId> = {
         let members = cx.members.borrow();
         let index = shard.journal.index();
-        let unnamed = index
+        let unlisted = index
             .workers()
             .filter(|worker| !members.hosts.contains_key(*worker));
-        unnamed
-            .filter(|worker| is_late || members.was_named(worker))
+        unlisted
+            .filter(|worker| has_waited || members.was_named(worker))
             .cloned()
             .collect()
     };
-    for worker in &gone {
+    for worker in &removed {
         for (job, placement) in sessions::placements_on(shard, worker) {
             unplace(cx, shard, &job, &placement, "host is gone");
         }
     }
     let members = cx.members.borrow();
-    let named = |worker: &WorkerId| members.hosts.contains_key(worker);
+    let is_listed = |worker: &WorkerId| members.hosts.contains_key(worker);
     shard
         .sessions
         .borrow_mut()
-        .retain(|worker, _| named(worker));
+        .retain(|worker, _| is_listed(worker));
 }
 
-/// Evicts the tasks in `judged` that a worker which does not answer certainly no longer runs.
+/// Evicts the tasks in `placements` that a worker which does not answer certainly no longer runs.
 pub fn give_up_silent(
     cx: &Cx,
     shard: &Rc<Shard>,
     worker: &WorkerId,
-    judged: &IndexMap<JobId, Placement>,
+    placements: &IndexMap<JobId, Placement>,
 ) {
     let now = cx.clock.now();
-    for (job, placement) in judged {
+    for (job, placement) in placements {
         let sent = shard.session(worker, |session| session.sent(job, placement.attempt));
         let evidence = Evidence {
             worker: WorkerEvidence::Silent,
@@ -93,7 +93,7 @@
     }
     let mut latest = shard.since;
     for owner in suspects {
-        match gone_since(cx, shard, owner) {
+        match ended_since(cx, shard, owner) {
             Some(since) => latest = latest.max(since),
             None => return EarlierOwners::Unaccounted,
         }
@@ -105,7 +105,7 @@
 /// that released the shard ended before this owner took it. One that was replaced, or whose host
 /// left the platform's list, may have renewed tasks until shortly before this was observed, so its
 /// time counts from the observation.
-fn gone_since(cx: &Cx, shard: &Shard, owner: &OwnerRecord) -> Option<Millis> {
+fn ended_since(cx: &Cx, shard: &Shard, owner: &OwnerRecord) -> Option<Millis> {
     if owner.released {
         return Some(shard.since);
     }
@@ -114,9 +114,9 @@
         return Some(*since);
     }
     let members = cx.members.borrow();
-    let is_gone =
+    let has_ended =
         members.is_replaced(&owner.holder, shard.since) || members.is_host_gone(&owner.holder);
-    is_gone.then(|| {
+    has_ended.then(|| {
         let now = cx.clock.now();
         found.insert(owner.epoch, now);
         now
@@ -146,12 +146,12 @@
     };
     let (cx, shard, job) = (Rc::clone(cx), Rc::clone(shard), job.clone());
     let (placement, reason) = (placement.clone(), reason.to_owned());
-    let is_over = current.cancelling;
+    let is_cancelled = current.cancelling;
     supervisor::spawn("unplaced", async move {
         if ticket.end().await == WriteEnd::Committed {
             let worker = &placement.worker;
             shard.session(worker, |session| session.forget(&job, placement.attempt));
-            match is_over {
+            match is_cancelled {
                 true => note_end(&cx, &job, &JobEnd::Cancelled),
                 false => note_eviction(&cx, &job, worker, &reason),
             }
@@ -175,14 +175,17 @@
 
 /// Records the end of a job in the metrics and on the timeline.
 pub fn note_end(cx: &Cx, job: &JobId, end: &JobEnd) {
-    let word = JobState::from(end).as_str();
+    let end_name = JobState::from(end).as_str();
     if let Some(entry) = entry_of(cx, job) {
-        let labels = EndLabels { entry, end: word };
+        let labels = EndLabels {
+            entry,
+            end: end_name,
+        };
         cx.metrics.jobs_ended.get_or_create(&labels).inc();
     }
     let end = match end {
-        JobEnd::Failed(why) => format!("{word}: {why}"),
-        JobEnd::Done | JobEnd::Cancelled => word.to_owned(),
+        JobEnd::Failed(why) => format!("{end_name}: {why}"),
+        JobEnd::Done | JobEnd::Cancelled => end_name.to_owned(),
     };
     cx.timeline.record(Happening::JobEnded {
         job: job.clone(),
--- a/src/lapisdrum/daemon/grants.rs
+++ b/src/lapisdrum/daemon/grants.rs
@@ -30,7 +30,7 @@
 use std::{rc::Rc, time::Duration};
 
 /// Retry-after of a refused exchange.
-const RETRY: Duration = Duration::from_secs(1);
+const RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// Exchanges floors with the owners of this data centre's shards until the process ends.
 pub async fn run(cx: Cx) -> eyre::Result<()> {
@@ -41,7 +41,7 @@
         }
         let own: Vec<Rc<Shard>> = cx.shards.borrow().values().cloned().collect();
         for shard in own.iter().filter(|shard| shard.is_serving()) {
-            void_gone(&cx, shard);
+            void_ended(&cx, shard);
         }
         tokio::time::sleep(cx.cfg.requests.grant_poll).await;
     }
@@ -85,8 +85,10 @@
     let round = cx.floors.borrow_mut().next_round();
     let members = cx.members.borrow();
     let hosts = members.shard_hosts(&shard, cx.cfg.shards.count);
-    let is_own = |worker: &WorkerId| hosts.iter().any(|host| host.worker == *worker);
-    let holding = holding.into_iter().filter(|(worker, _)| is_own(worker));
+    let is_shard_host = |worker: &WorkerId| hosts.iter().any(|host| host.worker == *worker);
+    let holding = holding
+        .into_iter()
+        .filter(|(worker, _)| is_shard_host(worker));
     Some(GrantRound {
         holding: to_wire(holding),
         shard,
@@ -160,11 +162,11 @@
 /// Requests of a daemon that died run on workers until the deadlines that they were sent with.
 /// Giving its floors to others at once could overload a worker, so they stay reserved for the
 /// longest deadline of any entry after the daemon was found to have ended.
-fn void_gone(cx: &Cx, shard: &Rc<Shard>) {
-    let runs_on = requests_run_on(cx);
+fn void_ended(cx: &Cx, shard: &Rc<Shard>) {
+    let max_run_time = max_orphan_run_time(cx);
     let holders: Vec<Holder> = shard.state().grants.keys().cloned().collect();
     for holder in holders {
-        if peers::gone_for(cx, &holder).is_some_and(|gone| gone > runs_on) {
+        if peers::gone_for(cx, &holder).is_some_and(|gone| gone > max_run_time) {
             // If the proposal is refused, the next round repeats it.
             let voided = vec![Event::GrantsVoided { of: holder }];
             let _ = shard.propose(cx, voided, Urgency::Batch);
@@ -173,7 +175,7 @@
 }
 
 /// Longest time for which requests of a daemon may run after it has ended.
-pub fn requests_run_on(cx: &Cx) -> Duration {
+pub fn max_orphan_run_time(cx: &Cx) -> Duration {
     cx.cfg
         .shards
         .terms
@@ -189,10 +191,14 @@
 /// Answers a daemon's exchange as the shard's owner.
 pub async fn answer(cx: &Cx, shard: &Rc<Shard>, round: GrantRound) -> PeerReply {
     if !shard.is_serving() {
-        return PeerReply::Refused(Refusal::NoOwner { retry_after: RETRY });
+        return PeerReply::Refused(Refusal::NoOwner {
+            retry_after: RETRY_AFTER,
+        });
     }
     if !is_next_round(shard, &round) {
-        return PeerReply::Refused(Refusal::InProgress { retry_after: RETRY });
+        return PeerReply::Refused(Refusal::InProgress {
+            retry_after: RETRY_AFTER,
+        });
     }
     let targets = match round.leaving {
         true => ByWorker::default(),
@@ -200,7 +206,7 @@
     };
     let holder = round.holder.clone();
     let events = {
-        let (hosts, holding) = (wholes(cx), by_worker(round.holding));
+        let (hosts, holding) = (full_capacities(cx), by_worker(round.holding));
         grants::changes(&shard.state(), &hosts, &holder, &holding, &targets)
     };
     // Proposed even without events: a floor raised by an earlier round may not be durable yet, and
@@ -234,8 +240,8 @@
 /// The even share of each worker's request capacity for one live daemon; empty if it is not live.
 fn targets(cx: &Cx, shard: &Shard, holder: &Holder) -> ByWorker {
     let members = cx.members.borrow();
-    let patience = cx.cfg.shards.terms.lengthened(cx.cfg.shards.terms.lease);
-    let live = members.live(&cx.cfg.daemon.data_centre, cx.clock.now(), patience);
+    let timeout = cx.cfg.shards.terms.lengthened(cx.cfg.shards.terms.lease);
+    let live = members.live(&cx.cfg.daemon.data_centre, cx.clock.now(), timeout);
     let Some(rank) = live.iter().position(|daemon| daemon.holder == *holder) else {
         return ByWorker::default();
     };
@@ -244,29 +250,29 @@
     let percent = cx.cfg.shards.request_share_percent;
     staying
         .map(|(i, host)| {
-            let part = grants::even_part(&whole(host), percent, rank + i, live.len());
+            let part = grants::even_part(&full_capacity(host), percent, rank + i, live.len());
             (host.worker.clone(), part)
         })
         .collect()
 }
 
-fn whole(host: &Host) -> Grant {
+fn full_capacity(host: &Host) -> Grant {
     Grant {
         slots: host.slots,
         size: host.capacity,
     }
 }
 
-fn wholes(cx: &Cx) -> ByWorker {
+fn full_capacities(cx: &Cx) -> ByWorker {
     let members = cx.members.borrow();
     let hosts = members.hosts.values();
     hosts
-        .map(|host| (host.worker.clone(), whole(host)))
+        .map(|host| (host.worker.clone(), full_capacity(host)))
         .collect()
 }
 
 /// Capacity of a worker's request share that no daemon holds yet. Tasks must not use it.
 pub fn unclaimed_reserve(cx: &Cx, state: &State, host: &Host) -> Size {
     let percent = cx.cfg.shards.request_share_percent;
-    grants::unclaimed_reserve(state, &host.worker, &whole(host), percent)
+    grants::unclaimed_reserve(state, &host.worker, &full_capacity(host), percent)
 }
--- a/src/lapisdrum/daemon/limits.rs
+++ b/src/lapisdrum/daemon/limits.rs
@@ -14,10 +14,10 @@
 
 /// Jobs of an entry that may wait in this shard.
 pub fn queue_limit(cx: &Cx, shard: &Shard, entry: &Entry) -> u32 {
-    part(cx, shard, entry.limits.queue)
+    shard_share(cx, shard, entry.limits.queue)
 }
 
-fn part(cx: &Cx, shard: &Shard, limit: u32) -> u32 {
+fn shard_share(cx: &Cx, shard: &Shard, limit: u32) -> u32 {
     let members = cx.members.borrow();
     let mut all: Vec<&ShardId> = members.shards.keys().collect();
     if !all.contains(&&shard.id) {
--- a/src/lapisdrum/daemon/pressure.rs
+++ b/src/lapisdrum/daemon/pressure.rs
@@ -32,10 +32,10 @@
 /// Speed of a throttled task, in thousandths.
 const THROTTLED_PERMILLE: u32 = 300;
 /// Speed of a task that is not throttled, in thousandths.
-const FULL_PERMILLE: u32 = 1_000;
+const UNTHROTTLED_PERMILLE: u32 = 1_000;
 /// Time before a measurement during which the tasks on the host must not have changed for the
 /// measurement to be attributed to them: workers average over about this period.
-const UNCHANGED: Duration = Duration::from_secs(1);
+const MIN_UNCHANGED: Duration = Duration::from_secs(1);
 const WHOLE_PERMILLE: f64 = 1_000.0;
 
 /// Estimates and mitigation state of one ownership of a shard.
@@ -47,11 +47,11 @@
     pub health: Health,
     /// Recent evictions for mitigation, which limit further ones.
     pub memory: EvictionMemory,
-    hosts: IndexMap<WorkerId, HostPressure>,
+    hosts: IndexMap<WorkerId, HostState>,
 }
 
 #[derive(Debug, Default)]
-struct HostPressure {
+struct HostState {
     distress: Distress,
     history: History,
     throttled: IndexSet<JobId>,
@@ -72,13 +72,13 @@
             .hosts
             .get(worker)
             .is_some_and(|host| host.distress.is_on());
-        let is_standing_good = match self.health.standing(worker, now) {
+        let is_healthy = match self.health.standing(worker, now) {
             Standing::Good => true,
             // A worker on trial gets one task at a time.
             Standing::Trial => is_empty,
             Standing::Aside => false,
         };
-        is_standing_good
+        is_healthy
             && !(in_distress && class == Class::Batch)
             && self.memory.may_place(job, worker, now)
     }
@@ -100,7 +100,7 @@
                 });
             }
         }
-        forget(cx, shard);
+        remove_stale(cx, shard);
         tokio::time::sleep(cx.cfg.shards.usage).await;
     }
 }
@@ -115,17 +115,17 @@
         .collect()
 }
 
-fn with_host<T>(shard: &Shard, worker: &WorkerId, then: impl FnOnce(&mut HostPressure) -> T) -> T {
+fn with_host<T>(shard: &Shard, worker: &WorkerId, then: impl FnOnce(&mut HostState) -> T) -> T {
     let mut pressure = shard.pressure.borrow_mut();
     then(pressure.hosts.entry(worker.clone()).or_default())
 }
 
-fn forget(cx: &Cx, shard: &Shard) {
+fn remove_stale(cx: &Cx, shard: &Shard) {
     let (members, now) = (cx.members.borrow(), cx.clock.now());
-    let is_there = |worker: &WorkerId| members.hosts.contains_key(worker);
+    let is_listed = |worker: &WorkerId| members.hosts.contains_key(worker);
     let mut pressure = shard.pressure.borrow_mut();
-    pressure.hosts.retain(|worker, _| is_there(worker));
-    pressure.health.forget(is_there, now);
+    pressure.hosts.retain(|worker, _| is_listed(worker));
+    pressure.health.forget(is_listed, now);
     pressure.memory.forget_old(now);
 }
 
@@ -162,7 +162,7 @@
     let measured_at = now.before(Duration::from_millis(usage.age_ms));
     learn(shard, worker, &usage, measured_at);
     for step in steps(cx, shard, worker, &usage, measured_at) {
-        carry_out(cx, shard, worker, address, step).await;
+        apply_step(cx, shard, worker, address, step).await;
     }
 }
 
@@ -172,7 +172,7 @@
     let slowed = slowdowns(shard, usage);
     let mut pressure = shard.pressure.borrow_mut();
     let host = pressure.hosts.get(worker);
-    let ran = host.and_then(|host| host.history.during(measured_at, UNCHANGED));
+    let ran = host.and_then(|host| host.history.during(measured_at, MIN_UNCHANGED));
     let Some(ran) = ran.map(<[Neighbour]>::to_vec) else {
         return;
     };
@@ -224,10 +224,10 @@
         .iter()
         .map(|request| request.slowdown_permille)
         .max();
-    let worst = f64::from(worst.unwrap_or(FULL_PERMILLE)) / WHOLE_PERMILLE;
+    let worst = f64::from(worst.unwrap_or(UNTHROTTLED_PERMILLE)) / WHOLE_PERMILLE;
     let jobs = jobs_on(cx, shard, worker);
     let mut pressure = shard.pressure.borrow_mut();
-    let harms = harms(&mut pressure, &jobs, usage, measured_at);
+    let added_slowdowns = added_slowdowns(&mut pressure, &jobs, usage, measured_at);
     let Pressure { memory, hosts, .. } = &mut *pressure;
     let host = hosts.entry(worker.clone()).or_default();
     let catalogue = cx.catalogue.borrow();
@@ -239,7 +239,7 @@
     let tenants: Vec<Tenant<'_>> = jobs
         .iter()
         .zip(&ranks)
-        .zip(&harms)
+        .zip(&added_slowdowns)
         .map(|((known, (class, priority)), harm)| Tenant {
             job: &known.job,
             class: *class,
@@ -278,7 +278,12 @@
 }
 
 /// Largest slowdown that each job adds to any of the measured latency-critical entries.
-fn harms(pressure: &mut Pressure, jobs: &[KnownJob], usage: &Usage, at: Millis) -> Vec<f64> {
+fn added_slowdowns(
+    pressure: &mut Pressure,
+    jobs: &[KnownJob],
+    usage: &Usage,
+    at: Millis,
+) -> Vec<f64> {
     let names = usage
         .requests
         .iter()
@@ -296,7 +301,7 @@
     jobs.iter().map(harm).collect()
 }
 
-async fn carry_out(cx: &Cx, shard: &Rc<Shard>, worker: &WorkerId, address: &str, step: Step) {
+async fn apply_step(cx: &Cx, shard: &Rc<Shard>, worker: &WorkerId, address: &str, step: Step) {
     match step {
         Step::Throttle(job) => {
             if set_speed(cx, shard, address, &job, THROTTLED_PERMILLE).await {
@@ -306,9 +311,9 @@
             }
         }
         Step::Release(job) => {
-            if set_speed(cx, shard, address, &job, FULL_PERMILLE).await {
+            if set_speed(cx, shard, address, &job, UNTHROTTLED_PERMILLE).await {
                 with_host(shard, worker, |host| host.throttled.swap_remove(&job));
-                note_throttle(cx, &job, worker, FULL_PERMILLE);
+                note_throttle(cx, &job, worker, UNTHROTTLED_PERMILLE);
             }
         }
         // If the ledger can't record the stop, the task would stay down until the store is
--- a/src/lapisdrum/daemon/queue.rs
+++ b/src/lapisdrum/daemon/queue.rs
@@ -1,8 +1,8 @@
 //! Queue of requests that wait for free capacity.
 //!
 //! A request waits until its entry's limits and a worker's floor allow it. It then receives a
-//! [`Place`], which reserves the capacity until the request has ended. The queue is re-evaluated
-//! when a reservation is released, when floors rise, and when a deadline passes.
+//! [`Reservation`], which reserves the capacity until the request has ended. The queue is
+//! re-evaluated when a reservation is released, when floors rise, and when a deadline passes.
 
 use super::{Cx, shares, supervisor};
 use crate::{
@@ -27,9 +27,9 @@
 use tokio::sync::{Notify, oneshot};
 
 /// Longest time between two evaluations of the queue.
-const LONGEST_LOOK: Duration = Duration::from_millis(100);
+const MAX_POLL_INTERVAL: Duration = Duration::from_millis(100);
 /// Interval for removing state of idle entries and of removed workers.
-const FORGET_EVERY: Duration = Duration::from_secs(5);
+const CLEANUP_INTERVAL: Duration = Duration::from_secs(5);
 
 /// The queue of waiting requests, with the state of its routing, headroom and retry policies.
 #[derive(Debug, Default)]
@@ -38,26 +38,26 @@
     routing: RefCell<Routing>,
     headroom: RefCell<Headroom>,
     retries: RefCell<IndexMap<EntryName, RetryBudget>>,
-    moved: Notify,
+    wakeup: Notify,
 }
 
 #[derive(Debug)]
 struct Waiting {
     entry: Rc<Entry>,
-    turn: oneshot::Sender<Turn>,
+    outcome: oneshot::Sender<WaitOutcome>,
 }
 
 /// Outcome of a wait in the queue.
 #[derive(Debug)]
-enum Turn {
-    Start(Place),
+enum WaitOutcome {
+    Start(Reservation),
     Refused(Refusal),
 }
 
 impl Line {
     /// Wakes the task that evaluates the queue.
     pub fn wake(&self) {
-        self.moved.notify_one();
+        self.wakeup.notify_one();
     }
 
     /// Number of waiting requests of an entry.
@@ -92,7 +92,7 @@
 /// Failure: a request's answer is lost or late. The worker may still be running it, so releasing
 /// the capacity at once could overload the host. The worker ends a request at the deadline that was
 /// sent with it; the reservation is held until then.
-pub struct Place {
+pub struct Reservation {
     cx: Cx,
     entry: EntryName,
     owner: OwnerName,
@@ -106,13 +106,13 @@
     _in_flight: Rc<()>,
 }
 
-impl std::fmt::Debug for Place {
+impl std::fmt::Debug for Reservation {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "a place of {} on {}", self.entry, self.worker)
+        write!(f, "reservation for {} on {}", self.entry, self.worker)
     }
 }
 
-impl Place {
+impl Reservation {
     /// Reserves capacity for a request. `None` when no worker or limit allows it.
     pub fn take(cx: &Cx, entry: &Entry) -> Option<Self> {
         let (worker, address) = choose_worker(cx, entry)?;
@@ -162,7 +162,7 @@
     }
 }
 
-impl Drop for Place {
+impl Drop for Reservation {
     fn drop(&mut self) {
         let (floors, admission) = (&self.cx.floors, &self.cx.admission);
         floors.borrow_mut().release(&self.worker, &self.size);
@@ -172,30 +172,30 @@
     }
 }
 
-/// Waits in the queue for capacity. `gone` completes when the caller has disconnected.
+/// Waits in the queue for capacity. `caller_gone` completes when the caller has disconnected.
 pub async fn wait(
     cx: &Cx,
     entry: &Rc<Entry>,
     caller: u64,
     deadline: Millis,
-    gone: impl Future<Output = ()>,
-) -> Result<Place, Refusal> {
+    caller_gone: impl Future<Output = ()>,
+) -> Result<Reservation, Refusal> {
     let (tx, mut rx) = oneshot::channel();
-    let ticket = stand_in_line(cx, entry, caller, deadline, tx)?;
+    let ticket = enqueue_request(cx, entry, caller, deadline, tx)?;
     note_demand(cx, &entry.name, entry.priority);
-    move_on(cx);
-    let turn = tokio::select! {
-        turn = &mut rx => turn,
-        () = gone => {
+    start_waiting(cx);
+    let outcome = tokio::select! {
+        outcome = &mut rx => outcome,
+        () = caller_gone => {
             cx.line.queue.borrow_mut().remove(ticket, cx.clock.now());
             note_demand(cx, &entry.name, entry.priority);
             // A reservation that was sent at the same time is dropped with the channel.
             return Err(busy(Duration::ZERO));
         }
     };
-    match turn {
-        Ok(Turn::Start(place)) => Ok(place),
-        Ok(Turn::Refused(refusal)) => Err(refusal),
+    match outcome {
+        Ok(WaitOutcome::Start(reservation)) => Ok(reservation),
+        Ok(WaitOutcome::Refused(refusal)) => Err(refusal),
         Err(_) => unreachable!("every request that leaves the queue is sent an outcome"),
     }
 }
@@ -204,12 +204,12 @@
     Refusal::Busy { retry_after }
 }
 
-fn stand_in_line(
+fn enqueue_request(
     cx: &Cx,
     entry: &Rc<Entry>,
     caller: u64,
     deadline: Millis,
-    turn: oneshot::Sender<Turn>,
+    outcome: oneshot::Sender<WaitOutcome>,
 ) -> Result<Ticket, Refusal> {
     let run = cx.line.routing.borrow().usual_run(&entry.name);
     let item = Item {
@@ -224,7 +224,7 @@
     };
     let waiting = Waiting {
         entry: Rc::clone(entry),
-        turn,
+        outcome,
     };
     let now = cx.clock.now();
     let mut queue = cx.line.queue.borrow_mut();
@@ -247,7 +247,7 @@
         },
     };
     // The send fails only when the caller has disconnected.
-    let _ = refused.payload.turn.send(Turn::Refused(refusal));
+    let _ = refused.payload.outcome.send(WaitOutcome::Refused(refusal));
 }
 
 /// Updates the headroom policy with an entry's current demand, so that long runs leave slots free
@@ -275,7 +275,7 @@
 }
 
 /// Starts waiting requests for as long as there is capacity for one.
-fn move_on(cx: &Cx) {
+fn start_waiting(cx: &Cx) {
     let slots = slots(cx);
     loop {
         let next = {
@@ -292,12 +292,12 @@
         let Some((_, _, waiting)) = next else {
             return;
         };
-        let turn = match Place::take(cx, &waiting.entry) {
-            Some(place) => Turn::Start(place),
-            None => Turn::Refused(busy(cx.line.retry_after(cx.clock.now()))),
+        let outcome = match Reservation::take(cx, &waiting.entry) {
+            Some(reservation) => WaitOutcome::Start(reservation),
+            None => WaitOutcome::Refused(busy(cx.line.retry_after(cx.clock.now()))),
         };
         // When the caller has disconnected, the reservation is dropped here, which wakes the queue.
-        let _ = waiting.turn.send(turn);
+        let _ = waiting.outcome.send(outcome);
     }
 }
 
@@ -308,7 +308,7 @@
 
 /// Whether a request of an entry would start at once: there is capacity, and no request of the
 /// entry is waiting.
-pub fn is_open_to(cx: &Cx, entry: &EntryName) -> bool {
+pub fn can_start_now(cx: &Cx, entry: &EntryName) -> bool {
     cx.line.waiting_of(entry) == 0 && has_room(cx, entry)
 }
 
@@ -323,7 +323,7 @@
 
 /// Expires and starts waiting requests until the process ends.
 pub async fn run(cx: Cx) -> eyre::Result<()> {
-    let mut forgot_at = cx.clock.now();
+    let mut cleaned_up_at = cx.clock.now();
     loop {
         let now = cx.clock.now();
         let expired = {
@@ -335,21 +335,21 @@
             refuse(expired);
             note_demand(&cx, &entry.name, entry.priority);
         }
-        move_on(&cx);
-        if now.since(forgot_at) > FORGET_EVERY {
-            forgot_at = now;
-            forget(&cx, now);
+        start_waiting(&cx);
+        if now.since(cleaned_up_at) > CLEANUP_INTERVAL {
+            cleaned_up_at = now;
+            remove_stale(&cx, now);
         }
         let next = cx.line.queue.borrow().next_expiry();
-        let look = next.map_or(LONGEST_LOOK, |at| at.since(now).min(LONGEST_LOOK));
+        let delay = next.map_or(MAX_POLL_INTERVAL, |at| at.since(now).min(MAX_POLL_INTERVAL));
         tokio::select! {
-            () = tokio::time::sleep(look) => {}
-            () = cx.line.moved.notified() => {}
+            () = tokio::time::sleep(delay) => {}
+            () = cx.line.wakeup.notified() => {}
         }
     }
 }
 
-fn forget(cx: &Cx, now: Millis) {
+fn remove_stale(cx: &Cx, now: Millis) {
     cx.admission.borrow_mut().forget_idle(now);
     cx.line.headroom.borrow_mut().forget_idle(now);
     let members = cx.members.borrow();
@@ -361,11 +361,11 @@
 }
 
 /// Charges a request to the rate limits of its entry and owner.
-pub fn let_in(cx: &Cx, entry: &Entry) -> Result<(), Refusal> {
+pub fn admit(cx: &Cx, entry: &Entry) -> Result<(), Refusal> {
     let claim: Claim<'_> = shares::of_daemon(cx, entry);
     let mut admission = cx.admission.borrow_mut();
-    let let_in = admission.let_in(&claim, cx.clock.now());
-    let_in.map_err(|denied| Refusal::OverLimit {
+    let admitted = admission.let_in(&claim, cx.clock.now());
+    admitted.map_err(|denied| Refusal::OverLimit {
         entry: entry.name.clone(),
         retry_after: denied.wait(),
     })
@@ -373,14 +373,14 @@
 
 /// Workers with free capacity that are considered for one request. Routing draws two of them and
 /// some may be ejected; considering all of 500 workers would cost too much per request.
-const MOST_CANDIDATES: usize = 16;
+const MAX_CANDIDATES: usize = 16;
 
-/// Calls `then` with up to `most` workers that have capacity for a request of an entry. The scan
+/// Calls `then` with up to `limit` workers that have capacity for a request of an entry. The scan
 /// starts at a random worker so that requests spread evenly.
 fn with_candidates<T>(
     cx: &Cx,
     entry: &Entry,
-    most: usize,
+    limit: usize,
     then: impl FnOnce(&[Candidate<'_>]) -> T,
 ) -> T {
     let members = cx.members.borrow();
@@ -394,10 +394,10 @@
     };
     let count = floors.held.len();
     let start = rand::random_range(0..count.max(1));
-    let round = floors.held.iter().cycle().skip(start).take(count);
-    let with_room = round.filter(|(worker, floor)| has_room(worker, floor.used.slots));
+    let rotated = floors.held.iter().cycle().skip(start).take(count);
+    let with_room = rotated.filter(|(worker, floor)| has_room(worker, floor.used.slots));
     let candidates: Vec<Candidate<'_>> = with_room
-        .take(most)
+        .take(limit)
         .map(|(worker, floor)| Candidate {
             worker,
             outstanding: floor.used.slots,
@@ -418,7 +418,7 @@
 }
 
 fn choose_worker(cx: &Cx, entry: &Entry) -> Option<(WorkerId, String)> {
-    let worker = with_candidates(cx, entry, MOST_CANDIDATES, |candidates| {
+    let worker = with_candidates(cx, entry, MAX_CANDIDATES, |candidates| {
         let routing = cx.line.routing.borrow();
         let chosen = routing.choose(candidates, cx.clock.now(), &mut rand::rng())?;
         Some(candidates[chosen].worker.clone())
--- a/src/lapisdrum/daemon/router.rs
+++ b/src/lapisdrum/daemon/router.rs
@@ -8,7 +8,7 @@
 use super::{
     Cx,
     claims::{self, Begun},
-    queue::{self, Place},
+    queue::{self, Reservation},
     spill, supervisor,
 };
 use crate::{
@@ -31,9 +31,9 @@
 /// Retry-after of a daemon that is not ready or has no capacity for a forwarded request.
 const BUSY_RETRY: Duration = Duration::from_secs(1);
 /// Largest answer that is forwarded to the caller, in bytes.
-const ANSWER_LIMIT: usize = 16 * 1024 * 1024;
+const MAX_ANSWER_BYTES: usize = 16 * 1024 * 1024;
 /// Lowest HTTP status that counts as a failure of the worker.
-const FIRST_SERVER_FAULT: u16 = 500;
+const MIN_SERVER_ERROR_STATUS: u16 = 500;
 /// Time after a request's deadline by which its worker has certainly ended it. The worker counts
 /// the deadline from the request's arrival, which is one network delay after it was sent.
 pub const LATE_MARGIN: Duration = Duration::from_millis(500);
@@ -101,19 +101,19 @@
 }
 
 async fn serve(cx: &Cx, req: &RunRequest, caller_gone: CallerGone) -> RunEnd {
-    let began = cx.clock.now();
+    let received_at = cx.clock.now();
     let checked = check(cx, req).and_then(|entry| {
-        queue::let_in(cx, &entry)?;
+        queue::admit(cx, &entry)?;
         Ok(entry)
     });
     let entry = match checked {
         Ok(entry) => Rc::new(entry),
         Err(refusal) => return RunEnd::Refused(refusal),
     };
-    let deadline = began + req.deadline.unwrap_or(entry.deadline).min(entry.deadline);
+    let deadline = received_at + req.deadline.unwrap_or(entry.deadline).min(entry.deadline);
     match &req.key {
         Some(key) => serve_claimed(cx, &entry, req, key, deadline, caller_gone).await,
-        None => wait_and_send(cx, &entry, req, mint_id(cx), deadline, caller_gone).await,
+        None => wait_and_send(cx, &entry, req, generate_id(cx), deadline, caller_gone).await,
     }
 }
 
@@ -188,11 +188,11 @@
     deadline: Millis,
     caller_gone: CallerGone,
 ) -> RunEnd {
-    let mut in_doubt = None;
-    if !queue::is_open_to(cx, &entry.name) {
-        match spill::elsewhere(cx, entry, req, &id, deadline).await {
+    let mut unknown_reason = None;
+    if !queue::can_start_now(cx, &entry.name) {
+        match spill::run_on_peer(cx, entry, req, &id, deadline).await {
             Ok(end) => return end,
-            Err(doubt) => in_doubt = doubt,
+            Err(reason) => unknown_reason = reason,
         }
     }
     let gone = async {
@@ -200,8 +200,8 @@
         let _ = caller_gone.await;
     };
     match queue::wait(cx, entry, req.caller, deadline, gone).await {
-        Ok(place) => send(cx, entry, req, id, deadline, place, in_doubt).await,
-        Err(refusal) => refused_or_unknown(cx, id, refusal, in_doubt),
+        Ok(reservation) => send(cx, entry, req, id, deadline, reservation, unknown_reason).await,
+        Err(refusal) => refused_or_unknown(cx, id, refusal, unknown_reason),
     }
 }
 
@@ -210,9 +210,9 @@
     cx: &Cx,
     id: RequestId,
     refusal: Refusal,
-    in_doubt: Option<String>,
+    unknown_reason: Option<String>,
 ) -> RunEnd {
-    match in_doubt {
+    match unknown_reason {
         Some(why) => unknown(cx, id, why),
         None => RunEnd::Refused(refusal),
     }
@@ -233,18 +233,18 @@
 }
 
 async fn serve_spilled(cx: &Cx, req: &RunRequest, id: RequestId) -> RunEnd {
-    let began = cx.clock.now();
+    let received_at = cx.clock.now();
     let entry = match check(cx, req) {
         Ok(entry) => entry,
         Err(refusal) => return RunEnd::Refused(refusal),
     };
-    let deadline = began + req.deadline.unwrap_or(entry.deadline).min(entry.deadline);
-    let place = match queue::is_open_to(cx, &entry.name) {
-        true => Place::take(cx, &entry),
+    let deadline = received_at + req.deadline.unwrap_or(entry.deadline).min(entry.deadline);
+    let reservation = match queue::can_start_now(cx, &entry.name) {
+        true => Reservation::take(cx, &entry),
         false => None,
     };
-    match place {
-        Some(place) => send(cx, &entry, req, id, deadline, place, None).await,
+    match reservation {
+        Some(reservation) => send(cx, &entry, req, id, deadline, reservation, None).await,
         None => RunEnd::Refused(Refusal::Busy {
             retry_after: BUSY_RETRY,
         }),
@@ -276,19 +276,19 @@
     Ok(entry)
 }
 
-/// Sends a request until it is answered, may not be retried, or no capacity is left. `in_doubt` is
-/// the reason why an earlier send may have run it.
+/// Sends a request until it is answered, may not be retried, or no capacity is left.
+/// `unknown_reason` is the reason why an earlier send may have run it.
 async fn send(
     cx: &Cx,
     entry: &Entry,
     req: &RunRequest,
     id: RequestId,
     deadline: Millis,
-    first: Place,
-    mut in_doubt: Option<String>,
+    first: Reservation,
+    mut unknown_reason: Option<String>,
 ) -> RunEnd {
     let mut next = Some(first);
-    while let Some(place) = next {
+    while let Some(reservation) = next {
         let left = deadline.since(cx.clock.now());
         if left.is_zero() {
             break;
@@ -296,42 +296,42 @@
         let out = Outgoing {
             request: &id,
             entry: &entry.name,
-            epoch: cx.floors.borrow().epoch_on(&place.worker),
+            epoch: cx.floors.borrow().epoch_on(&reservation.worker),
             content_type: req.content_type.as_deref(),
             body: req.body.clone(),
             left,
-            answer_limit: ANSWER_LIMIT,
+            answer_limit: MAX_ANSWER_BYTES,
         };
-        let end = cx.workers.run(&place.address, out).await;
-        place.note_end(routing_end(&end));
+        let end = cx.workers.run(&reservation.address, out).await;
+        reservation.note_end(routing_end(&end));
         let failure = match end {
             RequestEnd::Answered(answer) => {
                 cx.line.note_success(&entry.name);
                 return RunEnd::Done(id, answer);
             }
             RequestEnd::Unsent(_) | RequestEnd::NotRun(_) => {
-                drop(place);
+                drop(reservation);
                 Failure::NotRun
             }
             RequestEnd::Unknown(why) => {
-                place.hold_until(deadline + LATE_MARGIN);
-                in_doubt = Some(why);
+                reservation.hold_until(deadline + LATE_MARGIN);
+                unknown_reason = Some(why);
                 Failure::Unknown
             }
         };
-        let is_repeated = cx.line.try_retry(entry, failure);
-        next = is_repeated.then(|| Place::take(cx, entry)).flatten();
+        let may_retry = cx.line.try_retry(entry, failure);
+        next = may_retry.then(|| Reservation::take(cx, entry)).flatten();
     }
     let refusal = Refusal::Busy {
         retry_after: cx.line.retry_after(cx.clock.now()),
     };
-    refused_or_unknown(cx, id, refusal, in_doubt)
+    refused_or_unknown(cx, id, refusal, unknown_reason)
 }
 
 fn routing_end(end: &RequestEnd) -> End {
     match end {
         // A worker that fails at once would otherwise count as the fastest.
-        RequestEnd::Answered(answer) if answer.status >= FIRST_SERVER_FAULT => End::Failed,
+        RequestEnd::Answered(answer) if answer.status >= MIN_SERVER_ERROR_STATUS => End::Failed,
         RequestEnd::Answered(_) => End::Answered,
         RequestEnd::NotRun(_) => End::Full,
         RequestEnd::Unsent(_) | RequestEnd::Unknown(_) => End::Failed,
@@ -348,7 +348,7 @@
 }
 
 /// Generates a globally unique id: this daemon's incarnation and a random number.
-fn mint_id(cx: &Cx) -> RequestId {
+fn generate_id(cx: &Cx) -> RequestId {
     let text = format!(
         "{:016x}-{:016x}",
         cx.me.incarnation.0,
--- a/src/lapisdrum/daemon/shares.rs
+++ b/src/lapisdrum/daemon/shares.rs
@@ -22,23 +22,23 @@
 /// Key prefix of the entries' rows.
 const PREFIX: &str = "shares/";
 /// Attempts to update one row per round while other parties write it at the same time.
-const LOOK_TRIES: usize = 4;
+const MAX_UPDATE_ATTEMPTS: usize = 4;
 /// Factor by which past demand decays at each update: a burst has an effect for about ten updates.
-const DEMAND_KEPT: f64 = 0.8;
+const DEMAND_DECAY: f64 = 0.8;
 
 /// Shares of the entries' limits that this daemon and its shards hold.
 #[derive(Debug, Default)]
 pub struct Held {
-    requests: RefCell<IndexMap<EntryName, Own>>,
+    requests: RefCell<IndexMap<EntryName, OwnShare>>,
     /// Keyed by shard and epoch: an owner between two of ours may have lowered the share.
-    jobs: RefCell<IndexMap<(ShardId, Epoch, EntryName), Own>>,
+    jobs: RefCell<IndexMap<(ShardId, Epoch, EntryName), OwnShare>>,
     /// Number of daemons and this daemon's rank among them, cached at each update since every
     /// request needs it.
-    place: Cell<(u32, u32)>,
+    count_and_rank: Cell<(u32, u32)>,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Own {
+struct OwnShare {
     allowed: Allowed,
     demand: f64,
 }
@@ -49,7 +49,7 @@
 
 /// The limits that a request of an entry counts against at this daemon.
 pub fn of_daemon<'a>(cx: &Cx, entry: &'a Entry) -> Claim<'a> {
-    let (daemons, rank) = cx.shares.place.get();
+    let (daemons, rank) = cx.shares.count_and_rank.get();
     let even = admission::divide(&entry.limits, daemons, rank);
     let own = cx.shares.requests.borrow().get(&entry.name).copied();
     let share = Share {
@@ -71,23 +71,23 @@
     allowed(entry, own)
 }
 
-fn allowed(entry: &Entry, own: Option<Own>) -> u32 {
+fn allowed(entry: &Entry, own: Option<OwnShare>) -> u32 {
     let allowed = own.map_or(0, |own| own.allowed.amount());
     allowed.min(entry.limits.concurrency)
 }
 
-fn place_of_daemon(cx: &Cx) -> (u32, u32) {
+fn rank_of_daemon(cx: &Cx) -> (u32, u32) {
     let members = cx.members.borrow();
-    place(members.daemons.keys(), &cx.me.daemon)
+    count_and_rank(members.daemons.keys(), &cx.me.daemon)
 }
 
-fn place_of_shard(cx: &Cx, shard: &ShardId) -> (u32, u32) {
+fn rank_of_shard(cx: &Cx, shard: &ShardId) -> (u32, u32) {
     let members = cx.members.borrow();
-    place(members.shards.keys(), shard)
+    count_and_rank(members.shards.keys(), shard)
 }
 
 /// The number of items including `own`, and the rank of `own` among them (from 0).
-fn place<'a, T: Ord + 'a>(all: impl Iterator<Item = &'a T>, own: &T) -> (u32, u32) {
+fn count_and_rank<'a, T: Ord + 'a>(all: impl Iterator<Item = &'a T>, own: &T) -> (u32, u32) {
     let others: Vec<&T> = all.filter(|other| *other != own).collect();
     let rank = others.iter().filter(|other| **other < own).count();
     (to_u32(others.len()) + 1, to_u32(rank))
@@ -100,12 +100,12 @@
 /// Updates this daemon's and its shards' shares until the process ends.
 pub async fn run(cx: Cx) -> eyre::Result<()> {
     loop {
-        look_at_all(&cx).await;
+        update_all(&cx).await;
         tokio::time::sleep(cx.cfg.requests.grant_poll).await;
     }
 }
 
-async fn look_at_all(cx: &Cx) {
+async fn update_all(cx: &Cx) {
     let Ok(rows) = cx.platform.list(PREFIX).await else {
         return;
     };
@@ -123,11 +123,11 @@
         .jobs
         .borrow_mut()
         .retain(|(shard, epoch, name), _| is_known(name) && epoch_of(cx, shard) == Some(*epoch));
-    cx.shares.place.set(place_of_daemon(cx));
+    cx.shares.count_and_rank.set(rank_of_daemon(cx));
     for entry in &entries {
         let row = rows.get(&key(&entry.name)).cloned().unwrap_or_default();
         for party in own_parties(cx, entry) {
-            look_until_settled(cx, entry, row.clone(), party).await;
+            update_with_retries(cx, entry, row.clone(), party).await;
         }
     }
 }
@@ -145,18 +145,18 @@
 }
 
 /// Usage of one party, for the update of its share.
-struct Figures {
+struct PartyUsage {
     parties: u32,
     rank: u32,
     running: u32,
     waiting: u32,
 }
 
-fn figures(cx: &Cx, entry: &Entry, party: &Party) -> Option<Figures> {
+fn party_usage(cx: &Cx, entry: &Entry, party: &Party) -> Option<PartyUsage> {
     match party {
         Party::Daemon(_) => {
-            let (parties, rank) = place_of_daemon(cx);
-            Some(Figures {
+            let (parties, rank) = rank_of_daemon(cx);
+            Some(PartyUsage {
                 parties,
                 rank,
                 running: cx.admission.borrow().running(&entry.name),
@@ -165,15 +165,15 @@
         }
         Party::Shard(id) => {
             let shard = cx.shards.borrow().get(id).cloned()?;
-            Some(shard_figures(cx, entry, &shard))
+            Some(shard_usage(cx, entry, &shard))
         }
     }
 }
 
-fn shard_figures(cx: &Cx, entry: &Entry, shard: &Shard) -> Figures {
-    let (parties, rank) = place_of_shard(cx, &shard.id);
+fn shard_usage(cx: &Cx, entry: &Entry, shard: &Shard) -> PartyUsage {
+    let (parties, rank) = rank_of_shard(cx, &shard.id);
     let counts = shard.journal.index().counts(&entry.name);
-    Figures {
+    PartyUsage {
         parties,
         rank,
         running: counts.placed,
@@ -184,10 +184,10 @@
 /// Updates a party's share in an entry's row, and retries on the new row after a write conflict.
 /// Without retries, of daemons that update at the same time the same one could win each round, and
 /// the others would never get a share.
-async fn look_until_settled(cx: &Cx, entry: &Entry, row: (u64, Shares), party: Party) {
+async fn update_with_retries(cx: &Cx, entry: &Entry, row: (u64, Shares), party: Party) {
     let mut row = row;
-    for _ in 0..LOOK_TRIES {
-        if look_at(cx, entry, &row, &party).await == Looked::Settled {
+    for _ in 0..MAX_UPDATE_ATTEMPTS {
+        if update_share(cx, entry, &row, &party).await == UpdateOutcome::Complete {
             return;
         }
         let Ok(read) = cx.platform.get(&key(&entry.name)).await else {
@@ -200,38 +200,38 @@
 
 /// Whether an update must be repeated on a newer row.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Looked {
-    Settled,
+enum UpdateOutcome {
+    Complete,
     Overtaken,
 }
 
-async fn look_at(cx: &Cx, entry: &Entry, row: &(u64, Shares), party: &Party) -> Looked {
+async fn update_share(cx: &Cx, entry: &Entry, row: &(u64, Shares), party: &Party) -> UpdateOutcome {
     let (version, row) = row;
     // Counted before the write; from `before_write` on, nothing is started beyond the new share.
-    let Some(figures) = figures(cx, entry, party) else {
-        return Looked::Settled;
+    let Some(party_usage) = party_usage(cx, entry, party) else {
+        return UpdateOutcome::Complete;
     };
     let in_row = row.part(party).map_or(0, |part| part.amount);
-    let demand = note_look(cx, entry, party, in_row, &figures);
-    let look = Look {
+    let demand = note_read(cx, entry, party, in_row, &party_usage);
+    let view = Look {
         party,
         data_centre: &cx.cfg.daemon.data_centre,
         revision: entry.revision,
         limit: entry.limits.concurrency,
-        parties: figures.parties,
-        rank: figures.rank,
-        running: figures.running,
+        parties: party_usage.parties,
+        rank: party_usage.rank,
+        running: party_usage.running,
         demand,
     };
-    let next = without_gone(cx, row).looked_at(&look);
+    let next = without_ended(cx, row).looked_at(&view);
     let amount = next.part(party).map_or(0, |part| part.amount);
-    let usable = amount.min(row.ceiling(&look));
+    let usable = amount.min(row.ceiling(&view));
     let is_certain = with_own(cx, entry, party, |own| {
         own.allowed.before_write(usable);
         own.allowed.amount() >= usable
     });
     if next == *row && is_certain {
-        return Looked::Settled;
+        return UpdateOutcome::Complete;
     }
     with_own(cx, entry, party, |own| own.allowed.before_write(usable));
     let txn = Txn::default()
@@ -240,17 +240,17 @@
     match cx.platform.txn(&txn).await {
         TxnOutcome::Committed(_) => {
             with_own(cx, entry, party, |own| own.allowed.after_write(usable));
-            tell(cx, party);
-            Looked::Settled
+            wake_waiting(cx, party);
+            UpdateOutcome::Complete
         }
-        TxnOutcome::Conflict(_) => Looked::Overtaken,
+        TxnOutcome::Conflict(_) => UpdateOutcome::Overtaken,
         // The next update reads whether the write took effect.
-        TxnOutcome::Unknown(_) => Looked::Settled,
+        TxnOutcome::Unknown(_) => UpdateOutcome::Complete,
     }
 }
 
 /// Wakes the queue or the placement that may have waited for a larger share.
-fn tell(cx: &Cx, party: &Party) {
+fn wake_waiting(cx: &Cx, party: &Party) {
     match party {
         Party::Daemon(_) => cx.line.wake(),
         Party::Shard(id) => {
@@ -262,16 +262,16 @@
 }
 
 /// Applies the share that was read from the row, and returns the recent demand.
-fn note_look(cx: &Cx, entry: &Entry, party: &Party, in_row: u32, figures: &Figures) -> u32 {
-    let asked = f64::from(figures.running + figures.waiting);
+fn note_read(cx: &Cx, entry: &Entry, party: &Party, in_row: u32, party_usage: &PartyUsage) -> u32 {
+    let asked = f64::from(party_usage.running + party_usage.waiting);
     with_own(cx, entry, party, |own| {
         own.allowed.after_read(in_row);
-        own.demand = asked.max(own.demand * DEMAND_KEPT);
+        own.demand = asked.max(own.demand * DEMAND_DECAY);
         own.demand as u32
     })
 }
 
-fn with_own<T>(cx: &Cx, entry: &Entry, party: &Party, then: impl FnOnce(&mut Own) -> T) -> T {
+fn with_own<T>(cx: &Cx, entry: &Entry, party: &Party, then: impl FnOnce(&mut OwnShare) -> T) -> T {
     let name = entry.name.clone();
     match party {
         Party::Daemon(_) => then(cx.shares.requests.borrow_mut().entry(name).or_default()),
@@ -288,13 +288,14 @@
 }
 
 /// The row without the shares of daemons that have certainly ended and whose requests have ended.
-fn without_gone(cx: &Cx, row: &Shares) -> Shares {
-    let runs_on = grants::requests_run_on(cx);
-    let is_over = |holder: &Holder| peers::gone_for(cx, holder).is_some_and(|gone| gone > runs_on);
+fn without_ended(cx: &Cx, row: &Shares) -> Shares {
+    let max_run_time = grants::max_orphan_run_time(cx);
+    let has_ended =
+        |holder: &Holder| peers::gone_for(cx, holder).is_some_and(|gone| gone > max_run_time);
     let mut next = row.clone();
     for part in &row.parts {
         if let Party::Daemon(holder) = &part.party
-            && is_over(holder)
+            && has_ended(holder)
         {
             next = next.without(&part.party);
         }
--- a/src/lapisdrum/daemon/spill.rs
+++ b/src/lapisdrum/daemon/spill.rs
@@ -7,7 +7,7 @@
 //!
 //! The peer serves the request at once or refuses it, and never forwards it. Under a system-wide
 //! overload the hops would add load themselves: a peer that had no capacity for an entry is not
-//! asked for it again for [`FULL_FOR`], which bounds the calls to 10/s per peer and entry.
+//! asked for it again for [`FULL_BACKOFF`], which bounds the calls to 10/s per peer and entry.
 //!
 //! A call that was never sent or was refused leaves the request to be served here. The outcome of a
 //! call without a reply is unknown, and only an idempotent request is tried again after it.
@@ -30,11 +30,11 @@
 use std::{cell::RefCell, time::Duration};
 
 /// Time for which a peer that did not serve an entry's request is not asked for that entry again.
-const FULL_FOR: Duration = Duration::from_millis(100);
+const FULL_BACKOFF: Duration = Duration::from_millis(100);
 /// Minimum time to the deadline for a hop: a few round trips between data centres.
-const LEAST_LEFT: Duration = Duration::from_millis(20);
+const MIN_TIME_LEFT: Duration = Duration::from_millis(20);
 /// Subtracted from the time that the peer is given, for the reply's network delay.
-const WAY_BACK: Duration = Duration::from_millis(5);
+const RETURN_MARGIN: Duration = Duration::from_millis(5);
 
 /// Peers that did not serve a request of an entry, because they were full or gave no usable reply,
 /// with the time of the call.
@@ -42,7 +42,7 @@
 pub struct FullPeers(RefCell<IndexMap<(DaemonId, EntryName), Millis>>);
 
 /// Outcome of a hop.
-enum Hop {
+enum HopOutcome {
     Ended(RunEnd),
     NotRun,
     /// The request may have run on the peer.
@@ -51,49 +51,49 @@
 
 /// Has a request served by another daemon. `Err` when it is to be served here: `None` if it
 /// certainly did not run on a peer; `Some` with the reason if it may have run and is idempotent.
-pub async fn elsewhere(
+pub async fn run_on_peer(
     cx: &Cx,
     entry: &Entry,
     req: &RunRequest,
     id: &RequestId,
     deadline: Millis,
 ) -> Result<RunEnd, Option<String>> {
-    let mut in_doubt = None;
-    for is_near in [true, false] {
+    let mut unknown_reason = None;
+    for is_local in [true, false] {
         let left = deadline.since(cx.clock.now());
-        if left < LEAST_LEFT {
+        if left < MIN_TIME_LEFT {
             break;
         }
-        let Some((peer, address)) = choose_peer(cx, &entry.name, is_near) else {
+        let Some((peer, address)) = choose_peer(cx, &entry.name, is_local) else {
             continue;
         };
-        match hop(cx, &address, entry, req, id, left).await {
-            Hop::Ended(end) => return Ok(end),
-            Hop::Unknown(why) if !entry.idempotent => {
+        match call_peer(cx, &address, entry, req, id, left).await {
+            HopOutcome::Ended(end) => return Ok(end),
+            HopOutcome::Unknown(why) if !entry.idempotent => {
                 return Ok(router::unknown(cx, id.clone(), why));
             }
-            Hop::Unknown(why) => in_doubt = Some(why),
-            Hop::NotRun => {}
+            HopOutcome::Unknown(why) => unknown_reason = Some(why),
+            HopOutcome::NotRun => {}
         }
         note_full(cx, peer, &entry.name);
     }
-    Err(in_doubt)
+    Err(unknown_reason)
 }
 
-async fn hop(
+async fn call_peer(
     cx: &Cx,
     address: &str,
     entry: &Entry,
     req: &RunRequest,
     id: &RequestId,
     left: Duration,
-) -> Hop {
+) -> HopOutcome {
     let run = SpilledRun {
         request: id.clone(),
         entry: entry.name.clone(),
         body: req.body.to_vec(),
         content_type: req.content_type.clone(),
-        left: left.saturating_sub(WAY_BACK),
+        left: left.saturating_sub(RETURN_MARGIN),
         caller: req.caller,
     };
     let call = cx.peers.call_within(address, PeerRequest::Run(run), left);
@@ -102,7 +102,7 @@
             status,
             content_type,
             body,
-        })) => Hop::Ended(RunEnd::Done(
+        })) => HopOutcome::Ended(RunEnd::Done(
             id.clone(),
             Answer {
                 status,
@@ -110,35 +110,35 @@
                 body: body.into(),
             },
         )),
-        Ok(PeerReply::Ran(SpilledEnd::Refused(_)) | PeerReply::Refused(_)) => Hop::NotRun,
-        Ok(PeerReply::Ran(SpilledEnd::Unknown(why))) => Hop::Unknown(why),
-        Ok(_) => Hop::Unknown("the other daemon gave another answer".to_owned()),
-        Err(e) if e.is_unsent() => Hop::NotRun,
-        Err(e) => Hop::Unknown(e.to_string()),
+        Ok(PeerReply::Ran(SpilledEnd::Refused(_)) | PeerReply::Refused(_)) => HopOutcome::NotRun,
+        Ok(PeerReply::Ran(SpilledEnd::Unknown(why))) => HopOutcome::Unknown(why),
+        Ok(_) => HopOutcome::Unknown("the other daemon gave another answer".to_owned()),
+        Err(e) if e.is_unsent() => HopOutcome::NotRun,
+        Err(e) => HopOutcome::Unknown(e.to_string()),
     }
 }
 
 /// A random live daemon that is not in [`FullPeers`] for the entry: of this data centre if
-/// `is_near`, else of another.
-fn choose_peer(cx: &Cx, entry: &EntryName, is_near: bool) -> Option<(DaemonId, String)> {
+/// `is_local`, else of another.
+fn choose_peer(cx: &Cx, entry: &EntryName, is_local: bool) -> Option<(DaemonId, String)> {
     let now = cx.clock.now();
-    let patience = cx.cfg.shards.terms.lengthened(cx.cfg.shards.terms.lease);
+    let timeout = cx.cfg.shards.terms.lengthened(cx.cfg.shards.terms.lease);
     let own = &cx.cfg.daemon.data_centre;
     let members = cx.members.borrow();
     // Liveness is judged as of the last read of the rows: while the store is unavailable they do
     // not change, and daemons that were live are still asked. Other data centres' rows are read
     // less often.
-    let read_at = match is_near {
+    let read_at = match is_local {
         true => members.hosts_read_at,
         false => members.all_read_at,
     };
     let read_at = read_at.unwrap_or(now);
     let full = cx.full_peers.0.borrow();
     let daemons = members.daemons.iter().filter(|(name, seen)| {
-        let asked = full.get(&((*name).clone(), entry.clone()));
-        let is_full = asked.is_some_and(|asked| now.since(*asked) < FULL_FOR);
-        let is_live = read_at.since(seen.seen.since) <= patience;
-        **name != cx.me.daemon && (seen.row.data_centre == *own) == is_near && is_live && !is_full
+        let asked_at = full.get(&((*name).clone(), entry.clone()));
+        let is_full = asked_at.is_some_and(|asked_at| now.since(*asked_at) < FULL_BACKOFF);
+        let is_live = read_at.since(seen.seen.since) <= timeout;
+        **name != cx.me.daemon && (seen.row.data_centre == *own) == is_local && is_live && !is_full
     });
     let candidates: Vec<_> = daemons.collect();
     let (name, seen) = candidates.choose(&mut rand::rng())?;
@@ -148,7 +148,7 @@
 fn note_full(cx: &Cx, peer: DaemonId, entry: &EntryName) {
     let now = cx.clock.now();
     let mut full = cx.full_peers.0.borrow_mut();
-    full.retain(|_, asked| now.since(*asked) < FULL_FOR);
+    full.retain(|_, asked_at| now.since(*asked_at) < FULL_BACKOFF);
     full.insert((peer, entry.clone()), now);
 }
 
--- a/src/lapisdrum/daemon/starts.rs
+++ b/src/lapisdrum/daemon/starts.rs
@@ -36,22 +36,22 @@
 use std::{rc::Rc, time::Duration};
 
 /// Longest time between two placement passes.
-const PASS_TICK: Duration = Duration::from_millis(500);
+const MAX_PASS_INTERVAL: Duration = Duration::from_millis(500);
 /// Pause after each pass: 335 jobs/s must not cause 335 passes/s.
-const PASS_GAP: Duration = Duration::from_millis(20);
+const MIN_PASS_INTERVAL: Duration = Duration::from_millis(20);
 /// Upper bound on the jobs of one pass, so that a burst does not block the thread.
-const MOST_PER_PASS: usize = 500;
+const MAX_JOBS_PER_PASS: usize = 500;
 /// Time without new tasks for a worker that rejected one for lack of capacity.
-const NO_ROOM_WAIT: Duration = Duration::from_secs(1);
+const NO_ROOM_BACKOFF: Duration = Duration::from_secs(1);
 
 /// Places waiting jobs until the shard is lost or released.
 pub async fn place_jobs(cx: &Cx, shard: &Rc<Shard>) {
     while shard.is_serving() {
         place_waiting(cx, shard);
-        tokio::time::sleep(PASS_GAP).await;
+        tokio::time::sleep(MIN_PASS_INTERVAL).await;
         tokio::select! {
             () = shard.placement.notified() => {}
-            () = tokio::time::sleep(PASS_TICK) => {}
+            () = tokio::time::sleep(MAX_PASS_INTERVAL) => {}
         }
     }
 }
@@ -66,7 +66,7 @@
     /// Jobs that the entry's limit still allows.
     left: u32,
     /// Jobs that cannot be placed in this pass and return to the queue.
-    aside: Vec<JobId>,
+    deferred: Vec<JobId>,
 }
 
 fn place_waiting(cx: &Cx, shard: &Rc<Shard>) {
@@ -84,14 +84,14 @@
         .map(|entry| turn(cx, shard, entry))
         .collect();
     let mut placed = 0;
-    while !turns.is_empty() && placed < MOST_PER_PASS {
+    while !turns.is_empty() && placed < MAX_JOBS_PER_PASS {
         turns.retain_mut(|turn| {
-            let goes_on = place_next(cx, shard, turn, &mut rooms);
-            placed += usize::from(goes_on);
-            if !goes_on {
+            let may_continue = place_next(cx, shard, turn, &mut rooms);
+            placed += usize::from(may_continue);
+            if !may_continue {
                 put_back(shard, turn);
             }
-            goes_on
+            may_continue
         });
     }
     for turn in &mut turns {
@@ -113,13 +113,13 @@
         class,
         placed,
         left: limit.saturating_sub(placed),
-        aside: Vec::new(),
+        deferred: Vec::new(),
     }
 }
 
 fn put_back(shard: &Shard, turn: &mut Turn) {
-    let aside = std::mem::take(&mut turn.aside);
-    shard.journal.index_mut().put_back(&turn.entry, aside);
+    let deferred = std::mem::take(&mut turn.deferred);
+    shard.journal.index_mut().put_back(&turn.entry, deferred);
 }
 
 /// Takes one waiting job of an entry and tries to place it. False when the entry's turn has ended.
@@ -133,7 +133,7 @@
     // While an eviction is not durable, the previous worker's session may still list the job. A job
     // whose acceptance is not durable has no previous worker; its placement goes into the same row.
     if shard.journal.is_unsettled(&job) && !shard.journal.is_unaccepted(&job) {
-        turn.aside.push(job);
+        turn.deferred.push(job);
         return true;
     }
     let known = shard.job(&job);
@@ -141,12 +141,12 @@
         return true;
     };
     let Some(chosen) = choose_room(cx, shard, turn, rooms, (&job, size)) else {
-        turn.aside.push(job);
+        turn.deferred.push(job);
         return false;
     };
     let worker = rooms[chosen].worker.clone();
     if shard.session(&worker, |session| session.stopping.contains(&job)) == Some(true) {
-        turn.aside.push(job);
+        turn.deferred.push(job);
         return true;
     }
     let placement = Placement {
@@ -156,7 +156,7 @@
     };
     let is_placed = place(cx, shard, &job, placement);
     if !is_placed {
-        turn.aside.push(job);
+        turn.deferred.push(job);
         return false;
     }
     turn.left -= 1;
@@ -178,10 +178,10 @@
         pressure.may_place(job, turn.class, room.worker, is_empty, now)
     };
     let mut open: Vec<usize> = (0..rooms.len()).filter(|i| is_open(&rooms[*i])).collect();
-    let is_new = |i: &usize| !pressure.health.has_failed_on(job, rooms[*i].worker);
+    let has_not_failed = |i: &usize| !pressure.health.has_failed_on(job, rooms[*i].worker);
     // Prefer workers on which the job has not failed; use the others only when there is no choice.
-    if open.iter().any(is_new) {
-        open.retain(is_new);
+    if open.iter().any(has_not_failed) {
+        open.retain(has_not_failed);
     }
     let wanted = Wanted {
         kind: turn.kind,
@@ -291,7 +291,7 @@
         // This attempt did not start. Another attempt that runs there is stopped by the next poll.
         CommandEnd::Rejected(reason, ..) => {
             if reason == RejectReason::NoRoom {
-                let until = cx.clock.now() + NO_ROOM_WAIT;
+                let until = cx.clock.now() + NO_ROOM_BACKOFF;
                 shard.session(worker, |session| session.no_room_until = until);
             }
             let reason = format!("worker rejected it: {reason:?}");
