--- a/src/lapisdrum/daemon/evictions.rs
+++ b/src/lapisdrum/daemon/evictions.rs
@@ -1,6 +1,6 @@
-//! When a placed task certainly runs no more: its host is gone, or it is silent and every lease that
-//! anybody may have given it has run out. [`crate::state::fencing`] holds the rule; this gathers the
-//! evidence.
+//! Eviction of placed tasks that certainly no longer run: the platform no longer lists the host, or
+//! the worker does not answer and every lease that any owner may have given the task has expired.
+//! [`crate::state::fencing`] decides; this module gathers the evidence.
 
 use super::{
     Cx,
@@ -26,48 +26,49 @@
 use indexmap::IndexMap;
 use std::rc::Rc;
 
-/// Evicts what was placed on hosts that the platform no longer names: it vouches that they are dead.
+/// Evicts tasks from hosts that the platform no longer lists; it guarantees that such hosts are
+/// dead.
 ///
-/// The list lags, so a host that this process has never seen named may be one that the list does not
-/// name *yet*; an earlier owner with a fresher list may have placed tasks there. Such a host counts
-/// as gone only after a whole task lease without being named.
+/// The list lags: a host that this process has never seen listed may be too new to be listed, and
+/// an earlier owner with a newer list may have placed tasks there. Such a host counts as removed
+/// only after a whole task lease without being listed.
 pub fn forget_gone_hosts(cx: &Cx, shard: &Rc<Shard>) {
     let terms = &cx.cfg.shards.terms;
-    let patience = terms.lengthened(cx.cfg.shards.task_lease);
-    let is_late = cx.clock.now().since(shard.since) > patience;
-    let gone: Vec<WorkerId> = {
+    let timeout = terms.lengthened(cx.cfg.shards.task_lease);
+    let has_waited = cx.clock.now().since(shard.since) > timeout;
+    let removed: Vec<WorkerId> = {
         let members = cx.members.borrow();
         let index = shard.journal.index();
-        let unnamed = index
+        let unlisted = index
             .workers()
             .filter(|worker| !members.hosts.contains_key(*worker));
-        unnamed
-            .filter(|worker| is_late || members.was_named(worker))
+        unlisted
+            .filter(|worker| has_waited || members.was_named(worker))
             .cloned()
             .collect()
     };
-    for worker in &gone {
+    for worker in &removed {
         for (job, placement) in sessions::placements_on(shard, worker) {
             unplace(cx, shard, &job, &placement, "host is gone");
         }
     }
     let members = cx.members.borrow();
-    let named = |worker: &WorkerId| members.hosts.contains_key(worker);
+    let is_listed = |worker: &WorkerId| members.hosts.contains_key(worker);
     shard
         .sessions
         .borrow_mut()
-        .retain(|worker, _| named(worker));
+        .retain(|worker, _| is_listed(worker));
 }
 
-/// Evicts what a silent worker certainly no longer runs.
+/// Evicts the tasks in `placements` that a worker which does not answer certainly no longer runs.
 pub fn give_up_silent(
     cx: &Cx,
     shard: &Rc<Shard>,
     worker: &WorkerId,
-    judged: &IndexMap<JobId, Placement>,
+    placements: &IndexMap<JobId, Placement>,
 ) {
     let now = cx.clock.now();
-    for (job, placement) in judged {
+    for (job, placement) in placements {
         let sent = shard.session(worker, |session| session.sent(job, placement.attempt));
         let evidence = Evidence {
             worker: WorkerEvidence::Silent,
@@ -83,7 +84,7 @@
     }
 }
 
-/// What is known of earlier owners that may have renewed a placement.
+/// State of the earlier owners that may have renewed the lease of a placement.
 fn earlier_owners(cx: &Cx, shard: &Shard, placement: &Placement) -> EarlierOwners {
     let state = shard.state();
     let mut suspects = state.suspects(placement.epoch, shard.epoch).peekable();
@@ -92,7 +93,7 @@
     }
     let mut latest = shard.since;
     for owner in suspects {
-        match gone_since(cx, shard, owner) {
+        match ended_since(cx, shard, owner) {
             Some(since) => latest = latest.max(since),
             None => return EarlierOwners::Unaccounted,
         }
@@ -100,10 +101,11 @@
     EarlierOwners::Gone(latest)
 }
 
-/// Since when an earlier owner is known to be gone. One that released the shard was gone before this
-/// owner took it. One that was replaced or whose host left the platform's list may have renewed
-/// tasks until shortly before that was seen, so its time counts from there.
-fn gone_since(cx: &Cx, shard: &Shard, owner: &OwnerRecord) -> Option<Millis> {
+/// Time since which an earlier owner has certainly ended; `None` while it may be alive. An owner
+/// that released the shard ended before this owner took it. One that was replaced, or whose host
+/// left the platform's list, may have renewed tasks until shortly before this was observed, so its
+/// time counts from the observation.
+fn ended_since(cx: &Cx, shard: &Shard, owner: &OwnerRecord) -> Option<Millis> {
     if owner.released {
         return Some(shard.since);
     }
@@ -112,16 +114,17 @@
         return Some(*since);
     }
     let members = cx.members.borrow();
-    let is_gone =
+    let has_ended =
         members.is_replaced(&owner.holder, shard.since) || members.is_host_gone(&owner.holder);
-    is_gone.then(|| {
+    has_ended.then(|| {
         let now = cx.clock.now();
         found.insert(owner.epoch, now);
         now
     })
 }
 
-/// Takes a placement back in the ledger. The caller knows that it runs no more.
+/// Revokes a placement in the ledger: evicts the job, or ends it if it is being cancelled. The
+/// caller ensures that the task no longer runs.
 pub fn unplace(cx: &Cx, shard: &Rc<Shard>, job: &JobId, placement: &Placement, reason: &str) {
     let current = shard.job(job);
     let Some(current) = current.filter(|job| job.placement() == Some(placement)) else {
@@ -137,18 +140,18 @@
             attempt: placement.attempt,
         },
     };
-    // While the ledger can't take it, the placement stands and the next visit tries again.
+    // If the ledger can't accept the event, the placement stays and the next poll tries again.
     let Ok(ticket) = shard.propose(cx, vec![event], Urgency::Urgent) else {
         return;
     };
     let (cx, shard, job) = (Rc::clone(cx), Rc::clone(shard), job.clone());
     let (placement, reason) = (placement.clone(), reason.to_owned());
-    let is_over = current.cancelling;
+    let is_cancelled = current.cancelling;
     supervisor::spawn("unplaced", async move {
         if ticket.end().await == WriteEnd::Committed {
             let worker = &placement.worker;
             shard.session(worker, |session| session.forget(&job, placement.attempt));
-            match is_over {
+            match is_cancelled {
                 true => note_end(&cx, &job, &JobEnd::Cancelled),
                 false => note_eviction(&cx, &job, worker, &reason),
             }
@@ -157,7 +160,8 @@
     });
 }
 
-/// Tells counters and time line of an eviction.
+/// Records an eviction in the metrics and on the timeline. `reason` becomes a metric label, up to
+/// its first colon.
 pub fn note_eviction(cx: &Cx, job: &JobId, worker: &WorkerId, reason: &str) {
     if let Some(entry) = entry_of(cx, job) {
         cx.metrics.note_eviction(entry, reason);
@@ -169,16 +173,19 @@
     });
 }
 
-/// Tells counters and time line of a job's end.
+/// Records the end of a job in the metrics and on the timeline.
 pub fn note_end(cx: &Cx, job: &JobId, end: &JobEnd) {
-    let word = JobState::from(end).as_str();
+    let end_name = JobState::from(end).as_str();
     if let Some(entry) = entry_of(cx, job) {
-        let labels = EndLabels { entry, end: word };
+        let labels = EndLabels {
+            entry,
+            end: end_name,
+        };
         cx.metrics.jobs_ended.get_or_create(&labels).inc();
     }
     let end = match end {
-        JobEnd::Failed(why) => format!("{word}: {why}"),
-        JobEnd::Done | JobEnd::Cancelled => word.to_owned(),
+        JobEnd::Failed(why) => format!("{end_name}: {why}"),
+        JobEnd::Done | JobEnd::Cancelled => end_name.to_owned(),
     };
     cx.timeline.record(Happening::JobEnded {
         job: job.clone(),
@@ -186,7 +193,7 @@
     });
 }
 
-/// The entry of a job in a shard that is owned here.
+/// Entry of a job, if this daemon owns the job's shard.
 fn entry_of(cx: &Cx, job: &JobId) -> Option<String> {
     let shards = cx.shards.borrow();
     let known = shards.get(&job.shard()?)?.job(job)?;
--- a/src/lapisdrum/daemon/pressure.rs
+++ b/src/lapisdrum/daemon/pressure.rs
@@ -1,9 +1,10 @@
-//! What a shard's owner learns of its workers from late measurements and failures, and what it does
-//! about it: slow a task down, move it away, give a worker no tasks for a while.
+//! Interference and worker health, as a shard's owner estimates them from delayed measurements and
+//! failures, and the mitigation: throttle a task, evict it, or eject a worker for some time.
 //!
-//! The decisions stand in [`crate::policy`]; here usage is read, matched with what ran at the time of
-//! the measurement, and the steps are carried out. All of it is learned anew by the next owner: it is
-//! advice, and a ledger row for each measurement would cost more than the advice is worth.
+//! The decisions are made in [`crate::policy`]. This module reads usage, matches it with the tasks
+//! that ran at the time of the measurement, and carries the decisions out. The estimates are not
+//! durable: the next owner starts without them, since a ledger row per measurement would cost more
+//! than they are worth.
 
 use super::{Cx, sessions, shard::Shard, supervisor, visits};
 use crate::{
@@ -30,28 +31,27 @@
 
 /// Speed of a throttled task, in thousandths.
 const THROTTLED_PERMILLE: u32 = 300;
-/// Speed of a task that is let run, in thousandths.
-const FULL_PERMILLE: u32 = 1_000;
-/// Time before a measurement during which the host must not have changed for the measurement to be
-/// blamed on what ran there: a worker averages over about as long.
-const UNCHANGED: Duration = Duration::from_secs(1);
-/// Thousandths in a whole.
+/// Speed of a task that is not throttled, in thousandths.
+const UNTHROTTLED_PERMILLE: u32 = 1_000;
+/// Time before a measurement during which the tasks on the host must not have changed for the
+/// measurement to be attributed to them: workers average over about this period.
+const MIN_UNCHANGED: Duration = Duration::from_secs(1);
 const WHOLE_PERMILLE: f64 = 1_000.0;
 
-/// What is learned under one ownership.
+/// Estimates and mitigation state of one ownership of a shard.
 #[derive(Debug, Default)]
 pub struct Pressure {
-    /// How kinds of work disturb each other.
+    /// Estimated slowdown between kinds of work that share a host.
     pub interference: Interference,
-    /// Which workers and jobs fail.
+    /// Failure history of workers and jobs.
     pub health: Health,
-    /// Evictions for relief.
+    /// Recent evictions for mitigation, which limit further ones.
     pub memory: EvictionMemory,
-    hosts: IndexMap<WorkerId, HostPressure>,
+    hosts: IndexMap<WorkerId, HostState>,
 }
 
 #[derive(Debug, Default)]
-struct HostPressure {
+struct HostState {
     distress: Distress,
     history: History,
     throttled: IndexSet<JobId>,
@@ -59,7 +59,7 @@
 }
 
 impl Pressure {
-    /// Whether a job may be given a place on a worker.
+    /// Whether a job may be placed on a worker. `is_empty`: no task is placed there.
     pub fn may_place(
         &self,
         job: &JobId,
@@ -72,19 +72,19 @@
             .hosts
             .get(worker)
             .is_some_and(|host| host.distress.is_on());
-        let is_standing_good = match self.health.standing(worker, now) {
+        let is_healthy = match self.health.standing(worker, now) {
             Standing::Good => true,
-            // One task at a time shows whether the worker is sound again.
+            // A worker on trial gets one task at a time.
             Standing::Trial => is_empty,
             Standing::Aside => false,
         };
-        is_standing_good
+        is_healthy
             && !(in_distress && class == Class::Batch)
             && self.memory.may_place(job, worker, now)
     }
 }
 
-/// Reads usage and acts on it until the shard is lost or given up.
+/// Polls the workers' usage and mitigates interference until the shard is lost or released.
 pub async fn watch(cx: &Cx, shard: &Rc<Shard>) {
     while shard.is_serving() {
         for (worker, address) in measurable(shard) {
@@ -100,7 +100,7 @@
                 });
             }
         }
-        forget(cx, shard);
+        remove_stale(cx, shard);
         tokio::time::sleep(cx.cfg.shards.usage).await;
     }
 }
@@ -115,21 +115,22 @@
         .collect()
 }
 
-fn with_host<T>(shard: &Shard, worker: &WorkerId, then: impl FnOnce(&mut HostPressure) -> T) -> T {
+fn with_host<T>(shard: &Shard, worker: &WorkerId, then: impl FnOnce(&mut HostState) -> T) -> T {
     let mut pressure = shard.pressure.borrow_mut();
     then(pressure.hosts.entry(worker.clone()).or_default())
 }
 
-fn forget(cx: &Cx, shard: &Shard) {
+fn remove_stale(cx: &Cx, shard: &Shard) {
     let (members, now) = (cx.members.borrow(), cx.clock.now());
-    let is_there = |worker: &WorkerId| members.hosts.contains_key(worker);
+    let is_listed = |worker: &WorkerId| members.hosts.contains_key(worker);
     let mut pressure = shard.pressure.borrow_mut();
-    pressure.hosts.retain(|worker, _| is_there(worker));
-    pressure.health.forget(is_there, now);
+    pressure.hosts.retain(|worker, _| is_listed(worker));
+    pressure.health.forget(is_listed, now);
     pressure.memory.forget_old(now);
 }
 
-/// Notes what runs on a worker from now on, so that a late report is matched with its own time.
+/// Records what runs on a worker from now on, so that a delayed report is matched with the tasks of
+/// its own time.
 pub fn note_history(cx: &Cx, shard: &Shard, worker: &WorkerId) {
     let neighbours: Vec<Neighbour> = residents(cx, shard, worker)
         .into_iter()
@@ -161,16 +162,17 @@
     let measured_at = now.before(Duration::from_millis(usage.age_ms));
     learn(shard, worker, &usage, measured_at);
     for step in steps(cx, shard, worker, &usage, measured_at) {
-        carry_out(cx, shard, worker, address, step).await;
+        apply_step(cx, shard, worker, address, step).await;
     }
 }
 
-/// Learns how kinds of work disturbed each other when the figures were taken.
+/// Updates the interference estimates from slowdowns measured at `measured_at`. Skipped when the
+/// tasks on the host changed shortly before.
 fn learn(shard: &Shard, worker: &WorkerId, usage: &Usage, measured_at: Millis) {
     let slowed = slowdowns(shard, usage);
     let mut pressure = shard.pressure.borrow_mut();
     let host = pressure.hosts.get(worker);
-    let ran = host.and_then(|host| host.history.during(measured_at, UNCHANGED));
+    let ran = host.and_then(|host| host.history.during(measured_at, MIN_UNCHANGED));
     let Some(ran) = ran.map(<[Neighbour]>::to_vec) else {
         return;
     };
@@ -186,7 +188,7 @@
     }
 }
 
-/// What was measured to be slowed, by entry.
+/// Measured run times of tasks and requests relative to running alone, in thousandths, by entry.
 fn slowdowns(shard: &Shard, usage: &Usage) -> Vec<(EntryName, u32)> {
     let state = shard.state();
     let tasks = usage.tasks.iter().filter_map(|task| {
@@ -200,7 +202,7 @@
     tasks.chain(requests).collect()
 }
 
-/// What ran beside one of a kind.
+/// The neighbours of one task of `kind`: all of `ran` except that task.
 fn without_one(ran: &[Neighbour], kind: Kind) -> Vec<Neighbour> {
     let others = ran.iter().map(|neighbour| Neighbour {
         count: neighbour.count - u32::from(neighbour.kind == kind),
@@ -209,7 +211,7 @@
     others.filter(|neighbour| neighbour.count > 0).collect()
 }
 
-/// What the policy wants done on a host.
+/// Mitigation steps that the eviction policy asks for on a host.
 fn steps(
     cx: &Cx,
     shard: &Shard,
@@ -222,10 +224,10 @@
         .iter()
         .map(|request| request.slowdown_permille)
         .max();
-    let worst = f64::from(worst.unwrap_or(FULL_PERMILLE)) / WHOLE_PERMILLE;
+    let worst = f64::from(worst.unwrap_or(UNTHROTTLED_PERMILLE)) / WHOLE_PERMILLE;
     let jobs = jobs_on(cx, shard, worker);
     let mut pressure = shard.pressure.borrow_mut();
-    let harms = harms(&mut pressure, &jobs, usage, measured_at);
+    let added_slowdowns = added_slowdowns(&mut pressure, &jobs, usage, measured_at);
     let Pressure { memory, hosts, .. } = &mut *pressure;
     let host = hosts.entry(worker.clone()).or_default();
     let catalogue = cx.catalogue.borrow();
@@ -237,7 +239,7 @@
     let tenants: Vec<Tenant<'_>> = jobs
         .iter()
         .zip(&ranks)
-        .zip(&harms)
+        .zip(&added_slowdowns)
         .map(|((known, (class, priority)), harm)| Tenant {
             job: &known.job,
             class: *class,
@@ -251,7 +253,7 @@
         .report(worst, measured_at, &tenants, memory, cx.clock.now())
 }
 
-/// A job that has its place on a worker.
+/// A job that is placed on a worker.
 struct KnownJob {
     job: JobId,
     entry: EntryName,
@@ -275,8 +277,13 @@
         .collect()
 }
 
-/// Slowdown that each job adds to the latency-critical work that was measured.
-fn harms(pressure: &mut Pressure, jobs: &[KnownJob], usage: &Usage, at: Millis) -> Vec<f64> {
+/// Largest slowdown that each job adds to any of the measured latency-critical entries.
+fn added_slowdowns(
+    pressure: &mut Pressure,
+    jobs: &[KnownJob],
+    usage: &Usage,
+    at: Millis,
+) -> Vec<f64> {
     let names = usage
         .requests
         .iter()
@@ -294,7 +301,7 @@
     jobs.iter().map(harm).collect()
 }
 
-async fn carry_out(cx: &Cx, shard: &Rc<Shard>, worker: &WorkerId, address: &str, step: Step) {
+async fn apply_step(cx: &Cx, shard: &Rc<Shard>, worker: &WorkerId, address: &str, step: Step) {
     match step {
         Step::Throttle(job) => {
             if set_speed(cx, shard, address, &job, THROTTLED_PERMILLE).await {
@@ -304,12 +311,13 @@
             }
         }
         Step::Release(job) => {
-            if set_speed(cx, shard, address, &job, FULL_PERMILLE).await {
+            if set_speed(cx, shard, address, &job, UNTHROTTLED_PERMILLE).await {
                 with_host(shard, worker, |host| host.throttled.swap_remove(&job));
-                note_throttle(cx, &job, worker, FULL_PERMILLE);
+                note_throttle(cx, &job, worker, UNTHROTTLED_PERMILLE);
             }
         }
-        // A stop that the ledger can't take would leave the task down until the table is back.
+        // If the ledger can't record the stop, the task would stay down until the store is
+        // available.
         Step::Evict(job) if shard.can_write(cx) => {
             let now = cx.clock.now();
             shard.pressure.borrow_mut().memory.note(&job, worker, now);
@@ -336,7 +344,8 @@
     });
 }
 
-/// Notes a failed attempt; whether the job itself is at fault, so that no other worker will help.
+/// Records a failed attempt. True when the job itself is at fault, so that another worker would not
+/// help.
 pub fn note_failure(
     cx: &Cx,
     shard: &Shard,
@@ -356,12 +365,14 @@
             worker: worker.clone(),
             reason: "it fails the tasks of several jobs".to_owned(),
         });
-        log::warn!("worker {worker} fails the tasks of several jobs and gets none for a while");
+        log::warn!(
+            "worker {worker} is ejected from task placement: it fails the tasks of several jobs"
+        );
     }
     verdict == Verdict::JobAtFault
 }
 
-/// Notes that a task ended well on a worker.
+/// Records that a task succeeded on a worker.
 pub fn note_success(shard: &Shard, worker: &WorkerId, job: &JobId, entry: &EntryName) {
     shard
         .pressure
@@ -370,7 +381,7 @@
         .succeeded(worker, job, entry);
 }
 
-/// What runs on a worker, one line a kind.
+/// Tasks on a worker, counted by entry.
 pub fn residents(cx: &Cx, shard: &Shard, worker: &WorkerId) -> Vec<Resident> {
     let (state, index) = (shard.state(), shard.journal.index());
     let mut counts = IndexMap::new();
--- a/src/lapisdrum/daemon/queue.rs
+++ b/src/lapisdrum/daemon/queue.rs
@@ -1,8 +1,8 @@
-//! Requests that wait for room: the policies' queue, driven by what frees room.
+//! Queue of requests that wait for free capacity.
 //!
-//! A request stands in line until its entry's limits and a worker's floor have room for it; then it
-//! is handed a [`Place`], which holds that room until the request is over. The line moves when a
-//! place is given back, when floors rise, and when a deadline passes.
+//! A request waits until its entry's limits and a worker's floor allow it. It then receives a
+//! [`Reservation`], which reserves the capacity until the request has ended. The queue is
+//! re-evaluated when a reservation is released, when floors rise, and when a deadline passes.
 
 use super::{Cx, shares, supervisor};
 use crate::{
@@ -26,92 +26,94 @@
 use std::{cell::RefCell, rc::Rc, time::Duration};
 use tokio::sync::{Notify, oneshot};
 
-/// Longest time between two looks at the line.
-const LONGEST_LOOK: Duration = Duration::from_millis(100);
-/// Time between two rounds of forgetting what is idle or gone.
-const FORGET_EVERY: Duration = Duration::from_secs(5);
+/// Longest time between two evaluations of the queue.
+const MAX_POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// Interval for removing state of idle entries and of removed workers.
+const CLEANUP_INTERVAL: Duration = Duration::from_secs(5);
 
-/// The line, and what its policies have learned.
+/// The queue of waiting requests, with the state of its routing, headroom and retry policies.
 #[derive(Debug, Default)]
 pub struct Line {
     queue: RefCell<Queue<Waiting>>,
     routing: RefCell<Routing>,
     headroom: RefCell<Headroom>,
     retries: RefCell<IndexMap<EntryName, RetryBudget>>,
-    moved: Notify,
+    wakeup: Notify,
 }
 
 #[derive(Debug)]
 struct Waiting {
     entry: Rc<Entry>,
-    turn: oneshot::Sender<Turn>,
+    outcome: oneshot::Sender<WaitOutcome>,
 }
 
-/// How a wait in line ended.
+/// Outcome of a wait in the queue.
 #[derive(Debug)]
-enum Turn {
-    Start(Place),
+enum WaitOutcome {
+    Start(Reservation),
     Refused(Refusal),
 }
 
 impl Line {
-    /// Has the line looked at soon.
+    /// Wakes the task that evaluates the queue.
     pub fn wake(&self) {
-        self.moved.notify_one();
+        self.wakeup.notify_one();
     }
 
-    /// Requests of an entry that wait.
+    /// Number of waiting requests of an entry.
     pub fn waiting_of(&self, entry: &EntryName) -> u32 {
         self.queue.borrow().waiting_of(entry)
     }
 
-    /// When a caller should come back that is refused for want of room.
+    /// Retry-after for a caller that is refused because there is no free capacity.
     pub fn retry_after(&self, now: Millis) -> Duration {
         let mut queue = self.queue.borrow_mut();
         queue.retry_after(now, &mut rand::rng())
     }
 
-    /// Spends a retry of an entry, if it has one left.
+    /// Takes one retry from the entry's retry budget. False when none is left or the failure must
+    /// not be retried.
     pub fn try_retry(&self, entry: &Entry, failure: crate::policy::retry::Failure) -> bool {
         let mut retries = self.retries.borrow_mut();
         let budget = retries.entry(entry.name.clone()).or_default();
         budget.try_retry(failure, entry.idempotent)
     }
 
-    /// Notes that a worker answered a request of an entry.
+    /// Credits the entry's retry budget with an answered request.
     pub fn note_success(&self, entry: &EntryName) {
         let mut retries = self.retries.borrow_mut();
         retries.entry(entry.clone()).or_default().note_success();
     }
 }
 
-/// Room for one request: a slot and its size on a worker, and one run of its entry and owner.
+/// Capacity reserved for one request: a slot and the request's size on a worker, and one run of its
+/// entry and owner. Dropping it releases the capacity.
 ///
-/// Failure: a request's answer is lost or late. The worker may be running it still, so room that is
-/// free again at once would let the host be loaded beyond its size. The worker ends a request at the
-/// deadline that came with it, and the place is held until then.
-pub struct Place {
+/// Failure: a request's answer is lost or late. The worker may still be running it, so releasing
+/// the capacity at once could overload the host. The worker ends a request at the deadline that was
+/// sent with it; the reservation is held until then.
+pub struct Reservation {
     cx: Cx,
     entry: EntryName,
     owner: OwnerName,
     size: Size,
     weight: u32,
-    /// The worker.
+    /// Worker on which the capacity is reserved.
     pub worker: WorkerId,
-    /// Its address.
+    /// Address of the worker.
     pub address: String,
     sent_at: Millis,
     _in_flight: Rc<()>,
 }
 
-impl std::fmt::Debug for Place {
+impl std::fmt::Debug for Reservation {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "a place of {} on {}", self.entry, self.worker)
+        write!(f, "reservation for {} on {}", self.entry, self.worker)
     }
 }
 
-impl Place {
-    /// Takes room for a request, if there is any.
+impl Reservation {
+    /// Reserves capacity for a request. `None` when no worker or limit allows it.
     pub fn take(cx: &Cx, entry: &Entry) -> Option<Self> {
         let (worker, address) = choose_worker(cx, entry)?;
         let share = shares::of_daemon(cx, entry);
@@ -136,13 +138,13 @@
         })
     }
 
-    /// Tells the policies how the send ended.
+    /// Reports the outcome of the send to the routing policy, which may eject the worker.
     pub fn note_end(&self, end: End) {
         let pool = self.cx.floors.borrow().held.len();
         let now = self.cx.clock.now();
         let mut routing = self.cx.line.routing.borrow_mut();
         if routing.ended(&self.worker, &self.entry, self.sent_at, end, pool, now) {
-            log::warn!("worker {} is set aside for requests", self.worker);
+            log::warn!("worker {} is ejected from request routing", self.worker);
             self.cx.timeline.record(Happening::WorkerSetAside {
                 worker: self.worker.clone(),
                 reason: "slow or failing requests".to_owned(),
@@ -150,7 +152,7 @@
         }
     }
 
-    /// Keeps the room taken until a time at which the request is over on its worker.
+    /// Keeps the capacity reserved until `end`, when the worker has certainly ended the request.
     pub fn hold_until(self, end: Millis) {
         let wait = end.since(self.cx.clock.now());
         supervisor::spawn("held-place", async move {
@@ -160,7 +162,7 @@
     }
 }
 
-impl Drop for Place {
+impl Drop for Reservation {
     fn drop(&mut self) {
         let (floors, admission) = (&self.cx.floors, &self.cx.admission);
         floors.borrow_mut().release(&self.worker, &self.size);
@@ -170,31 +172,31 @@
     }
 }
 
-/// Waits in line for a place. `gone` completes when the caller has gone away.
+/// Waits in the queue for capacity. `caller_gone` completes when the caller has disconnected.
 pub async fn wait(
     cx: &Cx,
     entry: &Rc<Entry>,
     caller: u64,
     deadline: Millis,
-    gone: impl Future<Output = ()>,
-) -> Result<Place, Refusal> {
+    caller_gone: impl Future<Output = ()>,
+) -> Result<Reservation, Refusal> {
     let (tx, mut rx) = oneshot::channel();
-    let ticket = stand_in_line(cx, entry, caller, deadline, tx)?;
+    let ticket = enqueue_request(cx, entry, caller, deadline, tx)?;
     note_demand(cx, &entry.name, entry.priority);
-    move_on(cx);
-    let turn = tokio::select! {
-        turn = &mut rx => turn,
-        () = gone => {
+    start_waiting(cx);
+    let outcome = tokio::select! {
+        outcome = &mut rx => outcome,
+        () = caller_gone => {
             cx.line.queue.borrow_mut().remove(ticket, cx.clock.now());
             note_demand(cx, &entry.name, entry.priority);
-            // A place that was handed over at the same moment is dropped with the channel.
+            // A reservation that was sent at the same time is dropped with the channel.
             return Err(busy(Duration::ZERO));
         }
     };
-    match turn {
-        Ok(Turn::Start(place)) => Ok(place),
-        Ok(Turn::Refused(refusal)) => Err(refusal),
-        Err(_) => unreachable!("whoever leaves the line is told"),
+    match outcome {
+        Ok(WaitOutcome::Start(reservation)) => Ok(reservation),
+        Ok(WaitOutcome::Refused(refusal)) => Err(refusal),
+        Err(_) => unreachable!("every request that leaves the queue is sent an outcome"),
     }
 }
 
@@ -202,12 +204,12 @@
     Refusal::Busy { retry_after }
 }
 
-fn stand_in_line(
+fn enqueue_request(
     cx: &Cx,
     entry: &Rc<Entry>,
     caller: u64,
     deadline: Millis,
-    turn: oneshot::Sender<Turn>,
+    outcome: oneshot::Sender<WaitOutcome>,
 ) -> Result<Ticket, Refusal> {
     let run = cx.line.routing.borrow().usual_run(&entry.name);
     let item = Item {
@@ -222,7 +224,7 @@
     };
     let waiting = Waiting {
         entry: Rc::clone(entry),
-        turn,
+        outcome,
     };
     let now = cx.clock.now();
     let mut queue = cx.line.queue.borrow_mut();
@@ -244,11 +246,12 @@
             retry_after: refused.retry_after,
         },
     };
-    // A caller that has gone away needs no answer.
-    let _ = refused.payload.turn.send(Turn::Refused(refusal));
+    // The send fails only when the caller has disconnected.
+    let _ = refused.payload.outcome.send(WaitOutcome::Refused(refusal));
 }
 
-/// Tells what an entry needs at present, so that long runs leave it to the shorter ones.
+/// Updates the headroom policy with an entry's current demand, so that long runs leave slots free
+/// for shorter ones.
 fn note_demand(cx: &Cx, entry: &EntryName, weight: u32) {
     let running = cx.admission.borrow().running(entry);
     let waiting = cx.line.waiting_of(entry);
@@ -265,14 +268,14 @@
     );
 }
 
-/// Slots of all floors.
+/// Total number of slots in this daemon's floors.
 fn slots(cx: &Cx) -> u32 {
     let floors = cx.floors.borrow();
     floors.held.values().map(|floor| floor.grant.slots).sum()
 }
 
-/// Starts whatever has room.
-fn move_on(cx: &Cx) {
+/// Starts waiting requests for as long as there is capacity for one.
+fn start_waiting(cx: &Cx) {
     let slots = slots(cx);
     loop {
         let next = {
@@ -289,12 +292,12 @@
         let Some((_, _, waiting)) = next else {
             return;
         };
-        let turn = match Place::take(cx, &waiting.entry) {
-            Some(place) => Turn::Start(place),
-            None => Turn::Refused(busy(cx.line.retry_after(cx.clock.now()))),
+        let outcome = match Reservation::take(cx, &waiting.entry) {
+            Some(reservation) => WaitOutcome::Start(reservation),
+            None => WaitOutcome::Refused(busy(cx.line.retry_after(cx.clock.now()))),
         };
-        // A place for a caller that has gone away is given back here, and the line is looked at again.
-        let _ = waiting.turn.send(turn);
+        // When the caller has disconnected, the reservation is dropped here, which wakes the queue.
+        let _ = waiting.outcome.send(outcome);
     }
 }
 
@@ -303,8 +306,9 @@
     headroom.may_start(entry, slots, cx.clock.now())
 }
 
-/// Whether a request of an entry would start at once: there is room, and nobody waits for it.
-pub fn is_open_to(cx: &Cx, entry: &EntryName) -> bool {
+/// Whether a request of an entry would start at once: there is capacity, and no request of the
+/// entry is waiting.
+pub fn can_start_now(cx: &Cx, entry: &EntryName) -> bool {
     cx.line.waiting_of(entry) == 0 && has_room(cx, entry)
 }
 
@@ -317,9 +321,9 @@
     })
 }
 
-/// Looks after the line until the process ends.
+/// Expires and starts waiting requests until the process ends.
 pub async fn run(cx: Cx) -> eyre::Result<()> {
-    let mut forgot_at = cx.clock.now();
+    let mut cleaned_up_at = cx.clock.now();
     loop {
         let now = cx.clock.now();
         let expired = {
@@ -331,21 +335,21 @@
             refuse(expired);
             note_demand(&cx, &entry.name, entry.priority);
         }
-        move_on(&cx);
-        if now.since(forgot_at) > FORGET_EVERY {
-            forgot_at = now;
-            forget(&cx, now);
+        start_waiting(&cx);
+        if now.since(cleaned_up_at) > CLEANUP_INTERVAL {
+            cleaned_up_at = now;
+            remove_stale(&cx, now);
         }
         let next = cx.line.queue.borrow().next_expiry();
-        let look = next.map_or(LONGEST_LOOK, |at| at.since(now).min(LONGEST_LOOK));
+        let delay = next.map_or(MAX_POLL_INTERVAL, |at| at.since(now).min(MAX_POLL_INTERVAL));
         tokio::select! {
-            () = tokio::time::sleep(look) => {}
-            () = cx.line.moved.notified() => {}
+            () = tokio::time::sleep(delay) => {}
+            () = cx.line.wakeup.notified() => {}
         }
     }
 }
 
-fn forget(cx: &Cx, now: Millis) {
+fn remove_stale(cx: &Cx, now: Millis) {
     cx.admission.borrow_mut().forget_idle(now);
     cx.line.headroom.borrow_mut().forget_idle(now);
     let members = cx.members.borrow();
@@ -356,27 +360,27 @@
     retries.retain(|entry, _| catalogue.rows.contains_key(entry));
 }
 
-/// Charges a request to the rates of its entry and owner.
-pub fn let_in(cx: &Cx, entry: &Entry) -> Result<(), Refusal> {
+/// Charges a request to the rate limits of its entry and owner.
+pub fn admit(cx: &Cx, entry: &Entry) -> Result<(), Refusal> {
     let claim: Claim<'_> = shares::of_daemon(cx, entry);
     let mut admission = cx.admission.borrow_mut();
-    let let_in = admission.let_in(&claim, cx.clock.now());
-    let_in.map_err(|denied| Refusal::OverLimit {
+    let admitted = admission.let_in(&claim, cx.clock.now());
+    admitted.map_err(|denied| Refusal::OverLimit {
         entry: entry.name.clone(),
         retry_after: denied.wait(),
     })
 }
 
-/// Workers that are looked at for one request once they have room: two are drawn from them, and some
-/// may be set aside. Looking at all of five hundred would cost more than the request is worth.
-const MOST_CANDIDATES: usize = 16;
+/// Workers with free capacity that are considered for one request. Routing draws two of them and
+/// some may be ejected; considering all of 500 workers would cost too much per request.
+const MAX_CANDIDATES: usize = 16;
 
-/// Hands `then` some workers with room for a request of an entry, beginning anywhere, so that over
-/// many requests each worker is as likely as the next.
+/// Calls `then` with up to `limit` workers that have capacity for a request of an entry. The scan
+/// starts at a random worker so that requests spread evenly.
 fn with_candidates<T>(
     cx: &Cx,
     entry: &Entry,
-    most: usize,
+    limit: usize,
     then: impl FnOnce(&[Candidate<'_>]) -> T,
 ) -> T {
     let members = cx.members.borrow();
@@ -390,10 +394,10 @@
     };
     let count = floors.held.len();
     let start = rand::random_range(0..count.max(1));
-    let round = floors.held.iter().cycle().skip(start).take(count);
-    let with_room = round.filter(|(worker, floor)| has_room(worker, floor.used.slots));
+    let rotated = floors.held.iter().cycle().skip(start).take(count);
+    let with_room = rotated.filter(|(worker, floor)| has_room(worker, floor.used.slots));
     let candidates: Vec<Candidate<'_>> = with_room
-        .take(most)
+        .take(limit)
         .map(|(worker, floor)| Candidate {
             worker,
             outstanding: floor.used.slots,
@@ -406,15 +410,15 @@
     u32::try_from(n).unwrap_or(u32::MAX)
 }
 
-/// Connections to one worker for requests: its limit divided over the daemons, less one for
-/// commands.
+/// Connections to one worker for requests: the worker's limit divided by the number of daemons,
+/// less one for commands, at most the configured number.
 fn connection_share(cx: &Cx, connections: u32, daemons: u32) -> u32 {
     let share = (connections / daemons).saturating_sub(1).max(1);
     share.min(cx.cfg.requests.connections)
 }
 
 fn choose_worker(cx: &Cx, entry: &Entry) -> Option<(WorkerId, String)> {
-    let worker = with_candidates(cx, entry, MOST_CANDIDATES, |candidates| {
+    let worker = with_candidates(cx, entry, MAX_CANDIDATES, |candidates| {
         let routing = cx.line.routing.borrow();
         let chosen = routing.choose(candidates, cx.clock.now(), &mut rand::rng())?;
         Some(candidates[chosen].worker.clone())
--- a/src/lapisdrum/daemon/shares.rs
+++ b/src/lapisdrum/daemon/shares.rs
@@ -1,7 +1,7 @@
 //! Shares of the entries' limits: this daemon's for requests, its shards' for jobs.
 //!
-//! The rules are in [`crate::state::shares`]; here they are driven: the rows are read at the interval
-//! of the floors' exchange, and written only when a part changes.
+//! [`crate::state::shares`] has the rules. This module reads the rows at the interval of the floor
+//! exchange and writes a row only when a share changes.
 
 use super::{Cx, grants, peers, shard::Shard};
 use crate::{
@@ -21,24 +21,24 @@
 
 /// Key prefix of the entries' rows.
 const PREFIX: &str = "shares/";
-/// Looks at one row in a round, where others write it at the same time.
-const LOOK_TRIES: usize = 4;
-/// What is left of a past demand at each look: a burst is remembered for some ten looks.
-const DEMAND_KEPT: f64 = 0.8;
+/// Attempts to update one row per round while other parties write it at the same time.
+const MAX_UPDATE_ATTEMPTS: usize = 4;
+/// Factor by which past demand decays at each update: a burst has an effect for about ten updates.
+const DEMAND_DECAY: f64 = 0.8;
 
-/// What this daemon and its shards may use.
+/// Shares of the entries' limits that this daemon and its shards hold.
 #[derive(Debug, Default)]
 pub struct Held {
-    requests: RefCell<IndexMap<EntryName, Own>>,
-    /// By ownership, not by shard alone: another owner in between may have lowered the part.
-    jobs: RefCell<IndexMap<(ShardId, Epoch, EntryName), Own>>,
-    /// How many daemons there are and this one's place among them, as of the last look: asked for by
-    /// every request.
-    place: Cell<(u32, u32)>,
+    requests: RefCell<IndexMap<EntryName, OwnShare>>,
+    /// Keyed by shard and epoch: an owner between two of ours may have lowered the share.
+    jobs: RefCell<IndexMap<(ShardId, Epoch, EntryName), OwnShare>>,
+    /// Number of daemons and this daemon's rank among them, cached at each update since every
+    /// request needs it.
+    count_and_rank: Cell<(u32, u32)>,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Own {
+struct OwnShare {
     allowed: Allowed,
     demand: f64,
 }
@@ -47,9 +47,9 @@
     format!("{PREFIX}{entry}")
 }
 
-/// Whose limits a request of an entry counts against here, and how far.
+/// The limits that a request of an entry counts against at this daemon.
 pub fn of_daemon<'a>(cx: &Cx, entry: &'a Entry) -> Claim<'a> {
-    let (daemons, rank) = cx.shares.place.get();
+    let (daemons, rank) = cx.shares.count_and_rank.get();
     let even = admission::divide(&entry.limits, daemons, rank);
     let own = cx.shares.requests.borrow().get(&entry.name).copied();
     let share = Share {
@@ -64,30 +64,30 @@
     }
 }
 
-/// Jobs of an entry that may have a place in an own shard at once.
+/// Jobs of an entry that a shard owned by this daemon may have placed at once.
 pub fn of_shard(cx: &Cx, entry: &Entry, shard: &Shard) -> u32 {
     let own_key = (shard.id.clone(), shard.epoch, entry.name.clone());
     let own = cx.shares.jobs.borrow().get(&own_key).copied();
     allowed(entry, own)
 }
 
-fn allowed(entry: &Entry, own: Option<Own>) -> u32 {
+fn allowed(entry: &Entry, own: Option<OwnShare>) -> u32 {
     let allowed = own.map_or(0, |own| own.allowed.amount());
     allowed.min(entry.limits.concurrency)
 }
 
-fn place_of_daemon(cx: &Cx) -> (u32, u32) {
+fn rank_of_daemon(cx: &Cx) -> (u32, u32) {
     let members = cx.members.borrow();
-    place(members.daemons.keys(), &cx.me.daemon)
+    count_and_rank(members.daemons.keys(), &cx.me.daemon)
 }
 
-fn place_of_shard(cx: &Cx, shard: &ShardId) -> (u32, u32) {
+fn rank_of_shard(cx: &Cx, shard: &ShardId) -> (u32, u32) {
     let members = cx.members.borrow();
-    place(members.shards.keys(), shard)
+    count_and_rank(members.shards.keys(), shard)
 }
 
-/// How many there are with `own`, and the place of `own` among them.
-fn place<'a, T: Ord + 'a>(all: impl Iterator<Item = &'a T>, own: &T) -> (u32, u32) {
+/// The number of items including `own`, and the rank of `own` among them (from 0).
+fn count_and_rank<'a, T: Ord + 'a>(all: impl Iterator<Item = &'a T>, own: &T) -> (u32, u32) {
     let others: Vec<&T> = all.filter(|other| *other != own).collect();
     let rank = others.iter().filter(|other| **other < own).count();
     (to_u32(others.len()) + 1, to_u32(rank))
@@ -97,15 +97,15 @@
     u32::try_from(n).unwrap_or(u32::MAX)
 }
 
-/// Looks at the rows until the process ends.
+/// Updates this daemon's and its shards' shares until the process ends.
 pub async fn run(cx: Cx) -> eyre::Result<()> {
     loop {
-        look_at_all(&cx).await;
+        update_all(&cx).await;
         tokio::time::sleep(cx.cfg.requests.grant_poll).await;
     }
 }
 
-async fn look_at_all(cx: &Cx) {
+async fn update_all(cx: &Cx) {
     let Ok(rows) = cx.platform.list(PREFIX).await else {
         return;
     };
@@ -123,16 +123,16 @@
         .jobs
         .borrow_mut()
         .retain(|(shard, epoch, name), _| is_known(name) && epoch_of(cx, shard) == Some(*epoch));
-    cx.shares.place.set(place_of_daemon(cx));
+    cx.shares.count_and_rank.set(rank_of_daemon(cx));
     for entry in &entries {
         let row = rows.get(&key(&entry.name)).cloned().unwrap_or_default();
         for party in own_parties(cx, entry) {
-            look_until_settled(cx, entry, row.clone(), party).await;
+            update_with_retries(cx, entry, row.clone(), party).await;
         }
     }
 }
 
-/// Requests are the daemon's own; jobs belong to shards.
+/// The parties that hold shares of an entry here: this daemon for requests, its shards for jobs.
 fn own_parties(cx: &Cx, entry: &Entry) -> Vec<Party> {
     if entry.class == Class::LatencyCritical {
         return vec![Party::Daemon(cx.me.clone())];
@@ -144,19 +144,19 @@
         .collect()
 }
 
-/// One party's figures for a look.
-struct Figures {
+/// Usage of one party, for the update of its share.
+struct PartyUsage {
     parties: u32,
     rank: u32,
     running: u32,
     waiting: u32,
 }
 
-fn figures(cx: &Cx, entry: &Entry, party: &Party) -> Option<Figures> {
+fn party_usage(cx: &Cx, entry: &Entry, party: &Party) -> Option<PartyUsage> {
     match party {
         Party::Daemon(_) => {
-            let (parties, rank) = place_of_daemon(cx);
-            Some(Figures {
+            let (parties, rank) = rank_of_daemon(cx);
+            Some(PartyUsage {
                 parties,
                 rank,
                 running: cx.admission.borrow().running(&entry.name),
@@ -165,15 +165,15 @@
         }
         Party::Shard(id) => {
             let shard = cx.shards.borrow().get(id).cloned()?;
-            Some(shard_figures(cx, entry, &shard))
+            Some(shard_usage(cx, entry, &shard))
         }
     }
 }
 
-fn shard_figures(cx: &Cx, entry: &Entry, shard: &Shard) -> Figures {
-    let (parties, rank) = place_of_shard(cx, &shard.id);
+fn shard_usage(cx: &Cx, entry: &Entry, shard: &Shard) -> PartyUsage {
+    let (parties, rank) = rank_of_shard(cx, &shard.id);
     let counts = shard.journal.index().counts(&entry.name);
-    Figures {
+    PartyUsage {
         parties,
         rank,
         running: counts.placed,
@@ -181,12 +181,13 @@
     }
 }
 
-/// Looks at an entry's row, and again at what another party has made of it meanwhile. Daemons whose
-/// looks fall together would otherwise lose to the same one each time, and never come by a part.
-async fn look_until_settled(cx: &Cx, entry: &Entry, row: (u64, Shares), party: Party) {
+/// Updates a party's share in an entry's row, and retries on the new row after a write conflict.
+/// Without retries, of daemons that update at the same time the same one could win each round, and
+/// the others would never get a share.
+async fn update_with_retries(cx: &Cx, entry: &Entry, row: (u64, Shares), party: Party) {
     let mut row = row;
-    for _ in 0..LOOK_TRIES {
-        if look_at(cx, entry, &row, &party).await == Looked::Settled {
+    for _ in 0..MAX_UPDATE_ATTEMPTS {
+        if update_share(cx, entry, &row, &party).await == UpdateOutcome::Complete {
             return;
         }
         let Ok(read) = cx.platform.get(&key(&entry.name)).await else {
@@ -197,40 +198,40 @@
     }
 }
 
-/// Whether a look has to be repeated.
+/// Whether an update must be repeated on a newer row.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Looked {
-    Settled,
+enum UpdateOutcome {
+    Complete,
     Overtaken,
 }
 
-async fn look_at(cx: &Cx, entry: &Entry, row: &(u64, Shares), party: &Party) -> Looked {
+async fn update_share(cx: &Cx, entry: &Entry, row: &(u64, Shares), party: &Party) -> UpdateOutcome {
     let (version, row) = row;
-    // Counted now, and nothing more is started beyond the new part before it is written.
-    let Some(figures) = figures(cx, entry, party) else {
-        return Looked::Settled;
+    // Counted before the write; from `before_write` on, nothing is started beyond the new share.
+    let Some(party_usage) = party_usage(cx, entry, party) else {
+        return UpdateOutcome::Complete;
     };
     let in_row = row.part(party).map_or(0, |part| part.amount);
-    let demand = note_look(cx, entry, party, in_row, &figures);
-    let look = Look {
+    let demand = note_read(cx, entry, party, in_row, &party_usage);
+    let view = Look {
         party,
         data_centre: &cx.cfg.daemon.data_centre,
         revision: entry.revision,
         limit: entry.limits.concurrency,
-        parties: figures.parties,
-        rank: figures.rank,
-        running: figures.running,
+        parties: party_usage.parties,
+        rank: party_usage.rank,
+        running: party_usage.running,
         demand,
     };
-    let next = without_gone(cx, row).looked_at(&look);
+    let next = without_ended(cx, row).looked_at(&view);
     let amount = next.part(party).map_or(0, |part| part.amount);
-    let usable = amount.min(row.ceiling(&look));
+    let usable = amount.min(row.ceiling(&view));
     let is_certain = with_own(cx, entry, party, |own| {
         own.allowed.before_write(usable);
         own.allowed.amount() >= usable
     });
     if next == *row && is_certain {
-        return Looked::Settled;
+        return UpdateOutcome::Complete;
     }
     with_own(cx, entry, party, |own| own.allowed.before_write(usable));
     let txn = Txn::default()
@@ -239,17 +240,17 @@
     match cx.platform.txn(&txn).await {
         TxnOutcome::Committed(_) => {
             with_own(cx, entry, party, |own| own.allowed.after_write(usable));
-            tell(cx, party);
-            Looked::Settled
+            wake_waiting(cx, party);
+            UpdateOutcome::Complete
         }
-        TxnOutcome::Conflict(_) => Looked::Overtaken,
-        // The next look reads what has become of it.
-        TxnOutcome::Unknown(_) => Looked::Settled,
+        TxnOutcome::Conflict(_) => UpdateOutcome::Overtaken,
+        // The next update reads whether the write took effect.
+        TxnOutcome::Unknown(_) => UpdateOutcome::Complete,
     }
 }
 
-/// Has whatever waited for a greater part go on.
-fn tell(cx: &Cx, party: &Party) {
+/// Wakes the queue or the placement that may have waited for a larger share.
+fn wake_waiting(cx: &Cx, party: &Party) {
     match party {
         Party::Daemon(_) => cx.line.wake(),
         Party::Shard(id) => {
@@ -260,17 +261,17 @@
     }
 }
 
-/// Takes what was read into account, and returns the demand of the last while.
-fn note_look(cx: &Cx, entry: &Entry, party: &Party, in_row: u32, figures: &Figures) -> u32 {
-    let asked = f64::from(figures.running + figures.waiting);
+/// Applies the share that was read from the row, and returns the recent demand.
+fn note_read(cx: &Cx, entry: &Entry, party: &Party, in_row: u32, party_usage: &PartyUsage) -> u32 {
+    let asked = f64::from(party_usage.running + party_usage.waiting);
     with_own(cx, entry, party, |own| {
         own.allowed.after_read(in_row);
-        own.demand = asked.max(own.demand * DEMAND_KEPT);
+        own.demand = asked.max(own.demand * DEMAND_DECAY);
         own.demand as u32
     })
 }
 
-fn with_own<T>(cx: &Cx, entry: &Entry, party: &Party, then: impl FnOnce(&mut Own) -> T) -> T {
+fn with_own<T>(cx: &Cx, entry: &Entry, party: &Party, then: impl FnOnce(&mut OwnShare) -> T) -> T {
     let name = entry.name.clone();
     match party {
         Party::Daemon(_) => then(cx.shares.requests.borrow_mut().entry(name).or_default()),
@@ -286,14 +287,15 @@
     cx.shards.borrow().get(shard).map(|own| own.epoch)
 }
 
-/// The row without the parts of daemons that are certainly gone and whose requests are over.
-fn without_gone(cx: &Cx, row: &Shares) -> Shares {
-    let runs_on = grants::requests_run_on(cx);
-    let is_over = |holder: &Holder| peers::gone_for(cx, holder).is_some_and(|gone| gone > runs_on);
+/// The row without the shares of daemons that have certainly ended and whose requests have ended.
+fn without_ended(cx: &Cx, row: &Shares) -> Shares {
+    let max_run_time = grants::max_orphan_run_time(cx);
+    let has_ended =
+        |holder: &Holder| peers::gone_for(cx, holder).is_some_and(|gone| gone > max_run_time);
     let mut next = row.clone();
     for part in &row.parts {
         if let Party::Daemon(holder) = &part.party
-            && is_over(holder)
+            && has_ended(holder)
         {
             next = next.without(&part.party);
         }
@@ -301,7 +303,8 @@
     next
 }
 
-/// Gives this daemon's parts up at a graceful end, where nothing runs under them any more.
+/// Releases this daemon's shares at a graceful shutdown, except those under which requests still
+/// run.
 pub async fn give_back(cx: &Cx) {
     let party = Party::Daemon(cx.me.clone());
     let Ok(rows) = cx.platform.list(PREFIX).await else {
@@ -323,7 +326,7 @@
         let txn = Txn::default()
             .compare(row.key.clone(), row.version)
             .put(row.key.clone(), &shares.without(&party));
-        // Without an answer the part is voided once this run is seen to be gone.
+        // Without an answer, the share is voided once other daemons find that this run has ended.
         let _: TxnOutcome = cx.platform.txn(&txn).await;
     }
 }
