--- a/src/lapisdrum/policy/drain.rs
+++ b/src/lapisdrum/policy/drain.rs
@@ -20,7 +20,7 @@
 /// Shortest Retry-After time: callers that return sooner only add load to a queue that is still
 /// full.
 pub const MIN_RETRY_AFTER: Duration = Duration::from_millis(200);
-/// Longest Retry-After time.
+/// Longest Retry-After time before the random part, which adds at most a quarter of it.
 pub const MAX_RETRY_AFTER: Duration = Duration::from_secs(30);
 /// Drain rate assumed while none is measured, in items per second.
 const DEFAULT_RATE_PER_S: f64 = 10.0;
@@ -98,9 +98,10 @@
 }
 
 impl Returns {
-    /// Retry-After time of a caller that is refused at `now`: not before `wait`, in which the
-    /// present queue drains, and one drain interval after the caller refused before it. `rate` is
-    /// in items per second.
+    /// Retry-After time of a caller that is refused at `now`: not before the present queue has
+    /// drained, and one drain interval after the caller refused before it. `wait` is the time to
+    /// drain the queue, of which at most half of [`MAX_RETRY_AFTER`] counts; `rate` is in items per
+    /// second.
     pub fn book(
         &mut self,
         wait: Duration,
--- a/src/lapisdrum/policy/eviction.rs
+++ b/src/lapisdrum/policy/eviction.rs
@@ -85,7 +85,7 @@
     Throttle(JobId),
     /// Remove the throttle of this job's task.
     Release(JobId),
-    /// Checkpoint this job's task and move it to another host.
+    /// Checkpoint this job's task and move it to another worker.
     Evict(JobId),
 }
 
--- a/src/lapisdrum/policy/hysteresis.rs
+++ b/src/lapisdrum/policy/hysteresis.rs
@@ -6,8 +6,8 @@
 //!
 //! A [`Switch`] turns on above one threshold and off below a lower one, only after several
 //! consecutive reports, and ignores reports that were measured before the last change could take
-//! effect ([`HysteresisConfig::settle_time`]). Waiting for one report too many costs one reporting
-//! interval; one change too many costs an eviction.
+//! effect ([`HysteresisConfig::settle_time`]). Waiting for a needless report costs one
+//! reporting interval; a needless change costs an eviction.
 
 use crate::core::time::Millis;
 use std::time::Duration;
