--- a/src/lapisdrum/policy/interference.rs
+++ b/src/lapisdrum/policy/interference.rs
@@ -8,9 +8,9 @@
 //! A report gives the slowdown of one kind and the neighbours that ran beside it. The slowdown is
 //! modelled as the sum of what each neighbour adds; the residual between measurement and estimate
 //! is divided among the neighbours, with a larger part for the less certain estimates. Certainty
-//! grows with each report and halves in [`CERTAINTY_HALF_LIFE`] without one, since interference
-//! changes with load. An uncertain estimate is drawn towards [`PRIOR_SLOWDOWN`], so that no pair is
-//! avoided or trusted because of one report.
+//! grows with each report; the weight of a pair's reports halves in [`REPORT_HALF_LIFE`] without a
+//! new one, since interference changes with load. An uncertain estimate is drawn towards
+//! [`PRIOR_SLOWDOWN`], so that no pair is avoided or trusted because of one report.
 
 use crate::core::{id::EntryName, time::Millis};
 use indexmap::{IndexMap, IndexSet};
@@ -19,8 +19,8 @@
 /// Slowdown that one unknown neighbour is assumed to add. Small, so that new work can be placed
 /// anywhere; above zero, so that a neighbour known to be quiet is preferred.
 pub const PRIOR_SLOWDOWN: f64 = 0.05;
-/// Half-life of the number of reports behind an estimate, and so of its certainty.
-pub const CERTAINTY_HALF_LIFE: Duration = Duration::from_secs(30 * 60);
+/// Time without a new report in which the weight of a pair's reports halves.
+pub const REPORT_HALF_LIFE: Duration = Duration::from_secs(30 * 60);
 /// Weight of [`PRIOR_SLOWDOWN`], in reports.
 const PRIOR_WEIGHT: f64 = 2.0;
 /// Largest weight of a pair's earlier reports, in reports, so that estimates follow a change of
@@ -157,7 +157,7 @@
 impl Pair {
     fn reports_at(&self, now: Millis) -> f64 {
         let age = now.since(self.updated_at).as_secs_f64();
-        self.reports * (-age / CERTAINTY_HALF_LIFE.as_secs_f64()).exp2()
+        self.reports * (-age / REPORT_HALF_LIFE.as_secs_f64()).exp2()
     }
 }
 
--- a/tests/testsuite/policy/interference.rs
+++ b/tests/testsuite/policy/interference.rs
@@ -4,7 +4,7 @@
 use lapisdrum::{
     core::time::Millis,
     policy::interference::{
-        CERTAINTY_HALF_LIFE, History, Interference, Kind, Neighbour, PRIOR_SLOWDOWN, Report,
+        History, Interference, Kind, Neighbour, PRIOR_SLOWDOWN, REPORT_HALF_LIFE, Report,
     },
 };
 use rand::Rng;
@@ -68,7 +68,7 @@
     }
     let often = known.added(service, batch, Millis(20_000));
     assert!((1.5..2.1).contains(&often), "{often}");
-    let later = Millis(20_000) + CERTAINTY_HALF_LIFE * 10;
+    let later = Millis(20_000) + REPORT_HALF_LIFE * 10;
     assert!(known.added(service, batch, later) < 0.2);
     assert!(known.doubt(service, batch, later) > 0.9);
 }
