--- a/src/lapisdrum/policy/placement.rs
+++ b/src/lapisdrum/policy/placement.rs
@@ -70,7 +70,7 @@
 pub struct Wanted {
     /// Kind by which interference is estimated.
     pub kind: Kind,
-    /// Batch tasks are kept from services that they would slow too far; others are not.
+    /// Weights its slowdown; only batch tasks are kept from services that they would slow too far.
     pub class: Class,
     /// Declared size, which must fit into the free capacity.
     pub size: Size,
--- a/src/lapisdrum/policy/queueing/mod.rs
+++ b/src/lapisdrum/policy/queueing/mod.rs
@@ -16,9 +16,9 @@
 //!   dropping the last item of the longest flow.
 //! - An entry whose queue has not been empty for [`STANDING_QUEUE_AFTER`] is overloaded, and a longer
 //!   queue would not raise its throughput: a latency-critical item is then refused unless it would
-//!   start within its entry's usual run time. A shorter burst may fill the queue up to the deadline. Here too an
-//!   item of a shorter flow displaces the last one of the longest flow; otherwise one hot caller
-//!   would have all others refused.
+//!   start within its entry's usual run time. A shorter burst may fill the queue up to the deadline.
+//!   Here too an item of a shorter flow displaces the last one of the longest flow; otherwise one hot
+//!   caller would have all others refused.
 //! - An item that can no longer finish by its deadline is dropped at once.
 //!
 //! The cost of a decision grows with the number of flows, not of items.
--- a/src/lapisdrum/policy/routing.rs
+++ b/src/lapisdrum/policy/routing.rs
@@ -4,13 +4,14 @@
 //! Load pattern: many daemons route at the same time on slightly stale metrics, to workers of which
 //! one may be slow, hang or fail. Without the random choice all daemons would pick the same least
 //! loaded worker and overload it; two choices spread load almost as well as perfect knowledge. Without
-//! latency in the score a slow worker gets as many requests as a fast one until its slots are full.
+//! latency in the score a slow worker gets as many requests as a fast one until its slots are full,
+//! and its callers wait.
 //!
-//! The score is the work queued ahead of the request, times the worker's slowness: the durations of
-//! its requests relative to the usual durations of their entries. An outstanding request counts as an
-//! answer of its current age, so a worker that hangs is avoided before its first timeout. Slowness
-//! decays towards 1 with a half-life of [`SLOWNESS_HALF_LIFE`] without answers, so that a worker that
-//! has recovered is tried again.
+//! The score is the work queued ahead of the request, times the worker's slowness, times the attempts
+//! to expect at its failure rate. Slowness is the duration of the worker's requests relative to the
+//! usual durations of their entries. An outstanding request counts as an answer of its current age, so
+//! a worker that hangs is avoided before its first timeout. Slowness decays towards 1 with a half-life
+//! of [`SLOWNESS_HALF_LIFE`] without answers, so that a worker that has recovered is tried again.
 
 use super::outliers::{Outliers, Sample};
 use crate::core::{
@@ -35,7 +36,7 @@
 const EQUAL_SCORE_RATIO: f64 = 1.1;
 /// Lower limit of measured durations, in milliseconds: the clock counts whole milliseconds.
 const MIN_DURATION_MS: f64 = 0.5;
-/// Draws after which an ejected worker is accepted too.
+/// Maximum number of draws to find a worker that is not ejected.
 const MAX_DRAWS: usize = 8;
 
 /// A worker that has free capacity for the request.
