--- a/src/lapisdrum/daemon/grants.rs
+++ b/src/lapisdrum/daemon/grants.rs
@@ -137,8 +137,8 @@
         let shard = ShardId::new(&cx.cfg.daemon.data_centre, index);
         let own = cx.shards.borrow().get(&shard).cloned();
         if let Some(own) = own {
-            let gone = Event::GrantsVoided { of: cx.me.clone() };
-            if let Ok(ticket) = own.propose(cx, vec![gone], Urgency::Urgent) {
+            let voided = Event::GrantsVoided { of: cx.me.clone() };
+            if let Ok(ticket) = own.propose(cx, vec![voided], Urgency::Urgent) {
                 ticket.end().await;
             }
             continue;
@@ -250,8 +250,8 @@
     let percent = cx.cfg.shards.request_share_percent;
     staying
         .map(|(i, host)| {
-            let part = grants::even_part(&full_capacity(host), percent, rank + i, live.len());
-            (host.worker.clone(), part)
+            let share = grants::even_part(&full_capacity(host), percent, rank + i, live.len());
+            (host.worker.clone(), share)
         })
         .collect()
 }
--- a/src/lapisdrum/daemon/pressure.rs
+++ b/src/lapisdrum/daemon/pressure.rs
@@ -160,7 +160,7 @@
     }
     let now = cx.clock.now();
     let measured_at = now.before(Duration::from_millis(usage.age_ms));
-    learn(shard, worker, &usage, measured_at);
+    update_estimates(shard, worker, &usage, measured_at);
     for step in steps(cx, shard, worker, &usage, measured_at) {
         apply_step(cx, shard, worker, address, step).await;
     }
@@ -168,17 +168,17 @@
 
 /// Updates the interference estimates from slowdowns measured at `measured_at`. Skipped when the
 /// tasks on the host changed shortly before.
-fn learn(shard: &Shard, worker: &WorkerId, usage: &Usage, measured_at: Millis) {
+fn update_estimates(shard: &Shard, worker: &WorkerId, usage: &Usage, measured_at: Millis) {
     let slowed = slowdowns(shard, usage);
     let mut pressure = shard.pressure.borrow_mut();
     let host = pressure.hosts.get(worker);
-    let ran = host.and_then(|host| host.history.during(measured_at, MIN_UNCHANGED));
-    let Some(ran) = ran.map(<[Neighbour]>::to_vec) else {
+    let present = host.and_then(|host| host.history.during(measured_at, MIN_UNCHANGED));
+    let Some(present) = present.map(<[Neighbour]>::to_vec) else {
         return;
     };
     for (entry, slowdown_permille) in slowed {
         let kind = pressure.interference.kind(&entry);
-        let beside = without_one(&ran, kind);
+        let beside = without_one(&present, kind);
         pressure.interference.note(&Report {
             kind,
             beside: &beside,
@@ -202,9 +202,9 @@
     tasks.chain(requests).collect()
 }
 
-/// The neighbours of one task of `kind`: all of `ran` except that task.
-fn without_one(ran: &[Neighbour], kind: Kind) -> Vec<Neighbour> {
-    let others = ran.iter().map(|neighbour| Neighbour {
+/// The neighbours of one task of `kind`: all of `present` except that task.
+fn without_one(present: &[Neighbour], kind: Kind) -> Vec<Neighbour> {
+    let others = present.iter().map(|neighbour| Neighbour {
         count: neighbour.count - u32::from(neighbour.kind == kind),
         ..*neighbour
     });
@@ -219,20 +219,20 @@
     usage: &Usage,
     measured_at: Millis,
 ) -> Vec<Step> {
-    let worst = usage
+    let max_slowdown = usage
         .requests
         .iter()
         .map(|request| request.slowdown_permille)
         .max();
-    let worst = f64::from(worst.unwrap_or(UNTHROTTLED_PERMILLE)) / WHOLE_PERMILLE;
+    let max_slowdown = f64::from(max_slowdown.unwrap_or(UNTHROTTLED_PERMILLE)) / WHOLE_PERMILLE;
     let jobs = jobs_on(cx, shard, worker);
     let mut pressure = shard.pressure.borrow_mut();
     let added_slowdowns = added_slowdowns(&mut pressure, &jobs, usage, measured_at);
     let Pressure { memory, hosts, .. } = &mut *pressure;
     let host = hosts.entry(worker.clone()).or_default();
     let catalogue = cx.catalogue.borrow();
-    let rank = |known: &KnownJob| {
-        let entry = catalogue.entry(&known.entry);
+    let rank = |placed_job: &PlacedJob| {
+        let entry = catalogue.entry(&placed_job.entry);
         entry.map_or((Class::Batch, 0), |entry| (entry.class, entry.priority))
     };
     let ranks: Vec<(Class, u32)> = jobs.iter().map(rank).collect();
@@ -240,32 +240,32 @@
         .iter()
         .zip(&ranks)
         .zip(&added_slowdowns)
-        .map(|((known, (class, priority)), harm)| Tenant {
-            job: &known.job,
+        .map(|((placed_job, (class, priority)), harm)| Tenant {
+            job: &placed_job.job,
             class: *class,
             priority: *priority,
-            unsaved: known.unsaved,
+            unsaved: placed_job.unsaved,
             harm: *harm,
-            throttled: host.throttled.contains(&known.job),
+            throttled: host.throttled.contains(&placed_job.job),
         })
         .collect();
     host.distress
-        .report(worst, measured_at, &tenants, memory, cx.clock.now())
+        .report(max_slowdown, measured_at, &tenants, memory, cx.clock.now())
 }
 
 /// A job that is placed on a worker.
-struct KnownJob {
+struct PlacedJob {
     job: JobId,
     entry: EntryName,
     unsaved: Duration,
 }
 
-fn jobs_on(cx: &Cx, shard: &Shard, worker: &WorkerId) -> Vec<KnownJob> {
+fn jobs_on(cx: &Cx, shard: &Shard, worker: &WorkerId) -> Vec<PlacedJob> {
     let now = cx.clock.now();
-    let known = |(job, placement): (JobId, Placement)| {
+    let placed_job = |(job, placement): (JobId, Placement)| {
         let sent = shard.session(worker, |session| session.sent(&job, placement.attempt));
         let saved_at = sent.flatten().and_then(|sent| sent.checkpointed_at);
-        Some(KnownJob {
+        Some(PlacedJob {
             entry: shard.job(&job)?.entry,
             unsaved: now.since(saved_at.unwrap_or(shard.since)),
             job,
@@ -273,14 +273,14 @@
     };
     sessions::placements_on(shard, worker)
         .into_iter()
-        .filter_map(known)
+        .filter_map(placed_job)
         .collect()
 }
 
 /// Largest slowdown that each job adds to any of the measured latency-critical entries.
 fn added_slowdowns(
     pressure: &mut Pressure,
-    jobs: &[KnownJob],
+    jobs: &[PlacedJob],
     usage: &Usage,
     at: Millis,
 ) -> Vec<f64> {
@@ -288,12 +288,12 @@
         .requests
         .iter()
         .filter_map(|r| EntryName::try_from(r.entry.as_str()).ok());
-    let services: Vec<Kind> = names
+    let serving_kinds: Vec<Kind> = names
         .map(|name| pressure.interference.kind(&name))
         .collect();
-    let harm = |known: &KnownJob| {
-        let kind = pressure.interference.kind(&known.entry);
-        let added = services
+    let harm = |placed_job: &PlacedJob| {
+        let kind = pressure.interference.kind(&placed_job.entry);
+        let added = serving_kinds
             .iter()
             .map(|service| pressure.interference.added(*service, kind, at));
         added.fold(0.0, f64::max)
--- a/src/lapisdrum/daemon/queue.rs
+++ b/src/lapisdrum/daemon/queue.rs
@@ -279,10 +279,10 @@
     let slots = slots(cx);
     loop {
         let next = {
-            let rooms = RefCell::new(IndexMap::new());
+            let may_start_cache = RefCell::new(IndexMap::new());
             let may_start = |entry: &EntryName, _: &OwnerName| {
-                let mut rooms = rooms.borrow_mut();
-                *rooms
+                let mut may_start_cache = may_start_cache.borrow_mut();
+                *may_start_cache
                     .entry(entry.clone())
                     .or_insert_with(|| has_headroom(cx, entry, slots) && has_room(cx, entry))
             };
--- a/src/lapisdrum/daemon/router.rs
+++ b/src/lapisdrum/daemon/router.rs
@@ -195,11 +195,11 @@
             Err(reason) => unknown_reason = reason,
         }
     }
-    let gone = async {
+    let disconnected = async {
         // No value is ever sent; the receive ends when the sender is dropped.
         let _ = caller_gone.await;
     };
-    match queue::wait(cx, entry, req.caller, deadline, gone).await {
+    match queue::wait(cx, entry, req.caller, deadline, disconnected).await {
         Ok(reservation) => send(cx, entry, req, id, deadline, reservation, unknown_reason).await,
         Err(refusal) => refused_or_unknown(cx, id, refusal, unknown_reason),
     }
