--- a/src/lapisdrum/policy/dispatch/forecast.rs
+++ b/src/lapisdrum/policy/dispatch/forecast.rs
@@ -15,7 +15,7 @@
 /// Bounds of a single job's factor, so that a job that was stalled for a minute does not distort the estimate.
 const FACTOR_BOUNDS: (f64, f64) = (1.0, 3.0);
 
-/// Measured ratio of duration to critical path, by queue.
+/// Ratio of the measured duration of jobs to the estimate of their critical path, by queue.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Forecast {
     factors: IndexMap<String, f64>,
--- a/src/lapisdrum/policy/dispatch/pressure/evidence.rs
+++ b/src/lapisdrum/policy/dispatch/pressure/evidence.rs
@@ -8,14 +8,14 @@
 /// Precision-weighted sums over the interference measurements of one pair.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Evidence {
-    /// The sum of the precisions (inverse variances) of all measurements.
+    /// The sum of the precisions (inverse variances) of the scaled measurements.
     pub precision: f64,
-    /// The sum of the measured values, each times its precision.
+    /// The sum of the measured values, scaled to an aggressor that uses the whole host, each times its precision.
     pub weighted_sum: f64,
 }
 
 impl Evidence {
-    /// Adds a measurement of the interference caused by a task that uses `share` of the host's processors.
+    /// Adds a measurement, with this variance, of the interference of a task using `share` of the host's processors.
     pub fn note(&mut self, share: f64, interference: f64, variance: f64) {
         self.precision += share * share / variance;
         self.weighted_sum += share * interference / variance;
--- a/src/lapisdrum/policy/dispatch/pressure/learned.rs
+++ b/src/lapisdrum/policy/dispatch/pressure/learned.rs
@@ -1,4 +1,5 @@
-//! The serialised interference model, which a shard's owner stores for the next owner and sends to other owners.
+//! The serialised interference model, which a shard's owner stores for the next owner and sends to the owners of
+//! other shards.
 //!
 //! Without it, pairs are measured again on serving tasks in the first ten seconds after each takeover, and each of
 //! several shards has to measure every pair itself.
--- a/src/lapisdrum/policy/dispatch/pressure/load.rs
+++ b/src/lapisdrum/policy/dispatch/pressure/load.rs
@@ -14,7 +14,7 @@
 /// Variance of a load's slope before it is measured, per second squared: a change by half in seven seconds is a
 /// slope of up to 0.1 per second.
 const INITIAL_SLOPE_VARIANCE: f64 = 0.005;
-/// Growth of the slope's variance per second: in the same change the slope changes by up to 0.045 per second squared.
+/// Growth of the slope's variance per second: during such a change it changes by up to 0.045 per second squared.
 const SLOPE_DRIFT: f64 = 0.0015;
 /// Maximum slope of a load, per second; steeper estimates are clamped.
 const MAX_SLOPE: f64 = 0.12;
--- a/src/lapisdrum/policy/dispatch/pressure/mod.rs
+++ b/src/lapisdrum/policy/dispatch/pressure/mod.rs
@@ -48,7 +48,7 @@
 const INTERFERENCE_DEVIATION: f64 = 0.7;
 /// Initial estimate of the tail without utilisation, as a fraction of its target.
 const INITIAL_BASE_FRACTION: f64 = 0.2;
-/// Utilisation at which the idle tail is measured: no task is ever completely idle.
+/// Utilisation assumed for the idle tail: no task is ever completely idle.
 const IDLE_UTILISATION: f64 = 0.22;
 /// The idle tail is estimated as this quantile of an image's tails. Their minimum is an outlier, and would make all
 /// load estimates too high.
--- a/src/lapisdrum/policy/dispatch/short_work.rs
+++ b/src/lapisdrum/policy/dispatch/short_work.rs
@@ -17,7 +17,7 @@
 /// Maximum headroom, in thousandths of a pool's processors.
 const MAX_HEADROOM_PERMILLE: u64 = 125;
 
-/// The pool and priority by which short tasks are counted.
+/// Queues with the same pool and priority.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Class {
     /// Name of the pool.
