--- a/src/lapisdrum/daemon/catalogue.rs
+++ b/src/lapisdrum/daemon/catalogue.rs
@@ -1,10 +1,12 @@
-//! The catalogue at this daemon: follows the revision, passes changes on, takes operators' changes.
+//! The catalogue of this daemon: follows its revision, forwards changes and makes operators'
+//! changes.
 //!
-//! A change is one transaction over its entry's row, the revision's row and a row of its own, so of
-//! two operators who race one gets a conflict that names the revision in force. Followers read only
-//! the changes that they lack. The daemon that made a change sends the change itself to all others,
-//! and each that applies it passes it on to a few, so a daemon with a slow or absent platform gets it
-//! too. A daemon serves nobody before it has the greatest revision that table or peers can name.
+//! A change is one transaction over its entry's row, the revision row and a change row. If two
+//! operators race, one gets a conflict that names the revision in force. Followers read only the
+//! changes that they lack. The daemon that made a change sends it to all others, and each daemon
+//! that applies it forwards it to a few, so that it also reaches daemons whose platform is slow or
+//! unavailable. A daemon serves no callers before it has loaded the catalogue from the table or, if
+//! the table does not answer, the newest one that any peer has.
 
 use super::{Cx, supervisor};
 use crate::{
@@ -24,22 +26,22 @@
 use rand::seq::SliceRandom;
 use std::{ops::Deref, rc::Rc};
 
-/// Key of the revision's row.
+/// Key of the row with the revision in force.
 const REVISION_KEY: &str = "catalogue/revision";
-/// Key prefix of entries' rows.
+/// Key prefix of the rows of entries.
 const ENTRY_PREFIX: &str = "catalogue/entry/";
-/// Key prefix of changes' rows.
+/// Key prefix of the rows of changes.
 const CHANGE_PREFIX: &str = "catalogue/change/";
-/// Changes that are kept for followers and for the history.
+/// Number of change rows retained for followers and for the history.
 const KEPT_CHANGES: u64 = 1_000;
-/// Missing changes up to which a follower reads them one by one; beyond, all entries in one read.
+/// Number of missing changes up to which a follower reads each; beyond it, it lists all entries.
 const MOST_ONE_BY_ONE: u64 = 16;
-/// Peers to which a daemon passes on a change that it heard of.
+/// Number of peers to which a daemon forwards a change that it applies.
 const PASS_ON: usize = 2;
-/// Tries of a change whose entry is untouched but whose revision was raised by another's change.
+/// Attempts at a change while concurrent changes of other entries keep raising the revision.
 const CHANGE_TRIES: usize = 8;
 
-/// The catalogue in force, with its entries checked once and not at every look.
+/// The catalogue in force, with its entries validated when they change rather than at each access.
 #[derive(Debug, Default)]
 pub struct InForce {
     catalogue: Catalogue,
@@ -47,17 +49,17 @@
 }
 
 impl InForce {
-    /// The catalogue as it is passed between daemons.
+    /// The catalogue in the form that daemons exchange.
     pub fn catalogue(&self) -> &Catalogue {
         &self.catalogue
     }
 
-    /// A checked entry, with its revision.
+    /// A valid entry, with its revision.
     pub fn entry(&self, name: &EntryName) -> Option<Entry> {
         self.entries.get(name).cloned()
     }
 
-    /// All checked entries.
+    /// All valid entries.
     pub fn entries(&self) -> impl Iterator<Item = &Entry> {
         self.entries.values()
     }
@@ -92,18 +94,18 @@
     }
 }
 
-/// How an operator's change ended.
+/// Outcome of an operator's change.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ChangeEnd {
-    /// It is in; the revision that it made.
+    /// Committed, with the revision that it created.
     Accepted(Revision),
-    /// It is not in: somebody else changed the entry, or no revision was named.
+    /// Not committed: the entry was changed since, or no revision was given.
     Refused(ChangeRefusal),
-    /// It is not in: the entry has faults.
+    /// Not committed: the entry is invalid.
     Invalid(EntryFaults),
-    /// It is not in: the table can't be reached.
+    /// Not committed by this call: the table did not answer, or every attempt met a conflict.
     StoreAway,
-    /// It may be in; repeat it with the same change id.
+    /// May be committed; the operator should retry with the same change id.
     Unknown,
 }
 
@@ -125,7 +127,8 @@
     }
 }
 
-/// Before serving: the table's catalogue, or the greatest that a peer has while the table is away.
+/// Loads the catalogue before this daemon serves callers: from the table or, if that is
+/// unavailable, the newest one that any peer has.
 async fn first(cx: &Cx) -> Result<(), PlatformError> {
     let from_table = fetch(cx).await;
     if from_table.is_ok() || ask_peers(cx).await {
@@ -142,7 +145,8 @@
     catch_up(cx, row.revision).await
 }
 
-/// Reads what is missing up to `revision`: change by change when it is little.
+/// Reads the changes missing up to `revision`, or all entries if [`MOST_ONE_BY_ONE`] is exceeded or
+/// a change row is missing.
 async fn catch_up(cx: &Cx, revision: Revision) -> Result<(), PlatformError> {
     let known = cx.catalogue.borrow().revision;
     if revision.0.saturating_sub(known.0) > MOST_ONE_BY_ONE {
@@ -168,8 +172,8 @@
     Ok(())
 }
 
-/// Every change writes one entry's row, so the greatest revision in one reading of all of them is
-/// the revision of the whole.
+/// Builds a catalogue from one read of all entries. Every change writes an entry's row, so the
+/// greatest revision among the rows is the revision of the catalogue.
 fn from_rows(rows: &[Row]) -> Catalogue {
     let mut catalogue = Catalogue::default();
     for row in rows {
@@ -183,14 +187,15 @@
     catalogue
 }
 
-/// Takes a whole catalogue over if it is newer.
+/// Replaces the catalogue in force if `newer` has a greater revision.
 fn adopt(cx: &Cx, newer: Catalogue) {
     if cx.catalogue.borrow_mut().adopt(newer) {
         note_revision(cx);
     }
 }
 
-/// Applies the next change and passes it on. A peer that misses it finds it at its next poll.
+/// Applies the next change and forwards it to [`PASS_ON`] peers. A peer that misses it reads it at
+/// its next poll.
 fn apply(cx: &Cx, change: &ChangeRow) {
     if !cx.catalogue.borrow_mut().apply(change) {
         return;
@@ -220,7 +225,8 @@
     }
 }
 
-/// Every other daemon that is known, and those of the settings: the members may be too old.
+/// Addresses of all known daemons but this one, and of those in the settings, since the list of
+/// members may be out of date.
 fn peer_addresses(cx: &Cx) -> Vec<String> {
     let members = cx.members.borrow();
     let seen = members
@@ -235,7 +241,8 @@
     list
 }
 
-/// Asks all peers at once and takes the greatest catalogue that any of them has.
+/// Asks all peers concurrently and adopts the newest catalogue that any of them has. Returns
+/// whether a peer answered and a catalogue is in force.
 async fn ask_peers(cx: &Cx) -> bool {
     let known = cx.catalogue.borrow().revision;
     let peers = peer_addresses(cx);
@@ -253,14 +260,14 @@
     heard && cx.catalogue.borrow().revision > Revision::default()
 }
 
-/// Hears of a change from a peer.
+/// Receives a change from a peer: applies it if it is the next one, or else reads what is missing.
 pub fn hear(cx: &Cx, change: ChangeRow) {
     let known = cx.catalogue.borrow().revision;
     if change.revision <= known {
         return;
     }
     let cx = Rc::clone(cx);
-    // Before this daemon is ready a single change says nothing of those before it.
+    // Before this daemon is ready, earlier changes may be missing, so one change is not enough.
     if cx.catalogue_ready.get() && change.revision.0 == known.0 + 1 {
         apply(&cx, &change);
         return;
@@ -272,14 +279,15 @@
     });
 }
 
-/// The last `limit` changes, the latest first.
+/// The last `limit` changes, newest first.
 pub async fn history(cx: &Cx, limit: usize) -> Result<Vec<ChangeRow>, PlatformError> {
     let rows = cx.platform.list(CHANGE_PREFIX).await?;
     let latest = rows.iter().rev().take(limit);
     Ok(latest.filter_map(Row::parse).collect())
 }
 
-/// Makes an operator's change.
+/// Makes an operator's change. `if_match` is the revision of the entry that the operator edited. A
+/// retry with the same `change` id does not make the change twice.
 pub async fn change(
     cx: &Cx,
     raw: RawEntry,
@@ -294,7 +302,8 @@
         let end = try_change(cx, &entry.name, &raw, if_match, &change).await;
         if let Some(end) = end {
             if let ChangeEnd::Accepted(revision) = end {
-                // A repeat of a change that was in already; the next poll finds it where this fails.
+                // Needed if an earlier attempt committed the change; on failure the next poll reads
+                // it.
                 let _ = catch_up(cx, revision).await;
             }
             return end;
@@ -303,9 +312,10 @@
     ChangeEnd::StoreAway
 }
 
-/// Puts an accepted change in force here and tells every other daemon of it. Nothing is read back
-/// first: with a slow platform each read would delay it everywhere. `stamp` is from before the write,
-/// so that the time line shows the acceptance before anybody who finds it in the table.
+/// Applies a committed change on this daemon and sends it to all others. Nothing is read back
+/// first, since with a slow platform each read would delay the change everywhere. `stamp` was taken
+/// before the write, so that on the timeline the acceptance precedes everything that follows from
+/// it.
 fn put_in_force(cx: &Cx, change: &ChangeRow, stamp: Stamp) {
     let accepted = Happening::ChangeAccepted {
         entry: change.name.clone(),
@@ -316,7 +326,7 @@
     send_news(cx, peer_addresses(cx), change);
 }
 
-/// One try; none when another entry's change came first and this one may be tried again.
+/// One attempt at a change. None after a conflict with a concurrent change, when it may be retried.
 async fn try_change(
     cx: &Cx,
     name: &EntryName,
@@ -332,12 +342,12 @@
         return Some(ChangeEnd::StoreAway);
     };
     let current = entry_row.as_ref().and_then(Row::parse::<EntryRow>);
-    // A repeat of a change that is in already: its answer was lost.
+    // The reply to an earlier attempt was lost, and the change is committed.
     if let Some(current) = current.as_ref().filter(|row| row.change == *change) {
         return Some(ChangeEnd::Accepted(current.revision));
     }
     if let Err(refusal) = catalogue::check_change(current.as_ref(), if_match) {
-        // It may be in and changed again since by somebody else.
+        // An earlier attempt may have committed it, and a later change replaced it since.
         return Some(match earlier(cx, change).await {
             Some(revision) => ChangeEnd::Accepted(revision),
             None => ChangeEnd::Refused(refusal),
@@ -385,8 +395,8 @@
     }
 }
 
-/// After a lost answer: the entry's row tells whether the change is in. It may still be under way,
-/// so a row without it proves nothing.
+/// After a lost reply, reads the entry's row to find out whether the change is committed. A row
+/// without it proves nothing, since the transaction may still be in flight.
 async fn read_back(cx: &Cx, entry_key: &str, change: &ChangeId) -> ChangeEnd {
     let row = cx.platform.get(entry_key).await.ok().flatten();
     match row.and_then(|row| row.parse::<EntryRow>()) {
@@ -395,7 +405,7 @@
     }
 }
 
-/// The revision that an earlier try of a change made, if the history still has it.
+/// The revision that an earlier attempt at a change created, if the history still has it.
 async fn earlier(cx: &Cx, change: &ChangeId) -> Option<Revision> {
     let rows = cx.platform.list(CHANGE_PREFIX).await.ok()?;
     let mut changes = rows.iter().filter_map(Row::parse::<ChangeRow>);
--- a/src/lapisdrum/daemon/claims.rs
+++ b/src/lapisdrum/daemon/claims.rs
@@ -1,13 +1,15 @@
-//! Claims on request ids that callers bring: made before a request is sent, ended when it is over.
+//! Claims on request ids that callers supply: made before a request is sent to a worker, ended when
+//! the request has ended.
 //!
-//! Failure: a caller's answer is lost and it asks again through another daemon, while the first run
-//! is still going or long over. Without a claim that both daemons find, a certificate check that is
-//! not idempotent runs twice. The claim is in the ledger of the id's home before anything is sent;
-//! with the home or the table out of reach the request is refused, not run.
+//! Failure: a reply to a caller is lost and the caller retries through another daemon, while the
+//! first run is in progress or long after it. Without a claim that both daemons find, a certificate
+//! check that is not idempotent runs twice. The claim is in the ledger of the id's home shard
+//! before anything is sent; if the home or the table is unreachable the request is refused, not
+//! run.
 //!
-//! A daemon repeats the end of a claim until the home has it. A claim whose daemon is certainly gone
-//! ends as unknown. One that its daemon does not know of (its call was given up and arrived late) was
-//! never sent and is released.
+//! A daemon reports the end of a claim until the home has recorded it. A claim whose daemon has
+//! certainly ended gets the outcome unknown. If its daemon does not know of a claim (the call timed
+//! out and arrived late), the request was never sent and the claim is released.
 
 use super::{
     Cx,
@@ -38,35 +40,36 @@
     time::Duration,
 };
 
-/// The row that names the homes of claims.
+/// Key of the row that names the home shards of claims.
 const HOMES_KEY: &str = "claim-homes";
-/// Time between two looks at homes and claims.
+/// Interval at which the row of homes is read and the claims of own shards are checked.
 const POLL: Duration = Duration::from_millis(500);
-/// When to come back for a request that is being served, or whose home can't be reached.
+/// Retry delay given to callers while a request is being served or its home is unreachable.
 const RETRY: Duration = Duration::from_secs(1);
-/// Polls of the platform for which no new shard must have come in sight before the first row of homes
-/// is written: more than pass between two readings of all data centres. A row with only the writer's
-/// own shards would stand for hours, and every id would hang on that one data centre.
+/// Platform polls for which the set of known shards must be unchanged before the first row of homes
+/// is written: more than pass between two reads of all data centres. A row with only the writer's
+/// own shards would be in force for hours, and every id would depend on that one data centre.
 const SETTLED_POLLS: u32 = 15;
-/// Longest deadline of a request, for how long its claim may stay open.
+/// Longest deadline of a request, and so the longest time that its claim may stay open.
 const LONGEST_REQUEST: Duration = Duration::from_secs(3_600);
-/// Age from which the owner asks a claim's daemon whether it still serves it.
+/// Age of an open claim from which the home's owner asks the claim's daemon whether it still serves
+/// the request.
 const DOUBTED_AFTER: Duration = Duration::from_secs(5);
-/// First wait before the end of a claim is told again.
+/// First wait before the end of a claim is reported again.
 const FIRST_END_WAIT: Duration = Duration::from_millis(100);
-/// Longest wait before the end of a claim is told again.
+/// Longest wait before the end of a claim is reported again.
 const LONGEST_END_WAIT: Duration = Duration::from_secs(2);
 
-/// What a daemon keeps of claims: its own as a server of callers, and its notes as a home's owner.
+/// Claims that this daemon made for callers, and notes on the claims of homes that it owns.
 #[derive(Debug, Default)]
 pub struct Claims {
-    /// Ids that this daemon serves or has yet to report the end of.
+    /// Ids that this daemon serves, or whose end it has not reported yet, with the claim's nonce.
     served: RefCell<IndexMap<RequestId, u64>>,
-    /// The homes as last read, and when.
+    /// The row of homes as last read, with the time of the read.
     homes: RefCell<Option<SeenHomes>>,
-    /// Shards in sight, and since when they are the same.
+    /// Known shards, and since when the set is unchanged.
     in_sight: RefCell<(Vec<ShardId>, Millis)>,
-    /// As owner: notes on the claims of own shards.
+    /// Notes on the claims of own shards.
     notes: RefCell<IndexMap<RequestId, Note>>,
     asking: Cell<bool>,
 }
@@ -78,8 +81,8 @@
     read_at: Millis,
 }
 
-/// What the owner of a home remembers of a claim besides the ledger; begun anew by each owner, which
-/// errs towards keeping a claim longer.
+/// What the owner of a home knows of a claim beyond the ledger. Each new owner starts without
+/// notes, which can only keep a claim longer.
 #[derive(Clone, Copy, Debug)]
 struct Note {
     nonce: Option<u64>,
@@ -87,21 +90,21 @@
     ended_since: Option<Millis>,
 }
 
-/// A claim that this daemon holds. Its end must be told through [`end`].
+/// A claim that this daemon holds. Its end must be reported through [`end`].
 #[derive(Debug)]
 #[must_use = "a claim without an end keeps its id from ever being served"]
 pub struct OwnClaim {
     calls: Vec<ClaimCall>,
 }
 
-/// How a claim began.
+/// Outcome of an attempt to claim an id.
 #[derive(Debug)]
 pub enum Begun {
     /// This daemon may serve the request.
     Claimed(OwnClaim),
     /// The request was served before.
     Ended(ClaimEnd),
-    /// Refused; this repeat is not served.
+    /// The request must not be served, for this reason.
     Refused(Refusal),
 }
 
@@ -109,7 +112,7 @@
     Refusal::StoreAway { retry_after: RETRY }
 }
 
-/// Claims an id at its homes.
+/// Claims an id at each of its homes, waiting up to `within` for each reply.
 pub async fn begin(cx: &Cx, request: &RequestId, entry: &EntryName, within: Duration) -> Begun {
     let Some(homes) = homes_of(cx, request) else {
         return Begun::Refused(no_home());
@@ -141,7 +144,7 @@
             }
             PeerReply::ClaimEnded(end) => Begun::Ended(end),
             PeerReply::Refused(refusal) => Begun::Refused(refusal),
-            // The claim may be in the ledger. Nothing was sent, so it is released.
+            // The claim may be in the ledger. Nothing was sent to a worker, so it is released.
             _ => {
                 made.calls.push(call);
                 Begun::Refused(no_home())
@@ -153,7 +156,7 @@
     Begun::Claimed(made)
 }
 
-/// Tells the homes how a claimed request ended, until each of them has it.
+/// Reports in the background how a claimed request ended, until each home has recorded it.
 pub fn end(cx: &Cx, request: &RequestId, claim: OwnClaim, end: ClaimEnd) {
     if claim.calls.is_empty() {
         cx.claims.served.borrow_mut().swap_remove(request);
@@ -180,19 +183,19 @@
     }
 }
 
-/// Whether the end of every claim of this daemon is told.
+/// Whether every claim of this daemon has ended and its homes have recorded the end.
 pub fn all_told(cx: &Cx) -> bool {
     cx.claims.served.borrow().is_empty()
 }
 
-/// Those of `ids` that this daemon serves or has yet to report the end of.
+/// Those of `ids` that this daemon serves or whose end it has not reported yet.
 pub fn still_served(cx: &Cx, mut ids: Vec<RequestId>) -> Vec<RequestId> {
     let served = cx.claims.served.borrow();
     ids.retain(|id| served.contains_key(id));
     ids
 }
 
-/// Asks a shard's owner, which may be this daemon. No answer is [`PeerReply::Unknown`].
+/// Calls a shard's owner, which may be this daemon. Returns [`PeerReply::Unknown`] without a reply.
 async fn ask(cx: &Cx, req: PeerRequest, shard: &ShardId) -> PeerReply {
     if cx.shards.borrow().contains_key(shard) {
         let answered = Box::pin(peers::answer(cx, req));
@@ -209,12 +212,12 @@
     }
 }
 
-/// The first home of an id, where a job under it is kept.
+/// The first home of an id, which also stores the job submitted under that id.
 pub fn home_of(cx: &Cx, request: &RequestId) -> Option<ShardId> {
     homes_of(cx, request)?.into_iter().next()
 }
 
-/// The homes of an id; none while the row is not known or was read too long ago.
+/// The homes of an id. None if the row of homes has not been read within the claim retention.
 fn homes_of(cx: &Cx, request: &RequestId) -> Option<Vec<ShardId>> {
     let homes = cx.claims.homes.borrow();
     let homes = homes.as_ref()?;
@@ -222,7 +225,7 @@
     (age < cx.cfg.requests.claim_retention).then(|| homes.row.of(request))
 }
 
-/// As owner of a home: claims an id, or tells what became of it.
+/// As owner of a home, claims an id or returns the state of the existing claim.
 pub async fn answer_claim(cx: &Cx, shard: &Rc<Shard>, call: ClaimCall) -> PeerReply {
     let found = claims::look(&shard.state(), &call.request, &call.entry);
     match found {
@@ -258,8 +261,8 @@
     }
 }
 
-/// As owner of a home: ends a claim. A repeat, and a late word about an earlier claim on the same
-/// id, change nothing.
+/// As owner of a home, ends a claim. A repeated report, or a late one about an earlier claim on the
+/// same id, changes nothing.
 pub async fn answer_end(cx: &Cx, shard: &Rc<Shard>, call: ClaimCall, end: ClaimEnd) -> PeerReply {
     let noted = cx.claims.notes.borrow().get(&call.request).copied();
     let is_late = noted.is_some_and(|note| note.nonce.is_some_and(|nonce| nonce != call.nonce));
@@ -282,7 +285,8 @@
     }
 }
 
-/// A request that was not run leaves no claim: its id may be asked again.
+/// Events that end a claim. If the request was not run the claim is removed, so that its id can be
+/// claimed again.
 fn end_events(request: RequestId, end: ClaimEnd) -> Vec<Event> {
     let is_released = end == ClaimEnd::NotRun;
     let mut events = vec![Event::ClaimEnded {
@@ -295,7 +299,7 @@
     events
 }
 
-/// Follows the row of homes and looks after the claims of own shards until the process ends.
+/// Follows the row of homes and maintains the claims of own shards until the process ends.
 pub async fn run(cx: Cx) -> eyre::Result<()> {
     loop {
         follow_homes(&cx).await;
@@ -338,7 +342,7 @@
         let txn = Txn::default()
             .compare(HOMES_KEY.to_owned(), version)
             .put(HOMES_KEY.to_owned(), &next);
-        // Whoever was first, and whether or not the answer arrives: the next look reads the row.
+        // The outcome does not matter: the next poll reads the row.
         let _: TxnOutcome = cx.platform.txn(&txn).await;
     }
 }
@@ -368,7 +372,7 @@
                 ended_since: None,
             });
             match claim.end {
-                // So old that nobody can still be going to report its end.
+                // Too old for any daemon to still report its end.
                 None if now.since(note.since) > LONGEST_REQUEST * 2
                     || peers::gone_for(cx, &claim.by).is_some() =>
                 {
@@ -393,7 +397,7 @@
         }
     }
     if !events.is_empty() {
-        // Without room or table the next look proposes them again.
+        // If the ledger does not accept them, the next poll proposes them again.
         let _ = shard.propose(cx, events, Urgency::Batch);
     }
     if !doubted.is_empty() && !cx.claims.asking.replace(true) {
@@ -407,7 +411,7 @@
     }
 }
 
-/// Releases claims that their daemon does not know of.
+/// Releases those claims of `holder` that it does not serve.
 async fn release_unknown(cx: &Cx, shard: &Rc<Shard>, holder: &Holder, ids: Vec<RequestId>) {
     let served = if *holder == cx.me {
         still_served(cx, ids.clone())
@@ -423,7 +427,7 @@
         let state = shard.state();
         for id in ids.into_iter().filter(|id| !served.contains(id)) {
             let claim = state.claims.get(&id);
-            // Another claim may have been made in the meantime.
+            // Another daemon may have claimed the id in the meantime.
             if claim.is_some_and(|claim| claim.end.is_none() && claim.by == *holder) {
                 events.extend(end_events(id, ClaimEnd::NotRun));
             }
--- a/src/lapisdrum/daemon/index.rs
+++ b/src/lapisdrum/daemon/index.rs
@@ -1,8 +1,9 @@
-//! Jobs of one shard by what the owner's loops ask for.
+//! Index over the jobs of one shard, by worker, entry and age.
 //!
-//! Load pattern: 17,800 tasks and 500 workers a shard. A loop that scans all jobs for each visit of
-//! a worker or each placement pass would read millions of jobs a second. The index follows the
-//! ledger's state event by event and is built from it at recovery; it holds nothing of its own.
+//! Load pattern: 17,800 tasks and 500 workers per shard. Scanning all jobs for each poll of a
+//! worker or each placement pass would read millions of jobs a second. The index is built from the
+//! ledger's state at recovery and updated with each event; it contains nothing that the state does
+//! not.
 
 use crate::{
     core::{
@@ -15,16 +16,16 @@
 use indexmap::{IndexMap, IndexSet};
 use std::collections::VecDeque;
 
-/// How many jobs of an entry wait and how many have a place.
+/// Numbers of waiting and placed jobs of an entry.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Waiting for a place.
+    /// Jobs that wait to be placed on a worker.
     pub waiting: u32,
-    /// Placed.
+    /// Jobs placed on a worker, started or not.
     pub placed: u32,
 }
 
-/// What the index knows of a job: its entry and where it stands.
+/// The parts of a job that the index depends on.
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct View {
     entry: EntryName,
@@ -38,11 +39,11 @@
     Ended,
 }
 
-/// Jobs as they stood before some events, for [`Index::note`].
+/// Jobs before some events are applied, for [`Index::note`].
 #[derive(Clone, Debug, Default)]
 pub struct Before(IndexMap<JobId, Option<View>>);
 
-/// Jobs by worker, entry and age.
+/// Placed jobs by worker, waiting jobs by entry, and ended jobs by age.
 #[derive(Debug, Default)]
 pub struct Index {
     by_worker: IndexMap<WorkerId, IndexSet<JobId>>,
@@ -52,7 +53,8 @@
 }
 
 impl Index {
-    /// The index of a recovered state. Ages count from `now`, since the ledger holds no times.
+    /// Builds the index of a recovered state. Ages of ended jobs count from `now`, since the ledger
+    /// holds no times.
     pub fn build(state: &State, now: Millis) -> Self {
         let mut index = Self::default();
         for (id, job) in &state.jobs {
@@ -61,7 +63,7 @@
         index
     }
 
-    /// What is known of the events' jobs before they are applied.
+    /// Captures the jobs that `events` refer to, before the events are applied to `state`.
     pub fn before(state: &State, events: &[Event]) -> Before {
         let jobs = events.iter().filter_map(Event::job);
         Before(
@@ -70,7 +72,8 @@
         )
     }
 
-    /// Follows events that were applied to `state`; `before` is of the same events.
+    /// Updates the index after events were applied to `state`; `before` was captured for the same
+    /// events.
     pub fn note(&mut self, before: Before, state: &State, now: Millis) {
         for (id, before) in before.0 {
             let after = state.jobs.get(&id).map(view);
@@ -81,7 +84,7 @@
     }
 
     fn change(&mut self, id: &JobId, before: Option<View>, after: Option<View>, now: Millis) {
-        // Work that lost its place was accepted before anything that still waits.
+        // An evicted job was accepted before any job that still waits.
         let side = match before {
             Some(_) => Side::Front,
             None => Side::Back,
@@ -104,19 +107,19 @@
         self.by_worker.keys()
     }
 
-    /// Entries of which jobs wait.
+    /// Entries that have waiting jobs.
     pub fn waiting_entries(&self) -> Vec<EntryName> {
         let waits = self.counts.iter().filter(|(_, counts)| counts.waiting > 0);
         waits.map(|(entry, _)| entry.clone()).collect()
     }
 
-    /// Takes the next waiting job of an entry off its queue. One that stays waiting has to be put
-    /// back by [`Index::put_back`].
+    /// Removes and returns the next waiting job of an entry. If it is not placed, the caller
+    /// returns it with [`Index::put_back`].
     pub fn take_waiting(&mut self, state: &State, entry: &EntryName) -> Option<JobId> {
         let queue = self.waiting.get_mut(entry)?;
         while let Some(id) = queue.pop_front() {
             let waits = |job: &Job| job.phase == JobPhase::Waiting && !job.cancelling;
-            // One that was cancelled while it waited is still in the queue.
+            // A job that was cancelled while it waited is still in the queue.
             if state.jobs.get(&id).is_some_and(waits) {
                 return Some(id);
             }
@@ -125,7 +128,7 @@
         None
     }
 
-    /// Puts jobs that were taken off an entry's queue back at its head, in their order.
+    /// Returns jobs taken by [`Index::take_waiting`] to the head of the entry's queue, in order.
     pub fn put_back(&mut self, entry: &EntryName, jobs: Vec<JobId>) {
         if jobs.is_empty() {
             return;
@@ -136,13 +139,13 @@
         }
     }
 
-    /// How many jobs of an entry wait and run.
+    /// Numbers of waiting and placed jobs of an entry; zero for an unknown one.
     pub fn counts(&self, entry: &EntryName) -> Counts {
         self.counts.get(entry).copied().unwrap_or_default()
     }
 
-    /// Takes up to `most` ended jobs off the list: those that ended before `before`, and the oldest
-    /// ones beyond `keep`.
+    /// Removes and returns up to `most` ended jobs: those that ended before `before`, and the
+    /// oldest of those beyond the `keep` newest.
     pub fn take_expired_jobs(&mut self, before: Millis, keep: usize, most: usize) -> Vec<JobId> {
         take_expired(&mut self.ended_jobs, before, keep, most)
     }
--- a/src/lapisdrum/daemon/jobs.rs
+++ b/src/lapisdrum/daemon/jobs.rs
@@ -1,4 +1,4 @@
-//! Jobs from a caller's point of view: any daemon takes the call and brings it to the shard's owner.
+//! Calls about jobs: any daemon accepts a call and forwards it to the owner of the job's shard.
 
 use super::{
     Cx, claims, grants,
@@ -22,21 +22,21 @@
 use std::{rc::Rc, time::Duration};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// When to come back while a shard has no owner that answers.
+/// Retry delay given to callers while no owner of the shard answers.
 const NO_OWNER_RETRY: Duration = Duration::from_secs(2);
 
-/// How a call about a job ended.
+/// Outcome of a call about a job.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum JobAnswer {
-    /// The job as it stands.
+    /// The job in its present state.
     Job(JobId, Job),
     /// Refused; nothing was changed.
     Refused(Refusal),
-    /// It may have taken effect.
+    /// The call may or may not have taken effect.
     Unknown,
 }
 
-/// Accepts a job of `entry`; `key` makes a repeat find the first one's job.
+/// Submits a job of `entry`. A repeat with the same `key` returns the job of the first call.
 pub async fn submit(cx: &Cx, entry: &EntryName, key: Option<&RequestId>) -> JobAnswer {
     if cx.is_draining() {
         return JobAnswer::Refused(Refusal::Draining {
@@ -60,9 +60,10 @@
     at_owner(cx, &shard, job, req).await
 }
 
-/// The shard that a new job goes to, and its number there. With a key both follow from the key alone,
-/// so that a repeat through any daemon of any data centre meets the first one's job; without one the
-/// job is spread over the shards of this data centre. None while the keys' homes are not known.
+/// The shard of a new job, and its number within the shard. With a key both depend on the key
+/// alone, so that a repeat through any daemon of any data centre finds the first call's job.
+/// Without a key a shard of this data centre is picked at random. None while the home shards of
+/// keys are not known.
 fn place_of(cx: &Cx, key: Option<&RequestId>) -> Option<(ShardId, u64)> {
     if let Some(key) = key {
         let home = claims::home_of(cx, key)?;
@@ -73,7 +74,7 @@
     Some((ShardId::new(&cx.cfg.daemon.data_centre, index), unique))
 }
 
-/// Shows a job.
+/// Reads a job from the owner of its shard.
 pub async fn show(cx: &Cx, job: JobId) -> JobAnswer {
     let Some(shard) = job.shard() else {
         return JobAnswer::Refused(Refusal::UnknownJob(job));
@@ -82,7 +83,7 @@
     at_owner(cx, &shard, job, req).await
 }
 
-/// Cancels a job.
+/// Cancels a job. One that has ended or is already being cancelled is returned unchanged.
 pub async fn cancel(cx: &Cx, job: JobId) -> JobAnswer {
     let Some(shard) = job.shard() else {
         return JobAnswer::Refused(Refusal::UnknownJob(job));
@@ -116,7 +117,7 @@
     }
 }
 
-/// Answers a call about a job as its shard's owner.
+/// Answers a call about a job as the owner of its shard.
 pub async fn answer(cx: &Cx, req: PeerRequest) -> PeerReply {
     match req {
         PeerRequest::SubmitJob { shard, job, entry } => match owned(cx, &shard) {
@@ -189,7 +190,7 @@
         size: entry.size,
         hold: entry.hold,
     };
-    // Its place may go into the same row.
+    // Wakes placement at once: the job's placement may share the ledger row of its acceptance.
     shard.placement.notify_one();
     let reply = write(cx, shard, &job, accepted).await;
     if matches!(reply, PeerReply::Job(_)) {
@@ -201,7 +202,7 @@
     reply
 }
 
-/// Has an event about a job written and answers with the job.
+/// Writes an event about a job to the ledger and replies with the job once it is durable.
 async fn write(cx: &Cx, shard: &Shard, job: &JobId, event: Event) -> PeerReply {
     let ticket = match shard.propose(cx, vec![event], Urgency::Urgent) {
         Ok(ticket) => ticket,
@@ -210,8 +211,9 @@
     answer_for(shard, job, ticket.end_within(write_limit(cx)).await)
 }
 
-/// A job that was accepted or cancelled before. A repeat must not be told of what may still be lost,
-/// so it waits for the first one's row; later events of the job don't matter to it.
+/// Replies to a repeated submission or cancellation. Unless the first one is durable, the reply
+/// waits for its row, since the row may still be lost. Later events of the job do not delay the
+/// reply.
 async fn settled(cx: &Cx, shard: &Shard, job: &JobId, is_settled: bool) -> PeerReply {
     if is_settled {
         return answer_for(shard, job, WriteEnd::Committed);
@@ -233,12 +235,14 @@
     }
 }
 
-/// How long a caller waits for a write before its end counts as unknown: two tries at the table.
+/// Time after which the outcome of a write counts as unknown to the caller: enough for two attempts
+/// to write to the table.
 fn write_limit(cx: &Cx) -> Duration {
     cx.cfg.platform.timeout * 2 + cx.cfg.shards.write_spacing
 }
 
-/// A job that fits no host beside what is kept for requests would wait for ever.
+/// Refuses a job that fits on no host beside the capacity reserved for requests: it would wait for
+/// ever.
 fn check_fits(cx: &Cx, shard: &Shard, entry: Entry) -> Result<Entry, Refusal> {
     let members = cx.members.borrow();
     let hosts = members.shard_hosts(&shard.id, cx.cfg.shards.count);
@@ -250,18 +254,19 @@
     }
     let size = entry.size;
     let reason = format!(
-        "it takes {} millicores, {} MB and {} accelerators, and no host has as much for tasks",
+        "it needs {} millicores, {} MB and {} accelerators, more than any host has for tasks",
         size.millicores, size.memory_mb, size.accelerators
     );
     Err(Refusal::NeverFits { reason })
 }
 
-/// A queue without a bound would take in work that nobody waits for any longer when its turn comes.
+/// Refuses a job if its entry's queue is full. An unbounded queue would accept work whose result is
+/// no longer wanted by the time it runs.
 fn check_limits(cx: &Cx, shard: &Shard, entry: Entry) -> Result<Entry, Refusal> {
     let counts = shard.journal.index().counts(&entry.name);
     let running = limits::job_limit(cx, shard, &entry);
     let room = running.saturating_sub(counts.placed) + limits::queue_limit(cx, shard, &entry);
-    // A shard without a share takes jobs in as well: that they wait is what brings it one.
+    // A shard without a share of the limit queues jobs too: shares are assigned by waiting jobs.
     if counts.waiting >= room {
         return Err(Refusal::OverLimit {
             entry: entry.name,
@@ -283,7 +288,7 @@
     reply
 }
 
-/// Stops the task now rather than at the worker's next visit.
+/// Stops the task at once rather than at the worker's next poll.
 fn stop_at_worker(cx: &Cx, shard: &Rc<Shard>, job: &JobId, found: &Job) {
     let Some(placement) = found.placement() else {
         return;
--- a/src/lapisdrum/daemon/journal.rs
+++ b/src/lapisdrum/daemon/journal.rs
@@ -1,13 +1,14 @@
-//! The writer of a shard's ledger: group commit and lost answers read back.
+//! The writer of a shard's ledger: group commit, with a read-back after a lost reply.
 //!
 //! Load pattern: thousands of task starts a second on a table that takes a few hundred writes a
 //! second for the whole system. A row for each event would need a write for each start. Events that
-//! arrive while a write is under way, within a short linger, or before the spacing of writes is
-//! over, share the next row. [`super::snapshots`] keeps the number of rows bounded.
+//! arrive while a write is in flight, within a short linger, or before the minimum spacing of
+//! writes has passed share the next row. [`super::snapshots`] bounds the number of rows.
 //!
-//! An event is applied to the state when it is proposed, so that the next decision sees it; its
-//! effects (an answer to a caller, a command to a worker) wait for [`Ticket`]. If the write can't be
-//! settled because another owner came, the whole state is dropped with the shard.
+//! An event is applied to the state when it is proposed, so that the next decision sees it. Its
+//! effects (a reply to a caller, a command to a worker) wait for the [`Ticket`]. If another owner
+//! has taken the shard and the outcome of a write stays unknown, the state is dropped with the
+//! shard.
 
 use super::{
     Cx,
@@ -37,10 +38,11 @@
 
 pub use super::proposals::{ProposeError, Ticket, Urgency, WriteEnd};
 
-/// First wait before an unsettled write is tried again.
+/// First wait before a batch that is not known to be written is tried again.
 const FIRST_RETRY: Duration = Duration::from_millis(50);
-/// Longest wait before an unsettled write is tried again.
+/// Longest wait before a batch that is not known to be written is tried again.
 const LONGEST_RETRY: Duration = Duration::from_secs(1);
+
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Standing {
     Writing,
@@ -52,7 +54,7 @@
     state: State,
     index: Index,
     open: VecDeque<Proposal>,
-    /// Who waits for the row that is under way.
+    /// Waiters for the row whose write is in flight.
     under_way: Vec<oneshot::Sender<WriteEnd>>,
     pending: Pending,
     due: Option<Millis>,
@@ -74,7 +76,7 @@
     snapshot_work: Notify,
 }
 
-/// A batch on its way to the table and the snapshot due after it.
+/// A batch to write, and the snapshot to store after it if one is due.
 struct Outgoing {
     batch: Batch,
     snapshot: Option<Snapshot>,
@@ -87,7 +89,7 @@
 }
 
 impl Journal {
-    /// A ledger that has not been recovered.
+    /// Creates an empty ledger, which accepts no events before [`Self::recover`].
     pub fn new(shard: ShardId, epoch: Epoch, epoch_version: u64) -> Self {
         let inner = Inner {
             state: State::default(),
@@ -113,38 +115,38 @@
         }
     }
 
-    /// The shard.
+    /// The shard whose ledger this is.
     pub fn shard(&self) -> &ShardId {
         &self.shard
     }
 
-    /// The epoch, and the version of its row that every write asserts.
+    /// The owner's epoch, and the version of the epoch row that every write requires.
     pub fn guard(&self) -> (Epoch, u64) {
         (self.epoch, self.epoch_version)
     }
 
-    /// The state, with everything proposed so far.
+    /// The state with all proposed events applied, durable or not.
     pub fn state(&self) -> Ref<'_, State> {
         Ref::map(self.inner.borrow(), |inner| &inner.state)
     }
 
-    /// The index of the state.
+    /// The index over [`Self::state`].
     pub fn index(&self) -> Ref<'_, Index> {
         Ref::map(self.inner.borrow(), |inner| &inner.index)
     }
 
-    /// The index, to take from its queues and lists.
+    /// The index, for removing items from its queues and lists.
     pub fn index_mut(&self) -> RefMut<'_, Index> {
         RefMut::map(self.inner.borrow_mut(), |inner| &mut inner.index)
     }
 
-    /// Takes the next waiting job of an entry off its queue; see [`Index::take_waiting`].
+    /// Removes and returns the next waiting job of an entry; see [`Index::take_waiting`].
     pub fn take_waiting(&self, entry: &EntryName) -> Option<JobId> {
         let inner = &mut *self.inner.borrow_mut();
         inner.index.take_waiting(&inner.state, entry)
     }
 
-    /// Whether an event about the job has been proposed that is not yet durable.
+    /// Whether a proposed event about the job is not yet durable.
     pub fn is_unsettled(&self, job: &JobId) -> bool {
         self.inner.borrow().pending.has(job)
     }
@@ -154,13 +156,13 @@
         self.inner.borrow().pending.accepts(job)
     }
 
-    /// Whether the table has taken the last row without delay.
+    /// Whether the table accepted the last row without a retry.
     pub fn is_writing(&self) -> bool {
         self.inner.borrow().standing == Standing::Writing
     }
 
-    /// Applies events and has them written together. On an error nothing was changed. Without events
-    /// the ticket completes once everything proposed before is durable.
+    /// Applies events and queues them to be written in one row. On an error nothing is changed.
+    /// Without events the ticket completes once everything proposed before is durable.
     pub fn propose(
         &self,
         cx: &Cx,
@@ -195,7 +197,7 @@
         Ok(ticket)
     }
 
-    /// Ends the ledger: nothing more is written by this owner. A row under way may yet be in.
+    /// Stops the ledger: this owner writes nothing more. A row in flight may still be written.
     pub fn lose(&self) {
         let inner = &mut *self.inner.borrow_mut();
         inner.standing = Standing::Lost;
@@ -206,8 +208,8 @@
         self.work.notify_one();
     }
 
-    /// Reads the last snapshot and the rows after it. The epoch row has been raised before, so no
-    /// earlier owner can add a row while or after this reads.
+    /// Loads the last snapshot and the rows after it. The epoch was raised before, so no previous
+    /// owner can add a row during or after the read.
     pub async fn recover(&self, cx: &Cx) -> eyre::Result<()> {
         let mut state = snapshots::read(cx, &self.shard).await?;
         let rows = cx
@@ -233,7 +235,8 @@
         Ok(())
     }
 
-    /// Writes what is proposed until the shard is lost.
+    /// Writes proposed events until the shard is lost. `may_act` returns whether the
+    /// lease is still valid.
     pub async fn write_all(&self, cx: &Cx, may_act: impl Fn() -> bool) {
         while let Some(mut due) = self.next_due(cx).await {
             while due > cx.clock.now() {
@@ -287,8 +290,8 @@
         }
     }
 
-    /// When the next row is due. Under load rows keep their spacing, however urgent their events;
-    /// after a quiet time an event waits for its own linger only.
+    /// When the next row is due. Rows keep their minimum spacing however urgent their events; if
+    /// the last row is older than that, an event waits only for its own linger.
     fn effective_due(&self, cx: &Cx) -> Option<Millis> {
         let inner = self.inner.borrow();
         let spaced = inner.written_at.map(|at| at + cx.cfg.shards.write_spacing);
@@ -308,10 +311,10 @@
                 inner.under_way.push(proposal.waiter);
             }
         }
-        // What did not fit goes as soon as the spacing allows.
+        // Proposals that did not fit are written as soon as the spacing allows.
         inner.due = (!inner.open.is_empty()).then(|| cx.clock.now());
         if events.is_empty() {
-            // One write at a time: whatever was proposed before is durable by now.
+            // There is one write at a time, so everything proposed before is durable.
             answer(&mut inner.under_way, WriteEnd::Committed);
             return None;
         }
@@ -325,13 +328,12 @@
         inner.state.sequence = batch.sequence;
         inner.state.epoch = self.epoch;
         inner.since_snapshot += 1;
-        // A state that is ahead of its row must not be stored under that row's number.
+        // A state that includes later events must not be stored under this row's number.
         let is_due =
             inner.since_snapshot >= cx.cfg.shards.snapshot_batches && inner.open.is_empty();
         let snapshot = (is_due && !inner.is_storing).then(|| {
             inner.since_snapshot = 0;
             inner.is_storing = true;
-            // The state as of this batch, before anything later is proposed.
             Snapshot {
                 sequence: batch.sequence,
                 state: inner.state.clone(),
@@ -340,7 +342,7 @@
         Some(Outgoing { batch, snapshot })
     }
 
-    /// Tries a batch until it is known to be written, or never to be.
+    /// Tries to write a batch until its outcome is known or the ledger is stopped.
     async fn settle(&self, cx: &Cx, batch: &Batch, may_act: &impl Fn() -> bool) -> Settled {
         let txn = append(&self.shard, self.epoch_version, batch);
         let mut backoff = Backoff::new(FIRST_RETRY, LONGEST_RETRY);
@@ -353,8 +355,8 @@
                     Settled::Refused
                 };
             }
-            // A paused owner wakes here with its lease gone and must not write. A row that was sent
-            // may be sent again: its epoch still decides.
+            // An owner that was paused may resume here after its lease has expired and must not
+            // write. A row that was sent before may be sent again: the epoch check still guards it.
             if in_doubt || may_act() {
                 match cx.platform.txn(&txn).await {
                     TxnOutcome::Committed(_) => {
@@ -370,7 +372,7 @@
                     TxnOutcome::Unknown(_) => {
                         cx.metrics.platform_unknown.inc();
                         in_doubt = true;
-                        // Read rather than sent again: the next answer may be lost just as well.
+                        // Read before sending again: the next reply may be lost too.
                         if self.is_in(cx, batch).await {
                             self.set_standing(Standing::Writing);
                             return Settled::Committed;
@@ -384,7 +386,9 @@
         }
     }
 
-    /// After a conflict: is the row at our place our own write, whose answer was lost?
+    /// After a conflict, finds out whether the row at the batch's sequence number is the batch
+    /// itself, written by an earlier attempt whose reply was lost. None if the table does not
+    /// answer.
     async fn read_back(
         &self,
         cx: &Cx,
@@ -400,7 +404,7 @@
                 self.set_standing(Standing::Writing);
                 Some(Settled::Committed)
             }
-            // The next owner may have replaced the row by a snapshot.
+            // The next owner may have replaced the row with a snapshot.
             None => Some(Settled::Lost),
             Some(_) => Some(Settled::Refused),
         }
@@ -411,7 +415,8 @@
         found.is_some_and(|found| found.nonce == batch.nonce)
     }
 
-    /// The batch in the table at a place, if the table answers and if there is one.
+    /// The batch with this sequence number in the table. The outer `None` means that the table did
+    /// not answer, the inner one that there is no such batch.
     async fn row_at(&self, cx: &Cx, sequence: Sequence) -> Option<Option<Batch>> {
         let key = snapshots::row_key(&self.shard, sequence);
         let row = cx.platform.get(&key).await.ok()?;
@@ -435,24 +440,24 @@
         }
     }
 
-    /// Notes that a snapshot was stored or given up; a failure leaves more rows to replay.
+    /// Notes that storing a snapshot succeeded or failed; after a failure more rows need replay.
     pub fn end_snapshot(&self) {
         self.inner.borrow_mut().is_storing = false;
     }
 
-    /// The first row that may not be deleted yet.
+    /// Sequence number of the first row that is not known to be deleted.
     pub fn first_row(&self) -> Sequence {
         self.inner.borrow().first_row
     }
 
-    /// Notes that all rows before this one are deleted.
+    /// Notes that all rows before `first` are deleted.
     pub fn set_first_row(&self, first: Sequence) {
         self.inner.borrow_mut().first_row = first;
     }
 }
 
-/// The transaction that appends a batch: only under the epoch whose row has `epoch_version`, and only
-/// where no batch is.
+/// The transaction that appends a batch. It commits only if the epoch row still has `epoch_version`
+/// and no row has the batch's sequence number.
 pub fn append(shard: &ShardId, epoch_version: u64, batch: &Batch) -> Txn {
     let row = snapshots::row_key(shard, batch.sequence);
     Txn::default()
--- a/src/lapisdrum/daemon/listing.rs
+++ b/src/lapisdrum/daemon/listing.rs
@@ -1,6 +1,6 @@
-//! Lists jobs over shards: every owner that can be reached is asked, and the rest is named.
+//! Lists jobs of all shards. Shards whose owners do not answer are reported as missing.
 //!
-//! A list that silently left a cut-off data centre's jobs out would read as if they were gone.
+//! Without that, the jobs of a disconnected data centre would seem not to exist.
 
 use super::{Cx, peers, shard::Shard};
 use crate::{
@@ -12,50 +12,50 @@
 };
 use indexmap::IndexSet;
 
-/// Most jobs that one shard lists, the newest of them: a list is for reading, and a shard may hold
-/// a hundred thousand.
+/// Most jobs that one shard lists; older ones are omitted, since a shard may hold a hundred
+/// thousand and a list is meant to be read.
 pub const MAX_LISTED: usize = 1_000;
 
 scalar! {
-    /// A job's stage as callers and operators name it.
+    /// State of a job as shown to callers and operators.
     #[serde(rename_all = "kebab-case")]
     pub enum JobState {
-        /// Waits for a place.
+        /// Accepted, not yet placed on a worker.
         Waiting,
-        /// Placed on a worker.
+        /// Placed on a worker, whether or not its task has started.
         Running,
-        /// Ended well.
+        /// Ended successfully.
         Done,
-        /// Failed as often as its entry allows.
+        /// Ended because it failed as many times as its entry allows.
         Failed,
-        /// Cancelled.
+        /// Ended by a cancellation.
         Cancelled,
     }
 }
 
 data! {
-    /// Which jobs are wanted; what is absent matches every job.
+    /// Selects jobs; an absent field matches every job.
     #[derive(Default)]
     pub struct JobFilter {
-        /// Jobs of this entry only.
+        /// Matches only jobs of this entry.
         pub entry: Option<EntryName>,
-        /// Jobs in this state only.
+        /// Matches only jobs in this state.
         pub state: Option<JobState>,
     }
 
-    /// One shard's jobs that match.
+    /// The jobs of one shard that match a filter.
     pub struct ShardJobs {
-        /// The shard.
+        /// The shard that holds the jobs.
         pub shard: ShardId,
-        /// The newest of the matching jobs, oldest first.
+        /// The newest [`MAX_LISTED`] matching jobs, oldest first.
         pub jobs: Vec<(JobId, Job)>,
-        /// How many more match.
+        /// Number of older matching jobs that are not listed.
         pub omitted: usize,
     }
 }
 
 impl JobState {
-    /// Every state.
+    /// All states, in the order of a job's life.
     pub const ALL: [Self; 5] = [
         Self::Waiting,
         Self::Running,
@@ -64,7 +64,7 @@
         Self::Cancelled,
     ];
 
-    /// The state's word.
+    /// The name used in the API and in metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Waiting => "waiting",
@@ -97,7 +97,7 @@
 }
 
 impl JobFilter {
-    /// Whether a job is wanted.
+    /// Whether `job` matches all fields that are present.
     pub fn matches(&self, job: &Job) -> bool {
         self.entry.as_ref().is_none_or(|entry| job.entry == *entry)
             && self
@@ -106,17 +106,17 @@
     }
 }
 
-/// Jobs of all shards whose owners answer.
+/// Jobs of all known shards, as far as their owners answered.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Listing {
-    /// What the owners listed.
+    /// The lists of the shards whose owners answered.
     pub shards: Vec<ShardJobs>,
-    /// Shards of which nobody answered.
+    /// Shards whose owners did not answer.
     pub missing: Vec<ShardId>,
 }
 
-/// The shards of this daemon's data centre, which are known from the settings before anybody has
-/// taken them, and those of others that were seen.
+/// All shards of this daemon's data centre, which follow from the settings even if no daemon owns
+/// them, and the shards of other data centres for which rows were read.
 fn known_shards(cx: &Cx) -> IndexSet<ShardId> {
     let own = 0..cx.cfg.shards.count;
     let own = own.map(|index| ShardId::new(&cx.cfg.daemon.data_centre, index));
@@ -126,7 +126,7 @@
     shards
 }
 
-/// Lists the jobs of every known shard.
+/// Lists the matching jobs of every known shard; the owners are asked concurrently.
 pub async fn list(cx: &Cx, filter: &JobFilter) -> Listing {
     let shards = known_shards(cx);
     let asked = shards.iter().map(|shard| list_shard(cx, shard, filter));
--- a/src/lapisdrum/daemon/members.rs
+++ b/src/lapisdrum/daemon/members.rs
@@ -1,4 +1,4 @@
-//! Who is there: daemons by their presence rows, shard rows and the platform's hosts, as last seen.
+//! Membership as last read: daemons by their presence rows, shard rows and the platform's hosts.
 
 use crate::{
     core::{
@@ -16,25 +16,26 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 data! {
-    /// A daemon's presence row.
+    /// The row by which a daemon shows that it is alive.
     pub struct Presence {
-        /// The daemon and its run.
+        /// The daemon, its incarnation and its peer address.
         pub holder: Holder,
-        /// Its data centre.
+        /// The data centre in which the daemon runs.
         pub data_centre: DataCentre,
-        /// Where callers reach it.
+        /// The address for callers.
         pub callers: String,
-        /// The catalogue revision in force there.
+        /// The catalogue revision in force on the daemon.
         pub revision: Revision,
-        /// Raised by each write, so that a live daemon's row keeps changing.
+        /// Incremented by each write, so that a live daemon's row keeps changing.
         pub beat: u64,
-        /// Whether the platform's list names the daemon's own host, as the daemon itself has seen.
+        /// Whether the platform's list contains the daemon's own host, as read by the daemon
+        /// itself.
         #[serde(default)]
         pub is_listed: bool,
     }
 }
 
-/// A presence row and since when it has been unchanged.
+/// A presence row and the time since which it has been unchanged.
 #[derive(Clone, Debug)]
 pub struct SeenPresence {
     /// The row.
@@ -43,7 +44,7 @@
     pub seen: Sighting,
 }
 
-/// A shard row and since when it has been unchanged.
+/// A shard row and the time since which it has been unchanged.
 #[derive(Clone, Debug)]
 pub struct SeenShard {
     /// The row.
@@ -52,31 +53,31 @@
     pub seen: Sighting,
 }
 
-/// Everything that a daemon has last seen of the others.
+/// A daemon's view of other daemons, shards and hosts, as last read from the platform.
 #[derive(Debug, Default)]
 pub struct Members {
     /// Daemons by name.
     pub daemons: IndexMap<DaemonId, SeenPresence>,
     /// Shards by name.
     pub shards: IndexMap<ShardId, SeenShard>,
-    /// Hosts of this data centre by name: workers, and entry hosts with no slots.
+    /// Hosts of this data centre by name: workers, and entry hosts, which have no slots.
     pub hosts: IndexMap<WorkerId, Host>,
-    /// When the presence rows of all data centres were last read; none before the first time.
+    /// When the presence rows of all data centres were last read; none before the first read.
     pub all_read_at: Option<Millis>,
-    /// When the list of hosts was last read; none before the first time.
+    /// When the list of hosts was last read; none before the first read.
     pub hosts_read_at: Option<Millis>,
-    /// The tag of that list.
+    /// Version tag of that list, sent with the next read so that an unchanged list is not resent.
     pub hosts_tag: Option<String>,
-    /// Workers that this process has ever seen named.
+    /// Hosts that any list read by this process contained.
     named: IndexSet<WorkerId>,
-    /// Addresses of all hosts that are named now.
+    /// Addresses of all hosts in the current list.
     addresses: IndexSet<IpAddr>,
     by_shard: IndexMap<ShardId, Vec<WorkerId>>,
     shard_count: u32,
 }
 
 impl Members {
-    /// Daemons of a data centre whose rows changed within `patience`, in name order.
+    /// Daemons of a data centre whose rows changed within `timeout`, in name order.
     pub fn live(&self, dc: &DataCentre, now: Millis, patience: Duration) -> Vec<&Presence> {
         let fresh = |seen: &&SeenPresence| {
             seen.row.data_centre == *dc && now.since(seen.seen.since) <= patience
@@ -91,7 +92,7 @@
         live
     }
 
-    /// The address at which a shard's owner answers other daemons.
+    /// The peer address of a shard's owner.
     pub fn owner_address(&self, shard: &ShardId) -> Option<String> {
         self.shards
             .get(shard)?
@@ -108,8 +109,8 @@
         names.filter_map(|worker| self.hosts.get(worker)).collect()
     }
 
-    /// Takes over a list that was read at `now`, for `count` shards a data centre. An empty list is
-    /// no news: it would declare every host dead at once.
+    /// Replaces the hosts by a list read at `now`, with `count` shards per data centre. An empty
+    /// list is ignored once hosts are known: it would declare every host dead at once.
     pub fn set_hosts(&mut self, hosts: Vec<Host>, count: u32, now: Millis) {
         if hosts.is_empty() && !self.hosts.is_empty() {
             return;
@@ -134,19 +135,20 @@
         self.hosts_read_at = Some(now);
     }
 
-    /// Whether this process has ever seen the worker named.
+    /// Whether any list read by this process contained the worker.
     pub fn was_named(&self, worker: &WorkerId) -> bool {
         self.named.contains(worker)
     }
 
-    /// Whether the platform's list names the host at `address` (IP number and port).
+    /// Whether the platform's list contains the host at `address` (IP address and port).
     pub fn is_listed(&self, address: &str) -> bool {
         ip_of(address).is_some_and(|ip| self.addresses.contains(&ip))
     }
 
-    /// Whether another run of a daemon lives where `holder` was: its presence row changed after
-    /// `since`, when `holder` was an earlier owner. Two runs can't share an address, so `holder` is
-    /// gone. A row that merely lies there proves nothing: it may be older than `holder`.
+    /// Whether another incarnation of a daemon now runs at `holder`'s address: its presence row
+    /// changed after `since`, when `holder` was a previous owner. Two processes can't share an
+    /// address, so `holder` has ended. An unchanged row proves nothing: it may be older than
+    /// `holder`.
     pub fn is_replaced(&self, holder: &Holder, since: Millis) -> bool {
         self.daemons.values().any(|seen| {
             let other = &seen.row.holder;
@@ -154,12 +156,12 @@
         })
     }
 
-    /// Whether the platform vouches that `holder`'s host is gone: the list named it, as the daemon
-    /// itself wrote into its presence row, and names it no more.
+    /// Whether the platform has removed `holder`'s host: its list contained the host, as the daemon
+    /// itself wrote into its presence row, and no longer does.
     ///
-    /// This rests on an assumption about the platform: entry hosts stand in its list under their IP
-    /// number (with no slots, since they take no work), and a host that it no longer names is dead.
-    /// Where entry hosts are not listed, no row says so and this is never evidence.
+    /// This assumes that the platform lists entry hosts under their IP address (with no slots,
+    /// since they take no work), and that a host removed from the list is dead. If entry hosts are
+    /// not listed, no presence row has `is_listed` set and this is always false.
     pub fn is_host_gone(&self, holder: &Holder) -> bool {
         let row = self.daemons.get(&holder.daemon);
         let was_listed = row.is_some_and(|seen| seen.row.holder == *holder && seen.row.is_listed);
@@ -172,8 +174,8 @@
     Some(address.ip())
 }
 
-/// The shard that a rack belongs to. A rack stays whole, so that spreading over racks can be judged
-/// by the shards' owners alone only within one shard.
+/// The shard that a rack belongs to. A rack is never split between shards; each owner can judge how
+/// tasks are spread over racks only within its own shard.
 pub fn shard_of_rack(dc: &DataCentre, rack: &Rack, count: u32) -> ShardId {
     let hash = xxh3_64(rack.as_str().as_bytes());
     let index = u32::try_from(hash % u64::from(count.max(1))).unwrap_or_default();
--- a/src/lapisdrum/daemon/metrics.rs
+++ b/src/lapisdrum/daemon/metrics.rs
@@ -1,9 +1,9 @@
-//! Counters and histograms under the ecosystem's naming rules, written as text for `/metrics`.
+//! Metrics in the Prometheus text format, served at `/metrics`.
 //!
-//! The users' three measures are `lapisdrum_request_seconds` (tail latency by entry),
+//! The three metrics that matter to users are `lapisdrum_request_seconds` (tail latency by entry),
 //! `lapisdrum_jobs_ended_total` with `lapisdrum_task_seconds_total` (batch throughput by entry) and
-//! `lapisdrum_evictions_total` (by entry and reason). Labels come from the catalogue and from closed
-//! sets, never from what a caller writes, so that nobody but an operator can make the metrics grow.
+//! `lapisdrum_evictions_total` (by entry and reason). Label values come from the catalogue and from
+//! fixed sets, never from callers, so that only operators can increase the number of time series.
 
 use prometheus_client::{
     encoding::{EncodeLabelSet, text::encode},
@@ -17,12 +17,12 @@
 };
 use std::sync::atomic::AtomicU64;
 
-/// Least bound of the latency buckets, in seconds.
+/// Upper bound of the first latency bucket, in seconds.
 const FIRST_LATENCY_BUCKET: f64 = 0.000_5;
-/// Step between latency buckets: a quantile read out of them is off by a quarter at the most if the
-/// reader takes the middle of a bucket. Doubling would make it a half, too coarse for tail latency.
+/// Ratio between bounds of latency buckets. A quantile taken as the middle of a bucket is off by at
+/// most a quarter. With a ratio of 2 it would be a half, too coarse for tail latency.
 const LATENCY_STEP: f64 = 1.5;
-/// Latency buckets; the last bound is 12.6 s.
+/// Number of latency buckets; the last bound is 12.6 s.
 const LATENCY_BUCKETS: u16 = 26;
 
 /// Labels of request metrics.
@@ -34,17 +34,17 @@
     pub outcome: &'static str,
 }
 
-/// Labels of metrics by entry.
+/// Label of metrics that are counted by entry.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct EntryLabel {
     /// The catalogue entry.
     pub entry: String,
 }
 
-/// Labels of refusals.
+/// Label of refusals.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct ReasonLabel {
-    /// A fixed word.
+    /// Name of the kind of refusal, from a fixed set.
     pub reason: &'static str,
 }
 
@@ -62,14 +62,14 @@
 pub struct EvictionLabels {
     /// The catalogue entry.
     pub entry: String,
-    /// A fixed phrase, with `_` for spaces.
+    /// A phrase from a fixed set, with `_` for spaces.
     pub reason: String,
 }
 
-/// A counter of seconds.
+/// A counter of fractional seconds.
 pub type SecondsCounter = Counter<f64, AtomicU64>;
 
-/// All metrics of a daemon.
+/// The metrics of a daemon, all of them registered.
 pub struct Metrics {
     registry: Registry,
     /// Requests answered, by entry and outcome.
@@ -82,33 +82,33 @@
     pub jobs_ended: Family<EndLabels, Counter>,
     /// Time that tasks have spent on workers, by entry.
     pub task_seconds: Family<EntryLabel, SecondsCounter>,
-    /// Jobs that wait for a place, by entry.
+    /// Jobs waiting to be placed, by entry.
     pub jobs_waiting: Family<EntryLabel, Gauge>,
-    /// Jobs that are placed, by entry.
+    /// Jobs placed on a worker, by entry.
     pub jobs_running: Family<EntryLabel, Gauge>,
     /// Tasks started on workers.
     pub task_starts: Counter,
-    /// Tasks that lost their place, by entry and reason.
+    /// Evictions of tasks, by entry and reason.
     pub evictions: Family<EvictionLabels, Counter>,
     /// Ledger rows written.
     pub ledger_writes: Counter,
     /// Ledger events written.
     pub ledger_events: Counter,
-    /// Transactions whose answer was lost.
+    /// Transactions whose reply was lost.
     pub platform_unknown: Counter,
-    /// Parts that were started again.
+    /// Restarts of daemon components.
     pub part_restarts: Counter,
     /// The catalogue revision in force.
     pub revision: Gauge,
     /// Shards owned.
     pub shards_owned: Gauge,
-    /// Shards owned under a lease that has run out.
+    /// Shards owned under a lease that has expired.
     pub shards_lapsed: Gauge,
     /// Workers of owned shards that do not answer.
     pub workers_silent: Gauge,
-    /// Daemons that are heard of, this one among them.
+    /// Daemons that are not known to be silent, including this one.
     pub daemons_live: Gauge,
-    /// Whether the platform answers: 1 or 0.
+    /// 1 if the platform answers, 0 if not.
     pub platform_up: Gauge,
 }
 
@@ -142,8 +142,8 @@
         m
     }
 
-    /// Registers what tells how callers and their work fare. The library adds `_seconds` for the
-    /// unit and `_total` for a counter.
+    /// Registers the metrics of requests, jobs and tasks. The library adds the suffixes `_seconds`
+    /// for the unit and `_total` for a counter.
     fn register_work(&mut self) {
         let r = &mut self.registry;
         r.register("requests", "Requests answered", self.requests.clone());
@@ -167,12 +167,12 @@
         );
         r.register(
             "jobs_waiting",
-            "Jobs that wait for a place",
+            "Jobs waiting to be placed on a worker",
             self.jobs_waiting.clone(),
         );
         r.register(
             "jobs_running",
-            "Jobs that are placed on a worker",
+            "Jobs placed on a worker",
             self.jobs_running.clone(),
         );
         r.register(
@@ -180,14 +180,10 @@
             "Tasks started on workers",
             self.task_starts.clone(),
         );
-        r.register(
-            "evictions",
-            "Tasks that lost their place",
-            self.evictions.clone(),
-        );
+        r.register("evictions", "Evictions of tasks", self.evictions.clone());
     }
 
-    /// Registers what tells how the daemon itself fares.
+    /// Registers the metrics of the daemon itself.
     fn register_state(&mut self) {
         let r = &mut self.registry;
         r.register(
@@ -202,12 +198,12 @@
         );
         r.register(
             "platform_unknown",
-            "Lost transaction answers",
+            "Transactions whose reply was lost",
             self.platform_unknown.clone(),
         );
         r.register(
             "part_restarts",
-            "Parts started again",
+            "Restarts of daemon components",
             self.part_restarts.clone(),
         );
         r.register(
@@ -218,7 +214,7 @@
         r.register("shards_owned", "Shards owned", self.shards_owned.clone());
         r.register(
             "shards_lapsed",
-            "Shards owned under a lease that has run out",
+            "Shards owned under a lease that has expired",
             self.shards_lapsed.clone(),
         );
         r.register(
@@ -228,7 +224,7 @@
         );
         r.register(
             "daemons_live",
-            "Daemons that are heard of",
+            "Daemons that are not known to be silent, including this one",
             self.daemons_live.clone(),
         );
         r.register(
@@ -238,8 +234,9 @@
         );
     }
 
-    /// Counts a task that lost its place. `reason` is a fixed phrase; what follows a colon in it
-    /// is a detail for the time line and would make labels without bound.
+    /// Counts an eviction. `reason` is a phrase from a fixed set, optionally followed by a colon
+    /// and a detail for the timeline, which is dropped here: it would create an unbounded number of
+    /// labels.
     pub fn note_eviction(&self, entry: String, reason: &str) {
         let phrase = reason.split(':').next().unwrap_or_default();
         let labels = EvictionLabels {
@@ -249,7 +246,7 @@
         self.evictions.get_or_create(&labels).inc();
     }
 
-    /// All metrics in the text form.
+    /// All metrics in the Prometheus text format.
     pub fn text(&self) -> String {
         let mut text = String::new();
         // Writing to a string does not fail.
--- a/src/lapisdrum/daemon/mod.rs
+++ b/src/lapisdrum/daemon/mod.rs
@@ -1,8 +1,8 @@
-//! A daemon: one process on an entry host, all alike, none set aside for control.
+//! A daemon: one process per entry host. All daemons are equal; there is no control node.
 //!
-//! Everything runs on one thread. State is shared by reference count and interior mutability, never
-//! borrowed across an `await`, so there are no locks and a paused test clock stops all of it.
-//! [`supervisor`] keeps the parts running; each part reaches the others through the context [`Cx`].
+//! Everything runs on one thread. State is shared through `Rc` and interior mutability and never
+//! borrowed across an `await`, so there are no locks, and a paused test clock stops all of it.
+//! [`supervisor`] restarts components that end; they reach each other through the context [`Cx`].
 
 pub mod catalogue;
 pub mod claims;
@@ -56,66 +56,68 @@
 use supervisor::Supervisor;
 use tokio::sync::watch;
 
-/// Longest time that a graceful end waits for floors and shards to be given up. With the platform
-/// away they lapse instead, and the process must not outstay its host.
+/// Longest time that a graceful shutdown waits for floors and shards to be released. If the
+/// platform is unavailable they lapse instead, so that the process ends before its host is shut
+/// down.
 const GIVE_UP_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// The context that is handed to every part of a daemon.
+/// The context that is passed to every component of a daemon.
 pub type Cx = Rc<Daemon>;
 
-/// What the parts of a daemon share.
+/// State that the components of a daemon share.
 pub struct Daemon {
-    /// Its settings.
+    /// Settings read at start; they do not change while the daemon runs.
     pub cfg: Settings,
-    /// This run of this daemon.
+    /// Name, incarnation and peer address under which this process holds leases.
     pub me: Holder,
-    /// The runtime's clock.
+    /// Monotonic clock of the async runtime; tests can pause it.
     pub clock: Clock,
-    /// The platform.
+    /// Client of the platform: its table and its list of hosts.
     pub platform: PlatformClient,
-    /// Workers.
+    /// Client for commands to workers.
     pub workers: WorkerClient,
-    /// Other daemons.
+    /// Client for calls to other daemons.
     pub peers: Peers,
-    /// Events.
+    /// Recent events, served at `/v1/timeline`.
     pub timeline: Rc<Timeline>,
-    /// Counters and histograms.
+    /// Metrics served at `/metrics`.
     pub metrics: metrics::Metrics,
-    /// The catalogue in force here.
+    /// The catalogue in force on this daemon.
     pub catalogue: RefCell<catalogue::InForce>,
     /// Daemons, shards and hosts as last seen.
     pub members: RefCell<members::Members>,
     /// Shards that this daemon owns.
     pub shards: RefCell<IndexMap<ShardId, Rc<shard::Shard>>>,
-    /// What this daemon may use of workers for requests.
+    /// Worker capacity that this daemon may use for requests.
     pub floors: RefCell<Floors>,
-    /// Runs of other daemons that are gone.
+    /// Incarnations of other daemons, and which of them have ended.
     pub departures: peers::Departures,
-    /// Peers that had no room lately.
+    /// Peers that recently had no free capacity for a spilled request.
     pub full_peers: spill::FullPeers,
-    /// Shares of the entries' limits.
+    /// Shares of the entries' limits that this daemon and its shards hold.
     pub shares: shares::Held,
-    /// Claims on request ids that this daemon serves, and where claims are kept.
+    /// Claims on request ids that this daemon serves, and the shards that store claims.
     pub claims: claims::Claims,
-    /// Requests being served, also those whose callers have gone away.
+    /// Cloned by each request in flight, also if its caller has disconnected; the strong count less
+    /// one is their number.
     pub in_flight: Rc<()>,
-    /// Requests that wait, and what routing has learned.
+    /// Queued requests, with the state of the routing, headroom and retry policies.
     pub line: queue::Line,
-    /// Requests let in and not yet answered.
+    /// Requests admitted and not yet answered.
     pub admission: RefCell<crate::policy::admission::Admission>,
     /// Whether a catalogue at least as new as any in force when this daemon started is in force.
     pub catalogue_ready: Cell<bool>,
-    /// Turns true when the daemon is to end.
+    /// Becomes true when the daemon starts to shut down.
     pub draining: watch::Sender<bool>,
 }
 
 impl Daemon {
-    /// A daemon that has not begun to do anything.
+    /// Creates a daemon whose components are not started.
     pub fn new(cfg: Settings) -> Cx {
         Self::with_event_clock(cfg, uhlc::system_time_clock)
     }
 
-    /// One whose time line reads another clock than the host's.
+    /// Like [`Self::new`], with `clock` in place of the host's clock for the timeline.
     pub fn with_event_clock(cfg: Settings, clock: fn() -> uhlc::NTP64) -> Cx {
         let incarnation = Incarnation(rand::random::<u64>().max(1));
         let me = Holder {
@@ -162,12 +164,12 @@
         })
     }
 
-    /// Whether the daemon has been told to end.
+    /// Whether the daemon is shutting down.
     pub fn is_draining(&self) -> bool {
         *self.draining.borrow()
     }
 
-    /// Whether the daemon may be sent callers.
+    /// Whether callers may be sent to this daemon.
     pub fn is_ready(&self) -> bool {
         self.catalogue_ready.get() && !self.is_draining()
     }
@@ -210,8 +212,8 @@
     supervisor
 }
 
-/// Ends gracefully: nothing new is accepted, what is in flight is finished, floors and shards are
-/// given back so that others take over at once.
+/// Shuts down gracefully: accepts nothing new, finishes requests in flight, and releases floors and
+/// shards so that other daemons take over at once.
 async fn drain(cx: &Cx, supervisor: &Supervisor) {
     cx.timeline.record(Happening::DaemonDraining {});
     log::info!("draining");
--- a/src/lapisdrum/daemon/observer.rs
+++ b/src/lapisdrum/daemon/observer.rs
@@ -1,5 +1,5 @@
-//! Sees the other daemons, shards and hosts, takes what is free, and balances shards over the
-//! daemons of the data centre.
+//! Reads the rows of daemons and shards and the list of hosts, takes over shards without an owner,
+//! and balances shards over the daemons of the data centre.
 
 use super::{
     Cx,
@@ -22,19 +22,19 @@
 use std::{rc::Rc, time::Duration};
 use tokio::time::MissedTickBehavior;
 
-/// Rounds in which a daemon must be above its even part before it releases a shard. A daemon that
-/// comes and goes would otherwise make shards wander, and each move costs a recovery.
+/// Consecutive rounds in which a daemon must exceed its even share before it releases a shard. A
+/// daemon that restarts often would otherwise make shards move, and each move costs a recovery.
 const ROUNDS_ABOVE_PART: u32 = 10;
-/// A lapse is looked at this much after its moment, when it is certain.
+/// Margin after the expiry of a lease, so that it has certainly expired when it is checked.
 const JUST_AFTER: Duration = Duration::from_millis(2);
-/// Rounds between two looks at the daemons and shards of other data centres, which matter only for
-/// requests that spill over and for passing on the catalogue.
+/// One in this many rounds also reads the daemons and shards of other data centres. They are needed
+/// only for requests that spill over and for passing on the catalogue.
 const ROUNDS_BETWEEN_OTHERS: u32 = 10;
 /// Age of an unchanged presence row at which it is deleted: longer than the longest hold, since the
-/// row of a dead daemon is evidence for as long as its tasks may matter.
+/// row of a dead daemon is needed as evidence for as long as its tasks may matter.
 const STALE_PRESENCE: Duration = Duration::from_secs(25 * 3_600);
 
-/// Runs until the process ends.
+/// Refreshes the view of daemons, shards and hosts until the process ends.
 pub async fn run(cx: Cx) -> eyre::Result<()> {
     let mut above = 0;
     let mut round = 0_u32;
@@ -42,21 +42,23 @@
     rounds.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         let lapse = tokio::time::sleep(until_lapse(&cx));
-        // What can't be seen stays as last seen; the registrar reports that the platform is away.
+        // After an error the last view is kept; the registrar reports that the platform is
+        // unavailable.
         let _ = tokio::select! {
             _ = rounds.tick() => {
                 let others = round.is_multiple_of(ROUNDS_BETWEEN_OTHERS);
                 round = round.wrapping_add(1);
                 look(&cx, &mut above, others).await
             }
-            // Taken without another look: a row that was renewed meanwhile has another version.
+            // No new read is needed: a row that was renewed meanwhile has another version, and the
+            // transaction fails.
             () = lapse => take_available(&cx).await,
         };
     }
 }
 
-/// Time until the lease of a shard that another daemon holds may have run out. Waiting for the next
-/// round instead would add up to a round to every take-over.
+/// Time until the first lease of a shard in this data centre may have expired. Waiting for the next
+/// round instead would delay each take-over by up to a round.
 fn until_lapse(cx: &Cx) -> Duration {
     let (terms, now) = (&cx.cfg.shards.terms, cx.clock.now());
     let members = cx.members.borrow();
@@ -74,7 +76,7 @@
 async fn look(cx: &Cx, above: &mut u32, others: bool) -> Result<(), PlatformError> {
     see_daemons(cx, others).await?;
     see_shards(cx, others).await?;
-    // Before any shard is taken: without the list, every host of a recovered shard would seem gone.
+    // Before any shard is taken: without the list, every host of a recovered shard would seem dead.
     see_hosts(cx).await?;
     take_available(cx).await?;
     if !cx.is_draining() {
@@ -83,7 +85,7 @@
     Ok(())
 }
 
-/// Reads the presence rows of this data centre, or of all.
+/// Reads the presence rows of this data centre, or of all data centres.
 async fn see_daemons(cx: &Cx, others: bool) -> Result<(), PlatformError> {
     let own = &cx.cfg.daemon.data_centre;
     let prefix = match others {
@@ -123,7 +125,7 @@
     }
 }
 
-/// Reads the shard rows of this data centre, or of all.
+/// Reads the shard rows of this data centre, or of all data centres.
 async fn see_shards(cx: &Cx, others: bool) -> Result<(), PlatformError> {
     let prefix = match others {
         true => SHARD_PREFIX.to_owned(),
@@ -163,8 +165,8 @@
     Ok(())
 }
 
-/// Deletes presence rows of daemons that are long gone, so that the list does not grow with every
-/// host that was ever replaced.
+/// Deletes presence rows that have not changed for [`STALE_PRESENCE`], so that the list does not
+/// grow with every host that is replaced.
 async fn delete_stale(cx: &Cx) {
     let now = cx.clock.now();
     let stale: Vec<(String, u64)> = {
@@ -185,8 +187,8 @@
     }
 }
 
-/// Takes free shards of this data centre: up to this daemon's even part of them, and any that has
-/// been free for a lease, since the daemon whose part it is may be unable to take it.
+/// Takes shards of this data centre that have no owner: up to this daemon's even share at once, and
+/// beyond it after a further wait, since the daemon that should take one may be unable to.
 async fn take_available(cx: &Cx) -> Result<(), PlatformError> {
     if cx.is_draining() || cx.members.borrow().hosts_read_at.is_none() {
         return Ok(());
@@ -221,8 +223,8 @@
 
 fn is_for_us(cx: &Cx, row: Option<&ShardRow>, seen: Sighting) -> bool {
     let (terms, now) = (&cx.cfg.shards.terms, cx.clock.now());
-    // A take-over whose answer was lost: nobody has acted under that epoch, so the next one may be
-    // taken without waiting for the lease to run out.
+    // A take-over whose reply was lost: no daemon has acted under that epoch, so the next epoch may
+    // be taken without waiting for the lease to expire.
     let is_own = row.is_some_and(|row| row.holder.as_ref() == Some(&cx.me));
     let patience = match ownership::availability(row, seen, now, terms) {
         _ if is_own => Duration::ZERO,
@@ -233,7 +235,7 @@
     cx.shards.borrow().len() < part(cx) || now.since(seen.since) > patience
 }
 
-/// This daemon's even part of the data centre's shards, rounded up.
+/// This daemon's even share of the data centre's shards, rounded up.
 fn part(cx: &Cx) -> usize {
     (cx.cfg.shards.count as usize).div_ceil(live_daemons(cx))
 }
@@ -260,7 +262,7 @@
         .put(epoch_key(&id), &EpochRow { epoch: new.epoch });
     let versions = match cx.platform.txn(&txn).await {
         TxnOutcome::Committed(versions) => versions,
-        // Lost the race: the next round reads what holds.
+        // Another daemon was first; the next round reads its row.
         TxnOutcome::Conflict(_) => return Ok(()),
         TxnOutcome::Unknown(e) => match read_back(cx, &id, &new).await? {
             Some(versions) => versions,
@@ -271,7 +273,7 @@
     Ok(())
 }
 
-/// After a lost answer: the versions of both rows if the take-over is in.
+/// After a lost reply, the versions of both rows if the take-over was written.
 async fn read_back(
     cx: &Cx,
     id: &ShardId,
@@ -290,7 +292,8 @@
     Ok(versions)
 }
 
-/// Begins to own a shard; `sent` is when the take-over was sent, by our clock and by the time line's.
+/// Starts to own a shard. `sent` is when the take-over was sent, by the daemon's clock and by the
+/// timeline's.
 fn begin(cx: &Cx, id: ShardId, row: ShardRow, versions: &[u64], sent: (Millis, Stamp)) {
     let (sent_at, stamp) = sent;
     let tenure = Tenure {
@@ -309,7 +312,7 @@
     super::shard::start(cx, shard);
 }
 
-/// Releases one shard when this daemon has long had more than its part.
+/// Releases one shard if this daemon has exceeded its even share for [`ROUNDS_ABOVE_PART`] rounds.
 async fn balance(cx: &Cx, above: &mut u32) {
     let held: Vec<Rc<Shard>> = cx.shards.borrow().values().cloned().collect();
     if held.len() <= part(cx) {
