--- a/src/lapisdrum/daemon/catalogue.rs
+++ b/src/lapisdrum/daemon/catalogue.rs
@@ -33,13 +33,13 @@
 /// Key prefix of the rows of changes.
 const CHANGE_PREFIX: &str = "catalogue/change/";
 /// Number of change rows retained for followers and for the history.
-const KEPT_CHANGES: u64 = 1_000;
+const RETAINED_CHANGES: u64 = 1_000;
 /// Number of missing changes up to which a follower reads each; beyond it, it lists all entries.
-const MOST_ONE_BY_ONE: u64 = 16;
+const MAX_SINGLE_READS: u64 = 16;
 /// Number of peers to which a daemon forwards a change that it applies.
-const PASS_ON: usize = 2;
+const FORWARD_PEERS: usize = 2;
 /// Attempts at a change while concurrent changes of other entries keep raising the revision.
-const CHANGE_TRIES: usize = 8;
+const MAX_CHANGE_ATTEMPTS: usize = 8;
 
 /// The catalogue in force, with its entries validated when they change rather than at each access.
 #[derive(Debug, Default)]
@@ -114,7 +114,7 @@
     loop {
         let outcome = match cx.catalogue_ready.get() {
             true => poll(&cx).await,
-            false => first(&cx).await,
+            false => load_initial(&cx).await,
         };
         if outcome.is_ok() && !cx.catalogue_ready.replace(true) {
             cx.timeline.record(Happening::DaemonReady {});
@@ -129,7 +129,7 @@
 
 /// Loads the catalogue before this daemon serves callers: from the table or, if that is
 /// unavailable, the newest one that any peer has.
-async fn first(cx: &Cx) -> Result<(), PlatformError> {
+async fn load_initial(cx: &Cx) -> Result<(), PlatformError> {
     let from_table = fetch(cx).await;
     if from_table.is_ok() || ask_peers(cx).await {
         return Ok(());
@@ -145,11 +145,11 @@
     catch_up(cx, row.revision).await
 }
 
-/// Reads the changes missing up to `revision`, or all entries if [`MOST_ONE_BY_ONE`] is exceeded or
-/// a change row is missing.
+/// Reads the changes missing up to `revision`, or all entries if [`MAX_SINGLE_READS`] is exceeded
+/// or a change row is missing.
 async fn catch_up(cx: &Cx, revision: Revision) -> Result<(), PlatformError> {
     let known = cx.catalogue.borrow().revision;
-    if revision.0.saturating_sub(known.0) > MOST_ONE_BY_ONE {
+    if revision.0.saturating_sub(known.0) > MAX_SINGLE_READS {
         return fetch(cx).await;
     }
     for missing in known.0 + 1..=revision.0 {
@@ -194,8 +194,8 @@
     }
 }
 
-/// Applies the next change and forwards it to [`PASS_ON`] peers. A peer that misses it reads it at
-/// its next poll.
+/// Applies the next change and forwards it to [`FORWARD_PEERS`] peers. A peer that misses it reads
+/// it at its next poll.
 fn apply(cx: &Cx, change: &ChangeRow) {
     if !cx.catalogue.borrow_mut().apply(change) {
         return;
@@ -203,8 +203,8 @@
     note_revision(cx);
     let mut peers = peer_addresses(cx);
     peers.shuffle(&mut rand::rng());
-    peers.truncate(PASS_ON);
-    send_news(cx, peers, change);
+    peers.truncate(FORWARD_PEERS);
+    send_change(cx, peers, change);
 }
 
 fn note_revision(cx: &Cx) {
@@ -216,7 +216,7 @@
     log::info!("catalogue revision {revision} is in force");
 }
 
-fn send_news(cx: &Cx, peers: Vec<String>, change: &ChangeRow) {
+fn send_change(cx: &Cx, peers: Vec<String>, change: &ChangeRow) {
     for address in peers {
         let (cx, change) = (Rc::clone(cx), change.clone());
         supervisor::spawn("catalogue-news", async move {
@@ -250,14 +250,14 @@
         .iter()
         .map(|address| cx.peers.call(address, PeerRequest::Catalogue(known)));
     let replies = futures::future::join_all(calls).await;
-    let mut heard = false;
+    let mut any_replied = false;
     for reply in replies.into_iter().flatten() {
-        heard = true;
+        any_replied = true;
         if let PeerReply::Catalogue(newer) = reply {
             adopt(cx, newer);
         }
     }
-    heard && cx.catalogue.borrow().revision > Revision::default()
+    any_replied && cx.catalogue.borrow().revision > Revision::default()
 }
 
 /// Receives a change from a peer: applies it if it is the next one, or else reads what is missing.
@@ -298,7 +298,7 @@
         Ok(entry) => entry,
         Err(faults) => return ChangeEnd::Invalid(faults),
     };
-    for _ in 0..CHANGE_TRIES {
+    for _ in 0..MAX_CHANGE_ATTEMPTS {
         let end = try_change(cx, &entry.name, &raw, if_match, &change).await;
         if let Some(end) = end {
             if let ChangeEnd::Accepted(revision) = end {
@@ -323,7 +323,7 @@
     };
     cx.timeline.record_at(stamp, accepted);
     apply(cx, change);
-    send_news(cx, peer_addresses(cx), change);
+    send_change(cx, peer_addresses(cx), change);
 }
 
 /// One attempt at a change. None after a conflict with a concurrent change, when it may be retried.
@@ -348,7 +348,7 @@
     }
     if let Err(refusal) = catalogue::check_change(current.as_ref(), if_match) {
         // An earlier attempt may have committed it, and a later change replaced it since.
-        return Some(match earlier(cx, change).await {
+        return Some(match revision_of_earlier_attempt(cx, change).await {
             Some(revision) => ChangeEnd::Accepted(revision),
             None => ChangeEnd::Refused(refusal),
         });
@@ -375,7 +375,7 @@
         .put(REVISION_KEY, &RevisionRow { revision })
         .put(entry_key.clone(), &row)
         .put(change_key(revision), &change_row);
-    if let Some(old) = revision.0.checked_sub(KEPT_CHANGES) {
+    if let Some(old) = revision.0.checked_sub(RETAINED_CHANGES) {
         txn = txn.delete(change_key(Revision(old)));
     }
     let stamp = cx.timeline.stamp();
@@ -406,7 +406,7 @@
 }
 
 /// The revision that an earlier attempt at a change created, if the history still has it.
-async fn earlier(cx: &Cx, change: &ChangeId) -> Option<Revision> {
+async fn revision_of_earlier_attempt(cx: &Cx, change: &ChangeId) -> Option<Revision> {
     let rows = cx.platform.list(CHANGE_PREFIX).await.ok()?;
     let mut changes = rows.iter().filter_map(Row::parse::<ChangeRow>);
     let found = changes.find(|row| row.row.change == *change);
--- a/src/lapisdrum/daemon/claims.rs
+++ b/src/lapisdrum/daemon/claims.rs
@@ -49,12 +49,12 @@
 /// Platform polls for which the set of known shards must be unchanged before the first row of homes
 /// is written: more than pass between two reads of all data centres. A row with only the writer's
 /// own shards would be in force for hours, and every id would depend on that one data centre.
-const SETTLED_POLLS: u32 = 15;
+const STABLE_POLLS: u32 = 15;
 /// Longest deadline of a request, and so the longest time that its claim may stay open.
 const LONGEST_REQUEST: Duration = Duration::from_secs(3_600);
 /// Age of an open claim from which the home's owner asks the claim's daemon whether it still serves
 /// the request.
-const DOUBTED_AFTER: Duration = Duration::from_secs(5);
+const CHECK_HOLDER_AFTER: Duration = Duration::from_secs(5);
 /// First wait before the end of a claim is reported again.
 const FIRST_END_WAIT: Duration = Duration::from_millis(100);
 /// Longest wait before the end of a claim is reported again.
@@ -68,10 +68,10 @@
     /// The row of homes as last read, with the time of the read.
     homes: RefCell<Option<SeenHomes>>,
     /// Known shards, and since when the set is unchanged.
-    in_sight: RefCell<(Vec<ShardId>, Millis)>,
+    known_shards: RefCell<(Vec<ShardId>, Millis)>,
     /// Notes on the claims of own shards.
     notes: RefCell<IndexMap<RequestId, Note>>,
-    asking: Cell<bool>,
+    is_checking_holders: Cell<bool>,
 }
 
 #[derive(Clone, Debug)]
@@ -108,14 +108,14 @@
     Refused(Refusal),
 }
 
-fn no_home() -> Refusal {
+fn home_unavailable() -> Refusal {
     Refusal::StoreAway { retry_after: RETRY }
 }
 
 /// Claims an id at each of its homes, waiting up to `within` for each reply.
 pub async fn begin(cx: &Cx, request: &RequestId, entry: &EntryName, within: Duration) -> Begun {
     let Some(homes) = homes_of(cx, request) else {
-        return Begun::Refused(no_home());
+        return Begun::Refused(home_unavailable());
     };
     let nonce = rand::random();
     {
@@ -132,28 +132,28 @@
         by: cx.me.clone(),
         nonce,
     };
-    let mut made = OwnClaim { calls: Vec::new() };
+    let mut claim = OwnClaim { calls: Vec::new() };
     for home in homes {
         let call = call(home);
         let asked = ask(cx, PeerRequest::Claim(call.clone()), &call.shard);
         let reply = tokio::time::timeout(within, asked).await;
-        let begun = match reply.unwrap_or(PeerReply::Unknown) {
+        let outcome = match reply.unwrap_or(PeerReply::Unknown) {
             PeerReply::Claimed => {
-                made.calls.push(call);
+                claim.calls.push(call);
                 continue;
             }
             PeerReply::ClaimEnded(end) => Begun::Ended(end),
             PeerReply::Refused(refusal) => Begun::Refused(refusal),
             // The claim may be in the ledger. Nothing was sent to a worker, so it is released.
             _ => {
-                made.calls.push(call);
-                Begun::Refused(no_home())
+                claim.calls.push(call);
+                Begun::Refused(home_unavailable())
             }
         };
-        end(cx, request, made, ClaimEnd::NotRun);
-        return begun;
+        end(cx, request, claim, ClaimEnd::NotRun);
+        return outcome;
     }
-    Begun::Claimed(made)
+    Begun::Claimed(claim)
 }
 
 /// Reports in the background how a claimed request ended, until each home has recorded it.
@@ -165,17 +165,17 @@
     let (cx, request) = (Rc::clone(cx), request.clone());
     supervisor::spawn("claim-end", async move {
         for call in claim.calls {
-            tell_end(&cx, call, &end).await;
+            report_end(&cx, call, &end).await;
         }
         cx.claims.served.borrow_mut().swap_remove(&request);
     });
 }
 
-async fn tell_end(cx: &Cx, call: ClaimCall, end: &ClaimEnd) {
+async fn report_end(cx: &Cx, call: ClaimCall, end: &ClaimEnd) {
     let mut backoff = Backoff::new(FIRST_END_WAIT, LONGEST_END_WAIT);
     loop {
-        let told = PeerRequest::EndClaim(call.clone(), end.clone());
-        if ask(cx, told, &call.shard).await == PeerReply::Ok {
+        let report = PeerRequest::EndClaim(call.clone(), end.clone());
+        if ask(cx, report, &call.shard).await == PeerReply::Ok {
             return;
         }
         let wait = backoff.next_wait(&mut rand::rng());
@@ -256,7 +256,7 @@
     cx.claims.notes.borrow_mut().insert(call.request, note);
     match ticket.end().await {
         WriteEnd::Committed => PeerReply::Claimed,
-        WriteEnd::NotWritten => PeerReply::Refused(no_home()),
+        WriteEnd::NotWritten => PeerReply::Refused(home_unavailable()),
         WriteEnd::Unknown => PeerReply::Unknown,
     }
 }
@@ -280,7 +280,7 @@
     };
     match ticket.end().await {
         WriteEnd::Committed => PeerReply::Ok,
-        WriteEnd::NotWritten => PeerReply::Refused(no_home()),
+        WriteEnd::NotWritten => PeerReply::Refused(home_unavailable()),
         WriteEnd::Unknown => PeerReply::Unknown,
     }
 }
@@ -305,7 +305,7 @@
         follow_homes(&cx).await;
         let own: Vec<Rc<Shard>> = cx.shards.borrow().values().cloned().collect();
         for shard in own.iter().filter(|shard| shard.is_serving()) {
-            look_after(&cx, shard);
+            maintain(&cx, shard);
         }
         forget_notes(&cx, &own);
         tokio::time::sleep(POLL).await;
@@ -319,7 +319,7 @@
     let now = cx.clock.now();
     let known: Vec<ShardId> = cx.members.borrow().shards.keys().cloned().collect();
     let (version, next) = match row {
-        None => (0, first_homes(cx, &known)),
+        None => (0, initial_homes(cx, &known)),
         Some(row) => {
             let version = row.version;
             let Some(homes) = row.parse::<Homes>() else {
@@ -347,21 +347,21 @@
     }
 }
 
-fn first_homes(cx: &Cx, known: &[ShardId]) -> Option<Homes> {
+fn initial_homes(cx: &Cx, known: &[ShardId]) -> Option<Homes> {
     let now = cx.clock.now();
-    let mut in_sight = cx.claims.in_sight.borrow_mut();
-    if in_sight.0 != known {
-        *in_sight = (known.to_vec(), now);
+    let mut known_shards = cx.claims.known_shards.borrow_mut();
+    if known_shards.0 != known {
+        *known_shards = (known.to_vec(), now);
     }
-    let is_settled = now.since(in_sight.1) >= cx.cfg.platform.poll * SETTLED_POLLS;
-    is_settled.then(|| Homes::first(known)).flatten()
+    let is_stable = now.since(known_shards.1) >= cx.cfg.platform.poll * STABLE_POLLS;
+    is_stable.then(|| Homes::first(known)).flatten()
 }
 
 /// Ends, releases and forgets claims of an own shard.
-fn look_after(cx: &Cx, shard: &Rc<Shard>) {
+fn maintain(cx: &Cx, shard: &Rc<Shard>) {
     let now = cx.clock.now();
     let mut events = Vec::new();
-    let mut doubted: IndexMap<Holder, Vec<RequestId>> = IndexMap::new();
+    let mut unconfirmed: IndexMap<Holder, Vec<RequestId>> = IndexMap::new();
     {
         let state = shard.state();
         let mut notes = cx.claims.notes.borrow_mut();
@@ -378,8 +378,8 @@
                 {
                     events.extend(end_events(request.clone(), ClaimEnd::Unknown));
                 }
-                None if now.since(note.since) > DOUBTED_AFTER => {
-                    doubted
+                None if now.since(note.since) > CHECK_HOLDER_AFTER => {
+                    unconfirmed
                         .entry(claim.by.clone())
                         .or_default()
                         .push(request.clone());
@@ -400,19 +400,19 @@
         // If the ledger does not accept them, the next poll proposes them again.
         let _ = shard.propose(cx, events, Urgency::Batch);
     }
-    if !doubted.is_empty() && !cx.claims.asking.replace(true) {
+    if !unconfirmed.is_empty() && !cx.claims.is_checking_holders.replace(true) {
         let (cx, shard) = (Rc::clone(cx), Rc::clone(shard));
         supervisor::spawn("doubted-claims", async move {
-            for (holder, ids) in doubted {
-                release_unknown(&cx, &shard, &holder, ids).await;
+            for (holder, ids) in unconfirmed {
+                release_unserved(&cx, &shard, &holder, ids).await;
             }
-            cx.claims.asking.set(false);
+            cx.claims.is_checking_holders.set(false);
         });
     }
 }
 
 /// Releases those claims of `holder` that it does not serve.
-async fn release_unknown(cx: &Cx, shard: &Rc<Shard>, holder: &Holder, ids: Vec<RequestId>) {
+async fn release_unserved(cx: &Cx, shard: &Rc<Shard>, holder: &Holder, ids: Vec<RequestId>) {
     let served = if *holder == cx.me {
         still_served(cx, ids.clone())
     } else {
--- a/src/lapisdrum/daemon/index.rs
+++ b/src/lapisdrum/daemon/index.rs
@@ -27,7 +27,7 @@
 
 /// The parts of a job that the index depends on.
 #[derive(Clone, Debug, PartialEq, Eq)]
-struct View {
+struct IndexedJob {
     entry: EntryName,
     stage: Stage,
 }
@@ -41,7 +41,7 @@
 
 /// Jobs before some events are applied, for [`Index::note`].
 #[derive(Clone, Debug, Default)]
-pub struct Before(IndexMap<JobId, Option<View>>);
+pub struct JobsBefore(IndexMap<JobId, Option<IndexedJob>>);
 
 /// Placed jobs by worker, waiting jobs by entry, and ended jobs by age.
 #[derive(Debug, Default)]
@@ -58,42 +58,48 @@
     pub fn build(state: &State, now: Millis) -> Self {
         let mut index = Self::default();
         for (id, job) in &state.jobs {
-            index.enter(id, &view(job), now, Side::Back);
+            index.insert_job(id, &indexed(job), now, Side::Back);
         }
         index
     }
 
     /// Captures the jobs that `events` refer to, before the events are applied to `state`.
-    pub fn before(state: &State, events: &[Event]) -> Before {
+    pub fn before(state: &State, events: &[Event]) -> JobsBefore {
         let jobs = events.iter().filter_map(Event::job);
-        Before(
-            jobs.map(|id| (id.clone(), state.jobs.get(id).map(view)))
+        JobsBefore(
+            jobs.map(|id| (id.clone(), state.jobs.get(id).map(indexed)))
                 .collect(),
         )
     }
 
     /// Updates the index after events were applied to `state`; `before` was captured for the same
     /// events.
-    pub fn note(&mut self, before: Before, state: &State, now: Millis) {
+    pub fn note(&mut self, before: JobsBefore, state: &State, now: Millis) {
         for (id, before) in before.0 {
-            let after = state.jobs.get(&id).map(view);
+            let after = state.jobs.get(&id).map(indexed);
             if before != after {
                 self.change(&id, before, after, now);
             }
         }
     }
 
-    fn change(&mut self, id: &JobId, before: Option<View>, after: Option<View>, now: Millis) {
+    fn change(
+        &mut self,
+        id: &JobId,
+        before: Option<IndexedJob>,
+        after: Option<IndexedJob>,
+        now: Millis,
+    ) {
         // An evicted job was accepted before any job that still waits.
         let side = match before {
             Some(_) => Side::Front,
             None => Side::Back,
         };
-        if let Some(view) = before {
-            self.leave(id, &view);
+        if let Some(indexed) = before {
+            self.remove_job(id, &indexed);
         }
-        if let Some(view) = after {
-            self.enter(id, &view, now, side);
+        if let Some(indexed) = after {
+            self.insert_job(id, &indexed, now, side);
         }
     }
 
@@ -144,34 +150,37 @@
         self.counts.get(entry).copied().unwrap_or_default()
     }
 
-    /// Removes and returns up to `most` ended jobs: those that ended before `before`, and the
+    /// Removes and returns up to `limit` ended jobs: those that ended before `before`, and the
     /// oldest of those beyond the `keep` newest.
-    pub fn take_expired_jobs(&mut self, before: Millis, keep: usize, most: usize) -> Vec<JobId> {
-        take_expired(&mut self.ended_jobs, before, keep, most)
+    pub fn take_expired_jobs(&mut self, before: Millis, keep: usize, limit: usize) -> Vec<JobId> {
+        take_expired(&mut self.ended_jobs, before, keep, limit)
     }
 
-    fn enter(&mut self, id: &JobId, view: &View, now: Millis, side: Side) {
-        match &view.stage {
+    fn insert_job(&mut self, id: &JobId, indexed: &IndexedJob, now: Millis, side: Side) {
+        match &indexed.stage {
             Stage::Waiting => {
-                let queue = self.waiting.entry(view.entry.clone()).or_default();
+                let queue = self.waiting.entry(indexed.entry.clone()).or_default();
                 match side {
                     Side::Front => queue.push_front(id.clone()),
                     Side::Back => queue.push_back(id.clone()),
                 }
-                self.counts.entry(view.entry.clone()).or_default().waiting += 1;
+                self.counts
+                    .entry(indexed.entry.clone())
+                    .or_default()
+                    .waiting += 1;
             }
             Stage::Placed(worker) => {
                 let jobs = self.by_worker.entry(worker.clone()).or_default();
                 jobs.insert(id.clone());
-                self.counts.entry(view.entry.clone()).or_default().placed += 1;
+                self.counts.entry(indexed.entry.clone()).or_default().placed += 1;
             }
             Stage::Ended => self.ended_jobs.push_back((now, id.clone())),
         }
     }
 
-    fn leave(&mut self, id: &JobId, view: &View) {
-        let counts = self.counts.entry(view.entry.clone()).or_default();
-        match &view.stage {
+    fn remove_job(&mut self, id: &JobId, indexed: &IndexedJob) {
+        let counts = self.counts.entry(indexed.entry.clone()).or_default();
+        match &indexed.stage {
             Stage::Waiting => counts.waiting -= 1,
             Stage::Placed(worker) => {
                 counts.placed -= 1;
@@ -184,8 +193,8 @@
             }
             Stage::Ended => {}
         }
-        if self.counts.get(&view.entry) == Some(&Counts::default()) {
-            self.counts.swap_remove(&view.entry);
+        if self.counts.get(&indexed.entry) == Some(&Counts::default()) {
+            self.counts.swap_remove(&indexed.entry);
         }
     }
 }
@@ -196,13 +205,13 @@
     Back,
 }
 
-fn view(job: &Job) -> View {
+fn indexed(job: &Job) -> IndexedJob {
     let stage = match &job.phase {
         JobPhase::Waiting => Stage::Waiting,
         JobPhase::Placed(placement) => Stage::Placed(placement.worker.clone()),
         JobPhase::Ended(_) => Stage::Ended,
     };
-    View {
+    IndexedJob {
         entry: job.entry.clone(),
         stage,
     }
@@ -212,10 +221,10 @@
     list: &mut VecDeque<(Millis, T)>,
     before: Millis,
     keep: usize,
-    most: usize,
+    limit: usize,
 ) -> Vec<T> {
     let mut taken = Vec::new();
-    while taken.len() < most {
+    while taken.len() < limit {
         let expired = list.front().is_some_and(|(at, _)| *at < before);
         if !expired && list.len() <= keep {
             break;
--- a/src/lapisdrum/daemon/jobs.rs
+++ b/src/lapisdrum/daemon/jobs.rs
@@ -46,7 +46,7 @@
     if let Err(refusal) = check_entry(cx, entry) {
         return JobAnswer::Refused(refusal);
     }
-    let Some((shard, unique)) = place_of(cx, key) else {
+    let Some((shard, unique)) = assign(cx, key) else {
         return JobAnswer::Refused(Refusal::NoOwner {
             retry_after: NO_OWNER_RETRY,
         });
@@ -57,14 +57,14 @@
         job: job.clone(),
         entry: entry.clone(),
     };
-    at_owner(cx, &shard, job, req).await
+    call_owner(cx, &shard, job, req).await
 }
 
 /// The shard of a new job, and its number within the shard. With a key both depend on the key
 /// alone, so that a repeat through any daemon of any data centre finds the first call's job.
 /// Without a key a shard of this data centre is picked at random. None while the home shards of
 /// keys are not known.
-fn place_of(cx: &Cx, key: Option<&RequestId>) -> Option<(ShardId, u64)> {
+fn assign(cx: &Cx, key: Option<&RequestId>) -> Option<(ShardId, u64)> {
     if let Some(key) = key {
         let home = claims::home_of(cx, key)?;
         return Some((home, xxh3_64(key.as_str().as_bytes())));
@@ -80,7 +80,7 @@
         return JobAnswer::Refused(Refusal::UnknownJob(job));
     };
     let req = PeerRequest::ShowJob(job.clone());
-    at_owner(cx, &shard, job, req).await
+    call_owner(cx, &shard, job, req).await
 }
 
 /// Cancels a job. One that has ended or is already being cancelled is returned unchanged.
@@ -89,10 +89,10 @@
         return JobAnswer::Refused(Refusal::UnknownJob(job));
     };
     let req = PeerRequest::CancelJob(job.clone());
-    at_owner(cx, &shard, job, req).await
+    call_owner(cx, &shard, job, req).await
 }
 
-async fn at_owner(cx: &Cx, shard: &ShardId, job: JobId, req: PeerRequest) -> JobAnswer {
+async fn call_owner(cx: &Cx, shard: &ShardId, job: JobId, req: PeerRequest) -> JobAnswer {
     let reply = if cx.shards.borrow().contains_key(shard) {
         answer(cx, req).await
     } else {
@@ -101,10 +101,10 @@
                 retry_after: NO_OWNER_RETRY,
             });
         };
-        let reads_only = matches!(req, PeerRequest::ShowJob(_));
+        let is_read_only = matches!(req, PeerRequest::ShowJob(_));
         match cx.peers.call(&address, req).await {
             Ok(reply) => reply,
-            Err(_) if reads_only => PeerReply::Refused(Refusal::NoOwner {
+            Err(_) if is_read_only => PeerReply::Refused(Refusal::NoOwner {
                 retry_after: NO_OWNER_RETRY,
             }),
             Err(_) => PeerReply::Unknown,
@@ -120,33 +120,33 @@
 /// Answers a call about a job as the owner of its shard.
 pub async fn answer(cx: &Cx, req: PeerRequest) -> PeerReply {
     match req {
-        PeerRequest::SubmitJob { shard, job, entry } => match owned(cx, &shard) {
+        PeerRequest::SubmitJob { shard, job, entry } => match owned_shard(cx, &shard) {
             Ok(shard) => accept(cx, &shard, job, &entry).await,
             Err(refusal) => PeerReply::Refused(refusal),
         },
-        PeerRequest::ShowJob(job) => match find(cx, &job) {
+        PeerRequest::ShowJob(job) => match find_job(cx, &job) {
             Ok((_, found)) => PeerReply::Job(found),
             Err(refusal) => PeerReply::Refused(refusal),
         },
-        PeerRequest::CancelJob(job) => match find(cx, &job) {
-            Ok((shard, found)) => end_by_caller(cx, &shard, &job, found).await,
+        PeerRequest::CancelJob(job) => match find_job(cx, &job) {
+            Ok((shard, found)) => cancel_owned(cx, &shard, &job, found).await,
             Err(refusal) => PeerReply::Refused(refusal),
         },
         _ => PeerReply::Unknown,
     }
 }
 
-fn owned(cx: &Cx, shard: &ShardId) -> Result<Rc<Shard>, Refusal> {
-    let own = cx.shards.borrow().get(shard).cloned();
-    let own = own.filter(|shard| shard.is_serving());
-    own.ok_or(Refusal::NoOwner {
+fn owned_shard(cx: &Cx, shard: &ShardId) -> Result<Rc<Shard>, Refusal> {
+    let held = cx.shards.borrow().get(shard).cloned();
+    let held = held.filter(|shard| shard.is_serving());
+    held.ok_or(Refusal::NoOwner {
         retry_after: NO_OWNER_RETRY,
     })
 }
 
-fn find(cx: &Cx, job: &JobId) -> Result<(Rc<Shard>, Job), Refusal> {
+fn find_job(cx: &Cx, job: &JobId) -> Result<(Rc<Shard>, Job), Refusal> {
     let unknown = || Refusal::UnknownJob(job.clone());
-    let shard = owned(cx, &job.shard().ok_or_else(unknown)?)?;
+    let shard = owned_shard(cx, &job.shard().ok_or_else(unknown)?)?;
     let found = shard.job(job).ok_or_else(unknown)?;
     Ok((shard, found))
 }
@@ -171,7 +171,7 @@
         return match known.entry == *name {
             true => {
                 let accepted = !shard.journal.is_unaccepted(&job);
-                settled(cx, shard, &job, accepted).await
+                reply_when_durable(cx, shard, &job, accepted).await
             }
             false => PeerReply::Refused(Refusal::WrongClass {
                 entry: known.entry,
@@ -208,24 +208,24 @@
         Ok(ticket) => ticket,
         Err(e) => return PeerReply::Refused(e.refusal()),
     };
-    answer_for(shard, job, ticket.end_within(write_limit(cx)).await)
+    reply_for(shard, job, ticket.end_within(write_timeout(cx)).await)
 }
 
 /// Replies to a repeated submission or cancellation. Unless the first one is durable, the reply
 /// waits for its row, since the row may still be lost. Later events of the job do not delay the
 /// reply.
-async fn settled(cx: &Cx, shard: &Shard, job: &JobId, is_settled: bool) -> PeerReply {
-    if is_settled {
-        return answer_for(shard, job, WriteEnd::Committed);
+async fn reply_when_durable(cx: &Cx, shard: &Shard, job: &JobId, is_durable: bool) -> PeerReply {
+    if is_durable {
+        return reply_for(shard, job, WriteEnd::Committed);
     }
     let end = match shard.propose(cx, Vec::new(), Urgency::Urgent) {
-        Ok(barrier) => barrier.end_within(write_limit(cx)).await,
+        Ok(barrier) => barrier.end_within(write_timeout(cx)).await,
         Err(_) => WriteEnd::Unknown,
     };
-    answer_for(shard, job, end)
+    reply_for(shard, job, end)
 }
 
-fn answer_for(shard: &Shard, job: &JobId, end: WriteEnd) -> PeerReply {
+fn reply_for(shard: &Shard, job: &JobId, end: WriteEnd) -> PeerReply {
     match end {
         WriteEnd::Committed => shard.job(job).map_or(PeerReply::Unknown, PeerReply::Job),
         WriteEnd::NotWritten => PeerReply::Refused(Refusal::NoOwner {
@@ -237,7 +237,7 @@
 
 /// Time after which the outcome of a write counts as unknown to the caller: enough for two attempts
 /// to write to the table.
-fn write_limit(cx: &Cx) -> Duration {
+fn write_timeout(cx: &Cx) -> Duration {
     cx.cfg.platform.timeout * 2 + cx.cfg.shards.write_spacing
 }
 
@@ -276,10 +276,10 @@
     Ok(entry)
 }
 
-async fn end_by_caller(cx: &Cx, shard: &Rc<Shard>, job: &JobId, found: Job) -> PeerReply {
+async fn cancel_owned(cx: &Cx, shard: &Rc<Shard>, job: &JobId, found: Job) -> PeerReply {
     let Some(event) = upkeep::cancel(job, &found) else {
-        let settled_by_now = !shard.journal.is_unsettled(job);
-        return settled(cx, shard, job, settled_by_now).await;
+        let is_durable = !shard.journal.is_unsettled(job);
+        return reply_when_durable(cx, shard, job, is_durable).await;
     };
     let reply = write(cx, shard, job, event).await;
     if matches!(reply, PeerReply::Job(_)) {
--- a/src/lapisdrum/daemon/journal.rs
+++ b/src/lapisdrum/daemon/journal.rs
@@ -44,7 +44,7 @@
 const LONGEST_RETRY: Duration = Duration::from_secs(1);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Standing {
+enum WriterStatus {
     Writing,
     Stalled,
     Lost,
@@ -53,15 +53,15 @@
 struct Inner {
     state: State,
     index: Index,
-    open: VecDeque<Proposal>,
+    queued: VecDeque<Proposal>,
     /// Waiters for the row whose write is in flight.
-    under_way: Vec<oneshot::Sender<WriteEnd>>,
+    in_flight: Vec<oneshot::Sender<WriteEnd>>,
     pending: Pending,
     due: Option<Millis>,
-    written_at: Option<Millis>,
-    standing: Standing,
-    since_snapshot: u64,
-    is_storing: bool,
+    last_write_at: Option<Millis>,
+    status: WriterStatus,
+    rows_since_snapshot: u64,
+    is_storing_snapshot: bool,
     snapshot: Option<Snapshot>,
     first_row: Sequence,
 }
@@ -72,8 +72,8 @@
     epoch: Epoch,
     epoch_version: u64,
     inner: RefCell<Inner>,
-    work: Notify,
-    snapshot_work: Notify,
+    wakeup: Notify,
+    snapshot_ready: Notify,
 }
 
 /// A batch to write, and the snapshot to store after it if one is due.
@@ -82,7 +82,7 @@
     snapshot: Option<Snapshot>,
 }
 
-enum Settled {
+enum AppendOutcome {
     Committed,
     Refused,
     Lost,
@@ -94,14 +94,14 @@
         let inner = Inner {
             state: State::default(),
             index: Index::default(),
-            open: VecDeque::new(),
-            under_way: Vec::new(),
+            queued: VecDeque::new(),
+            in_flight: Vec::new(),
             pending: Pending::default(),
             due: None,
-            written_at: None,
-            standing: Standing::Stalled,
-            since_snapshot: 0,
-            is_storing: false,
+            last_write_at: None,
+            status: WriterStatus::Stalled,
+            rows_since_snapshot: 0,
+            is_storing_snapshot: false,
             snapshot: None,
             first_row: Sequence::default().next(),
         };
@@ -110,8 +110,8 @@
             epoch,
             epoch_version,
             inner: RefCell::new(inner),
-            work: Notify::new(),
-            snapshot_work: Notify::new(),
+            wakeup: Notify::new(),
+            snapshot_ready: Notify::new(),
         }
     }
 
@@ -158,7 +158,7 @@
 
     /// Whether the table accepted the last row without a retry.
     pub fn is_writing(&self) -> bool {
-        self.inner.borrow().standing == Standing::Writing
+        self.inner.borrow().status == WriterStatus::Writing
     }
 
     /// Applies events and queues them to be written in one row. On an error nothing is changed.
@@ -170,10 +170,10 @@
         urgency: Urgency,
     ) -> Result<Ticket, ProposeError> {
         let inner = &mut *self.inner.borrow_mut();
-        match inner.standing {
-            Standing::Writing => {}
-            Standing::Stalled => return Err(ProposeError::Stalled),
-            Standing::Lost => return Err(ProposeError::Lost),
+        match inner.status {
+            WriterStatus::Writing => {}
+            WriterStatus::Stalled => return Err(ProposeError::Stalled),
+            WriterStatus::Lost => return Err(ProposeError::Lost),
         }
         let now = cx.clock.now();
         let before = Index::before(&inner.state, &events);
@@ -186,26 +186,26 @@
             inner.pending.add(event);
         }
         let (waiter, ticket) = Ticket::new();
-        inner.open.push_back(Proposal { events, waiter });
+        inner.queued.push_back(Proposal { events, waiter });
         let linger = match urgency {
             Urgency::Urgent => cx.cfg.shards.linger_urgent,
             Urgency::Batch => cx.cfg.shards.linger_batch,
         };
         let due = now + linger;
         inner.due = Some(inner.due.map_or(due, |earlier| earlier.min(due)));
-        self.work.notify_one();
+        self.wakeup.notify_one();
         Ok(ticket)
     }
 
     /// Stops the ledger: this owner writes nothing more. A row in flight may still be written.
     pub fn lose(&self) {
         let inner = &mut *self.inner.borrow_mut();
-        inner.standing = Standing::Lost;
-        for proposal in inner.open.drain(..) {
+        inner.status = WriterStatus::Lost;
+        for proposal in inner.queued.drain(..) {
             let _ = proposal.waiter.send(WriteEnd::NotWritten);
         }
-        answer(&mut inner.under_way, WriteEnd::Unknown);
-        self.work.notify_one();
+        answer(&mut inner.in_flight, WriteEnd::Unknown);
+        self.wakeup.notify_one();
     }
 
     /// Loads the last snapshot and the rows after it. The epoch was raised before, so no previous
@@ -224,37 +224,37 @@
         let first_row = batches.first().map(|batch| batch.sequence);
         let replayed = state.replay(&batches)?;
         let inner = &mut *self.inner.borrow_mut();
-        if inner.standing == Standing::Lost {
+        if inner.status == WriterStatus::Lost {
             return Ok(());
         }
         inner.first_row = first_row.unwrap_or(state.sequence.next());
         inner.index = Index::build(&state, cx.clock.now());
         inner.state = state;
-        inner.since_snapshot = replayed;
-        inner.standing = Standing::Writing;
+        inner.rows_since_snapshot = replayed;
+        inner.status = WriterStatus::Writing;
         Ok(())
     }
 
     /// Writes proposed events until the shard is lost. `may_act` returns whether the
     /// lease is still valid.
     pub async fn write_all(&self, cx: &Cx, may_act: impl Fn() -> bool) {
-        while let Some(mut due) = self.next_due(cx).await {
+        while let Some(mut due) = self.wait_for_due(cx).await {
             while due > cx.clock.now() {
                 let wait = due.since(cx.clock.now());
                 tokio::select! {
                     () = tokio::time::sleep(wait) => {}
-                    () = self.work.notified() => {}
+                    () = self.wakeup.notified() => {}
                 }
                 due = self.effective_due(cx).unwrap_or_default();
             }
             let Some(Outgoing { batch, snapshot }) = self.take_batch(cx) else {
                 continue;
             };
-            let settled = self.settle(cx, &batch, &may_act).await;
-            let end = match settled {
-                Settled::Committed => WriteEnd::Committed,
-                Settled::Refused => WriteEnd::NotWritten,
-                Settled::Lost => WriteEnd::Unknown,
+            let outcome = self.append_until_known(cx, &batch, &may_act).await;
+            let end = match outcome {
+                AppendOutcome::Committed => WriteEnd::Committed,
+                AppendOutcome::Refused => WriteEnd::NotWritten,
+                AppendOutcome::Lost => WriteEnd::Unknown,
             };
             self.end_batch(&batch, end);
             if end != WriteEnd::Committed {
@@ -265,7 +265,7 @@
             cx.metrics.ledger_events.inc_by(batch.events.len() as u64);
             if let Some(snapshot) = snapshot {
                 self.inner.borrow_mut().snapshot = Some(snapshot);
-                self.snapshot_work.notify_one();
+                self.snapshot_ready.notify_one();
             }
         }
     }
@@ -275,18 +275,18 @@
         for event in &batch.events {
             inner.pending.remove(event);
         }
-        answer(&mut inner.under_way, end);
+        answer(&mut inner.in_flight, end);
     }
 
-    async fn next_due(&self, cx: &Cx) -> Option<Millis> {
+    async fn wait_for_due(&self, cx: &Cx) -> Option<Millis> {
         loop {
-            if self.inner.borrow().standing == Standing::Lost {
+            if self.inner.borrow().status == WriterStatus::Lost {
                 return None;
             }
             if let Some(due) = self.effective_due(cx) {
                 return Some(due);
             }
-            self.work.notified().await;
+            self.wakeup.notified().await;
         }
     }
 
@@ -294,28 +294,30 @@
     /// the last row is older than that, an event waits only for its own linger.
     fn effective_due(&self, cx: &Cx) -> Option<Millis> {
         let inner = self.inner.borrow();
-        let spaced = inner.written_at.map(|at| at + cx.cfg.shards.write_spacing);
-        inner.due.map(|due| due.max(spaced.unwrap_or_default()))
+        let earliest = inner
+            .last_write_at
+            .map(|at| at + cx.cfg.shards.write_spacing);
+        inner.due.map(|due| due.max(earliest.unwrap_or_default()))
     }
 
     fn take_batch(&self, cx: &Cx) -> Option<Outgoing> {
         let inner = &mut *self.inner.borrow_mut();
-        let most = cx.cfg.shards.row_events;
+        let max_events = cx.cfg.shards.row_events;
         let mut events = Vec::new();
-        while let Some(proposal) = inner.open.front() {
-            if !events.is_empty() && events.len() + proposal.events.len() > most {
+        while let Some(proposal) = inner.queued.front() {
+            if !events.is_empty() && events.len() + proposal.events.len() > max_events {
                 break;
             }
-            if let Some(proposal) = inner.open.pop_front() {
+            if let Some(proposal) = inner.queued.pop_front() {
                 events.extend(proposal.events);
-                inner.under_way.push(proposal.waiter);
+                inner.in_flight.push(proposal.waiter);
             }
         }
         // Proposals that did not fit are written as soon as the spacing allows.
-        inner.due = (!inner.open.is_empty()).then(|| cx.clock.now());
+        inner.due = (!inner.queued.is_empty()).then(|| cx.clock.now());
         if events.is_empty() {
             // There is one write at a time, so everything proposed before is durable.
-            answer(&mut inner.under_way, WriteEnd::Committed);
+            answer(&mut inner.in_flight, WriteEnd::Committed);
             return None;
         }
         let batch = Batch {
@@ -324,16 +326,16 @@
             nonce: rand::random(),
             events,
         };
-        inner.written_at = Some(cx.clock.now());
+        inner.last_write_at = Some(cx.clock.now());
         inner.state.sequence = batch.sequence;
         inner.state.epoch = self.epoch;
-        inner.since_snapshot += 1;
+        inner.rows_since_snapshot += 1;
         // A state that includes later events must not be stored under this row's number.
         let is_due =
-            inner.since_snapshot >= cx.cfg.shards.snapshot_batches && inner.open.is_empty();
-        let snapshot = (is_due && !inner.is_storing).then(|| {
-            inner.since_snapshot = 0;
-            inner.is_storing = true;
+            inner.rows_since_snapshot >= cx.cfg.shards.snapshot_batches && inner.queued.is_empty();
+        let snapshot = (is_due && !inner.is_storing_snapshot).then(|| {
+            inner.rows_since_snapshot = 0;
+            inner.is_storing_snapshot = true;
             Snapshot {
                 sequence: batch.sequence,
                 state: inner.state.clone(),
@@ -343,44 +345,51 @@
     }
 
     /// Tries to write a batch until its outcome is known or the ledger is stopped.
-    async fn settle(&self, cx: &Cx, batch: &Batch, may_act: &impl Fn() -> bool) -> Settled {
+    async fn append_until_known(
+        &self,
+        cx: &Cx,
+        batch: &Batch,
+        may_act: &impl Fn() -> bool,
+    ) -> AppendOutcome {
         let txn = append(&self.shard, self.epoch_version, batch);
         let mut backoff = Backoff::new(FIRST_RETRY, LONGEST_RETRY);
-        let mut in_doubt = false;
+        let mut may_be_written = false;
         loop {
-            if self.inner.borrow().standing == Standing::Lost {
-                return if in_doubt {
-                    Settled::Lost
+            if self.inner.borrow().status == WriterStatus::Lost {
+                return if may_be_written {
+                    AppendOutcome::Lost
                 } else {
-                    Settled::Refused
+                    AppendOutcome::Refused
                 };
             }
             // An owner that was paused may resume here after its lease has expired and must not
             // write. A row that was sent before may be sent again: the epoch check still guards it.
-            if in_doubt || may_act() {
+            if may_be_written || may_act() {
                 match cx.platform.txn(&txn).await {
                     TxnOutcome::Committed(_) => {
-                        self.set_standing(Standing::Writing);
-                        return Settled::Committed;
+                        self.set_status(WriterStatus::Writing);
+                        return AppendOutcome::Committed;
                     }
                     TxnOutcome::Conflict(conflict) => {
-                        let found = self.read_back(cx, batch, in_doubt, &conflict.key).await;
-                        if let Some(settled) = found {
-                            return settled;
+                        let found = self
+                            .read_back(cx, batch, may_be_written, &conflict.key)
+                            .await;
+                        if let Some(outcome) = found {
+                            return outcome;
                         }
                     }
                     TxnOutcome::Unknown(_) => {
                         cx.metrics.platform_unknown.inc();
-                        in_doubt = true;
+                        may_be_written = true;
                         // Read before sending again: the next reply may be lost too.
-                        if self.is_in(cx, batch).await {
-                            self.set_standing(Standing::Writing);
-                            return Settled::Committed;
+                        if self.is_written(cx, batch).await {
+                            self.set_status(WriterStatus::Writing);
+                            return AppendOutcome::Committed;
                         }
                     }
                 }
             }
-            self.set_standing(Standing::Stalled);
+            self.set_status(WriterStatus::Stalled);
             let wait = backoff.next_wait(&mut rand::rng());
             tokio::time::sleep(wait).await;
         }
@@ -393,24 +402,24 @@
         &self,
         cx: &Cx,
         batch: &Batch,
-        in_doubt: bool,
+        may_be_written: bool,
         conflict: &str,
-    ) -> Option<Settled> {
-        if !in_doubt && conflict == epoch_key(&self.shard) {
-            return Some(Settled::Refused);
+    ) -> Option<AppendOutcome> {
+        if !may_be_written && conflict == epoch_key(&self.shard) {
+            return Some(AppendOutcome::Refused);
         }
         match self.row_at(cx, batch.sequence).await? {
             Some(found) if found.nonce == batch.nonce => {
-                self.set_standing(Standing::Writing);
-                Some(Settled::Committed)
+                self.set_status(WriterStatus::Writing);
+                Some(AppendOutcome::Committed)
             }
             // The next owner may have replaced the row with a snapshot.
-            None => Some(Settled::Lost),
-            Some(_) => Some(Settled::Refused),
+            None => Some(AppendOutcome::Lost),
+            Some(_) => Some(AppendOutcome::Refused),
         }
     }
 
-    async fn is_in(&self, cx: &Cx, batch: &Batch) -> bool {
+    async fn is_written(&self, cx: &Cx, batch: &Batch) -> bool {
         let found = self.row_at(cx, batch.sequence).await.flatten();
         found.is_some_and(|found| found.nonce == batch.nonce)
     }
@@ -423,10 +432,10 @@
         Some(row.and_then(|row| row.parse::<Batch>()))
     }
 
-    fn set_standing(&self, standing: Standing) {
+    fn set_status(&self, status: WriterStatus) {
         let mut inner = self.inner.borrow_mut();
-        if inner.standing != Standing::Lost {
-            inner.standing = standing;
+        if inner.status != WriterStatus::Lost {
+            inner.status = status;
         }
     }
 
@@ -436,13 +445,13 @@
             if let Some(snapshot) = self.inner.borrow_mut().snapshot.take() {
                 return snapshot;
             }
-            self.snapshot_work.notified().await;
+            self.snapshot_ready.notified().await;
         }
     }
 
     /// Notes that storing a snapshot succeeded or failed; after a failure more rows need replay.
     pub fn end_snapshot(&self) {
-        self.inner.borrow_mut().is_storing = false;
+        self.inner.borrow_mut().is_storing_snapshot = false;
     }
 
     /// Sequence number of the first row that is not known to be deleted.
--- a/src/lapisdrum/daemon/listing.rs
+++ b/src/lapisdrum/daemon/listing.rs
@@ -129,11 +129,11 @@
 /// Lists the matching jobs of every known shard; the owners are asked concurrently.
 pub async fn list(cx: &Cx, filter: &JobFilter) -> Listing {
     let shards = known_shards(cx);
-    let asked = shards.iter().map(|shard| list_shard(cx, shard, filter));
-    let answers = futures::future::join_all(asked).await;
+    let requests = shards.iter().map(|shard| list_shard(cx, shard, filter));
+    let replies = futures::future::join_all(requests).await;
     let mut listing = Listing::default();
-    for (shard, answer) in shards.into_iter().zip(answers) {
-        match answer {
+    for (shard, reply) in shards.into_iter().zip(replies) {
+        match reply {
             Some(jobs) => listing.shards.push(jobs),
             None => listing.missing.push(shard),
         }
@@ -159,9 +159,9 @@
 /// The matching jobs of a shard that this daemon owns.
 pub fn jobs_of(shard: &Shard, filter: &JobFilter) -> ShardJobs {
     let state = shard.state();
-    let wanted = |(_, job): &(&JobId, &Job)| filter.matches(job);
-    let matching = state.jobs.iter().filter(wanted).count();
-    let newest = state.jobs.iter().rev().filter(wanted).take(MAX_LISTED);
+    let matches = |(_, job): &(&JobId, &Job)| filter.matches(job);
+    let matching = state.jobs.iter().filter(matches).count();
+    let newest = state.jobs.iter().rev().filter(matches).take(MAX_LISTED);
     let mut jobs: Vec<_> = newest.map(|(id, job)| (id.clone(), job.clone())).collect();
     jobs.reverse();
     ShardJobs {
--- a/src/lapisdrum/daemon/members.rs
+++ b/src/lapisdrum/daemon/members.rs
@@ -69,18 +69,18 @@
     /// Version tag of that list, sent with the next read so that an unchanged list is not resent.
     pub hosts_tag: Option<String>,
     /// Hosts that any list read by this process contained.
-    named: IndexSet<WorkerId>,
+    ever_listed: IndexSet<WorkerId>,
     /// Addresses of all hosts in the current list.
-    addresses: IndexSet<IpAddr>,
+    listed_addresses: IndexSet<IpAddr>,
     by_shard: IndexMap<ShardId, Vec<WorkerId>>,
     shard_count: u32,
 }
 
 impl Members {
     /// Daemons of a data centre whose rows changed within `timeout`, in name order.
-    pub fn live(&self, dc: &DataCentre, now: Millis, patience: Duration) -> Vec<&Presence> {
+    pub fn live(&self, dc: &DataCentre, now: Millis, timeout: Duration) -> Vec<&Presence> {
         let fresh = |seen: &&SeenPresence| {
-            seen.row.data_centre == *dc && now.since(seen.seen.since) <= patience
+            seen.row.data_centre == *dc && now.since(seen.seen.since) <= timeout
         };
         let mut live: Vec<_> = self
             .daemons
@@ -122,9 +122,9 @@
             let workers = self.by_shard.entry(shard).or_default();
             workers.push(host.worker.clone());
         }
-        self.named
+        self.ever_listed
             .extend(hosts.iter().map(|host| host.worker.clone()));
-        self.addresses = hosts
+        self.listed_addresses = hosts
             .iter()
             .filter_map(|host| ip_of(&host.address))
             .collect();
@@ -137,12 +137,12 @@
 
     /// Whether any list read by this process contained the worker.
     pub fn was_named(&self, worker: &WorkerId) -> bool {
-        self.named.contains(worker)
+        self.ever_listed.contains(worker)
     }
 
     /// Whether the platform's list contains the host at `address` (IP address and port).
     pub fn is_listed(&self, address: &str) -> bool {
-        ip_of(address).is_some_and(|ip| self.addresses.contains(&ip))
+        ip_of(address).is_some_and(|ip| self.listed_addresses.contains(&ip))
     }
 
     /// Whether another incarnation of a daemon now runs at `holder`'s address: its presence row
--- a/src/lapisdrum/daemon/mod.rs
+++ b/src/lapisdrum/daemon/mod.rs
@@ -59,7 +59,7 @@
 /// Longest time that a graceful shutdown waits for floors and shards to be released. If the
 /// platform is unavailable they lapse instead, so that the process ends before its host is shut
 /// down.
-const GIVE_UP_TIMEOUT: Duration = Duration::from_secs(3);
+const RELEASE_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// The context that is passed to every component of a daemon.
 pub type Cx = Rc<Daemon>;
@@ -180,7 +180,7 @@
     let callers = listen(cfg.daemon.callers).await?;
     let peers = listen(cfg.daemon.peers).await?;
     let cx = Daemon::new(cfg);
-    let supervisor = start_parts(&cx, callers, peers);
+    let supervisor = start_components(&cx, callers, peers);
     stop.await;
     drain(&cx, &supervisor).await;
     Ok(())
@@ -191,7 +191,7 @@
     bound.wrap_err_with(|| format!("failed to listen on {address}; is another daemon there?"))
 }
 
-fn start_parts(cx: &Cx, callers: TcpListener, peers: TcpListener) -> Supervisor {
+fn start_components(cx: &Cx, callers: TcpListener, peers: TcpListener) -> Supervisor {
     let supervisor = Supervisor::new(Rc::clone(cx));
     supervisor.start("catalogue", catalogue::follow);
     supervisor.start("registrar", registrar::run);
@@ -218,11 +218,11 @@
     cx.timeline.record(Happening::DaemonDraining {});
     log::info!("draining");
     cx.draining.send_replace(true);
-    let answered = async {
+    let requests_done = async {
         supervisor.finished("api-server").await;
         router::finished(cx).await;
     };
-    if tokio::time::timeout(cx.cfg.daemon.drain, answered)
+    if tokio::time::timeout(cx.cfg.daemon.drain, requests_done)
         .await
         .is_err()
     {
@@ -234,12 +234,12 @@
     supervisor.stop("claims");
     supervisor.stop("queue");
     supervisor.stop("shares");
-    let give_up = async {
+    let release = async {
         shares::give_back(cx).await;
         grants::give_back(cx).await;
         registrar::release_all(cx).await;
     };
-    if tokio::time::timeout(GIVE_UP_TIMEOUT, give_up)
+    if tokio::time::timeout(RELEASE_TIMEOUT, release)
         .await
         .is_err()
     {
--- a/src/lapisdrum/daemon/observer.rs
+++ b/src/lapisdrum/daemon/observer.rs
@@ -24,19 +24,19 @@
 
 /// Consecutive rounds in which a daemon must exceed its even share before it releases a shard. A
 /// daemon that restarts often would otherwise make shards move, and each move costs a recovery.
-const ROUNDS_ABOVE_PART: u32 = 10;
+const ROUNDS_BEFORE_RELEASE: u32 = 10;
 /// Margin after the expiry of a lease, so that it has certainly expired when it is checked.
-const JUST_AFTER: Duration = Duration::from_millis(2);
+const LAPSE_MARGIN: Duration = Duration::from_millis(2);
 /// One in this many rounds also reads the daemons and shards of other data centres. They are needed
 /// only for requests that spill over and for passing on the catalogue.
-const ROUNDS_BETWEEN_OTHERS: u32 = 10;
+const ROUNDS_PER_FULL_READ: u32 = 10;
 /// Age of an unchanged presence row at which it is deleted: longer than the longest hold, since the
 /// row of a dead daemon is needed as evidence for as long as its tasks may matter.
 const STALE_PRESENCE: Duration = Duration::from_secs(25 * 3_600);
 
 /// Refreshes the view of daemons, shards and hosts until the process ends.
 pub async fn run(cx: Cx) -> eyre::Result<()> {
-    let mut above = 0;
+    let mut rounds_above_share = 0;
     let mut round = 0_u32;
     let mut rounds = tokio::time::interval(cx.cfg.shards.renew.min(cx.cfg.platform.poll));
     rounds.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -46,9 +46,9 @@
         // unavailable.
         let _ = tokio::select! {
             _ = rounds.tick() => {
-                let others = round.is_multiple_of(ROUNDS_BETWEEN_OTHERS);
+                let all_data_centres = round.is_multiple_of(ROUNDS_PER_FULL_READ);
                 round = round.wrapping_add(1);
-                look(&cx, &mut above, others).await
+                refresh(&cx, &mut rounds_above_share, all_data_centres).await
             }
             // No new read is needed: a row that was renewed meanwhile has another version, and the
             // transaction fails.
@@ -68,37 +68,41 @@
         .iter()
         .filter(|(id, shard)| id.data_centre() == own && shard.row.holder.is_some());
     let lapses = held
-        .map(|(_, shard)| shard.seen.since + terms.lengthened(terms.lease) + JUST_AFTER)
+        .map(|(_, shard)| shard.seen.since + terms.lengthened(terms.lease) + LAPSE_MARGIN)
         .filter(|lapse| *lapse > now);
     lapses.min().map_or(cx.cfg.shards.renew, |at| at.since(now))
 }
 
-async fn look(cx: &Cx, above: &mut u32, others: bool) -> Result<(), PlatformError> {
-    see_daemons(cx, others).await?;
-    see_shards(cx, others).await?;
+async fn refresh(
+    cx: &Cx,
+    rounds_above_share: &mut u32,
+    all_data_centres: bool,
+) -> Result<(), PlatformError> {
+    read_daemons(cx, all_data_centres).await?;
+    read_shards(cx, all_data_centres).await?;
     // Before any shard is taken: without the list, every host of a recovered shard would seem dead.
-    see_hosts(cx).await?;
+    read_hosts(cx).await?;
     take_available(cx).await?;
     if !cx.is_draining() {
-        balance(cx, above).await;
+        balance(cx, rounds_above_share).await;
     }
     Ok(())
 }
 
 /// Reads the presence rows of this data centre, or of all data centres.
-async fn see_daemons(cx: &Cx, others: bool) -> Result<(), PlatformError> {
+async fn read_daemons(cx: &Cx, all_data_centres: bool) -> Result<(), PlatformError> {
     let own = &cx.cfg.daemon.data_centre;
-    let prefix = match others {
+    let prefix = match all_data_centres {
         true => PRESENCE_PREFIX.to_owned(),
         false => format!("{PRESENCE_PREFIX}{own}/"),
     };
     let rows = cx.platform.list(&prefix).await?;
-    note_daemons(cx, &rows, others);
-    delete_stale(cx).await;
+    note_daemons(cx, &rows, all_data_centres);
+    delete_stale_presence(cx).await;
     Ok(())
 }
 
-fn note_daemons(cx: &Cx, rows: &[Row], others: bool) {
+fn note_daemons(cx: &Cx, rows: &[Row], all_data_centres: bool) {
     let (now, own) = (cx.clock.now(), &cx.cfg.daemon.data_centre);
     let mut members = cx.members.borrow_mut();
     let mut seen = IndexMap::new();
@@ -117,17 +121,17 @@
             },
         );
     }
-    let was_read = |seen: &SeenPresence| others || seen.row.data_centre == *own;
+    let was_read = |seen: &SeenPresence| all_data_centres || seen.row.data_centre == *own;
     members.daemons.retain(|_, seen| !was_read(seen));
     members.daemons.extend(seen);
-    if others {
+    if all_data_centres {
         members.all_read_at = Some(now);
     }
 }
 
 /// Reads the shard rows of this data centre, or of all data centres.
-async fn see_shards(cx: &Cx, others: bool) -> Result<(), PlatformError> {
-    let prefix = match others {
+async fn read_shards(cx: &Cx, all_data_centres: bool) -> Result<(), PlatformError> {
+    let prefix = match all_data_centres {
         true => SHARD_PREFIX.to_owned(),
         false => format!("{SHARD_PREFIX}{}.", cx.cfg.daemon.data_centre),
     };
@@ -135,7 +139,7 @@
     let now = cx.clock.now();
     let mut members = cx.members.borrow_mut();
     for row in rows {
-        let (Some(id), Some(shard)) = (shard_name(&row), row.parse::<ShardRow>()) else {
+        let (Some(id), Some(shard)) = (shard_of_key(&row), row.parse::<ShardRow>()) else {
             continue;
         };
         let before = members.shards.get(&id).map(|before| before.seen);
@@ -145,11 +149,11 @@
     Ok(())
 }
 
-fn shard_name(row: &Row) -> Option<ShardId> {
+fn shard_of_key(row: &Row) -> Option<ShardId> {
     ShardId::try_from(row.key.strip_prefix(SHARD_PREFIX)?).ok()
 }
 
-async fn see_hosts(cx: &Cx) -> Result<(), PlatformError> {
+async fn read_hosts(cx: &Cx) -> Result<(), PlatformError> {
     let known = cx.members.borrow().hosts_tag.clone();
     let dc = &cx.cfg.daemon.data_centre;
     let read = cx.platform.hosts(dc, known.as_deref()).await?;
@@ -167,7 +171,7 @@
 
 /// Deletes presence rows that have not changed for [`STALE_PRESENCE`], so that the list does not
 /// grow with every host that is replaced.
-async fn delete_stale(cx: &Cx) {
+async fn delete_stale_presence(cx: &Cx) {
     let now = cx.clock.now();
     let stale: Vec<(String, u64)> = {
         let members = cx.members.borrow();
@@ -200,7 +204,7 @@
             continue;
         }
         let (row, seen) = last_seen(cx, &id);
-        if is_for_us(cx, row.as_ref(), seen) {
+        if may_take(cx, row.as_ref(), seen) {
             take(cx, id, row.as_ref(), seen.version).await?;
         }
     }
@@ -221,29 +225,29 @@
     }
 }
 
-fn is_for_us(cx: &Cx, row: Option<&ShardRow>, seen: Sighting) -> bool {
+fn may_take(cx: &Cx, row: Option<&ShardRow>, seen: Sighting) -> bool {
     let (terms, now) = (&cx.cfg.shards.terms, cx.clock.now());
     // A take-over whose reply was lost: no daemon has acted under that epoch, so the next epoch may
     // be taken without waiting for the lease to expire.
     let is_own = row.is_some_and(|row| row.holder.as_ref() == Some(&cx.me));
-    let patience = match ownership::availability(row, seen, now, terms) {
+    let wait_above_share = match ownership::availability(row, seen, now, terms) {
         _ if is_own => Duration::ZERO,
         Availability::Held => return false,
         Availability::Vacant => terms.lengthened(terms.lease),
         Availability::Lapsed => terms.lengthened(terms.lease) * 2,
     };
-    cx.shards.borrow().len() < part(cx) || now.since(seen.since) > patience
+    cx.shards.borrow().len() < even_share(cx) || now.since(seen.since) > wait_above_share
 }
 
 /// This daemon's even share of the data centre's shards, rounded up.
-fn part(cx: &Cx) -> usize {
+fn even_share(cx: &Cx) -> usize {
     (cx.cfg.shards.count as usize).div_ceil(live_daemons(cx))
 }
 
 fn live_daemons(cx: &Cx) -> usize {
     let members = cx.members.borrow();
-    let patience = cx.cfg.shards.terms.lengthened(cx.cfg.shards.terms.lease);
-    let live = members.live(&cx.cfg.daemon.data_centre, cx.clock.now(), patience);
+    let timeout = cx.cfg.shards.terms.lengthened(cx.cfg.shards.terms.lease);
+    let live = members.live(&cx.cfg.daemon.data_centre, cx.clock.now(), timeout);
     live.len().max(1)
 }
 
@@ -269,7 +273,7 @@
             None => return Err(e),
         },
     };
-    begin(cx, id, new, &versions, (sent_at, stamp));
+    start_owning(cx, id, new, &versions, (sent_at, stamp));
     Ok(())
 }
 
@@ -294,7 +298,7 @@
 
 /// Starts to own a shard. `sent` is when the take-over was sent, by the daemon's clock and by the
 /// timeline's.
-fn begin(cx: &Cx, id: ShardId, row: ShardRow, versions: &[u64], sent: (Millis, Stamp)) {
+fn start_owning(cx: &Cx, id: ShardId, row: ShardRow, versions: &[u64], sent: (Millis, Stamp)) {
     let (sent_at, stamp) = sent;
     let tenure = Tenure {
         epoch: row.epoch,
@@ -312,18 +316,19 @@
     super::shard::start(cx, shard);
 }
 
-/// Releases one shard if this daemon has exceeded its even share for [`ROUNDS_ABOVE_PART`] rounds.
-async fn balance(cx: &Cx, above: &mut u32) {
+/// Releases one shard if this daemon has exceeded its even share for [`ROUNDS_BEFORE_RELEASE`]
+/// rounds.
+async fn balance(cx: &Cx, rounds_above_share: &mut u32) {
     let held: Vec<Rc<Shard>> = cx.shards.borrow().values().cloned().collect();
-    if held.len() <= part(cx) {
-        *above = 0;
+    if held.len() <= even_share(cx) {
+        *rounds_above_share = 0;
         return;
     }
-    *above += 1;
-    if *above < ROUNDS_ABOVE_PART {
+    *rounds_above_share += 1;
+    if *rounds_above_share < ROUNDS_BEFORE_RELEASE {
         return;
     }
-    *above = 0;
+    *rounds_above_share = 0;
     if let Some(shard) = held.last().filter(|shard| shard.is_serving()) {
         log::info!("shard {} is released to balance", shard.id);
         registrar::release(cx, shard).await;
