--- a/src/lapisdrum/daemon/claims.rs
+++ b/src/lapisdrum/daemon/claims.rs
@@ -183,7 +183,7 @@
     }
 }
 
-/// Whether every claim of this daemon has ended and its homes have recorded the end.
+/// Whether this daemon serves no claimed request and has no end of a claim left to report.
 pub fn all_told(cx: &Cx) -> bool {
     cx.claims.served.borrow().is_empty()
 }
--- a/src/lapisdrum/daemon/members.rs
+++ b/src/lapisdrum/daemon/members.rs
@@ -146,9 +146,9 @@
     }
 
     /// Whether another incarnation of a daemon now runs at `holder`'s address: its presence row
-    /// changed after `since`, when `holder` was a previous owner. Two processes can't share an
-    /// address, so `holder` has ended. An unchanged row proves nothing: it may be older than
-    /// `holder`.
+    /// changed after `since`, a time at which `holder` was already a previous owner. Two processes
+    /// can't share an address, so `holder` has ended. An unchanged row proves nothing: it may be
+    /// older than `holder`.
     pub fn is_replaced(&self, holder: &Holder, since: Millis) -> bool {
         self.daemons.values().any(|seen| {
             let other = &seen.row.holder;
--- a/src/lapisdrum/daemon/mod.rs
+++ b/src/lapisdrum/daemon/mod.rs
@@ -92,7 +92,7 @@
     pub floors: RefCell<Floors>,
     /// Incarnations of other daemons, and which of them have ended.
     pub departures: peers::Departures,
-    /// Peers that recently had no free capacity for a spilled request.
+    /// Peers that recently did not serve a request spilled to them.
     pub full_peers: spill::FullPeers,
     /// Shares of the entries' limits that this daemon and its shards hold.
     pub shares: shares::Held,
