--- a/src/lapisdrum/daemon/journal.rs
+++ b/src/lapisdrum/daemon/journal.rs
@@ -1,13 +1,14 @@
-//! The writer of a shard's ledger: group commit and lost answers read back.
+//! The writer of a shard's ledger: group commit, with a read-back after a lost reply.
 //!
 //! Load pattern: thousands of task starts a second on a table that takes a few hundred writes a
 //! second for the whole system. A row for each event would need a write for each start. Events that
-//! arrive while a write is under way, within a short linger, or before the spacing of writes is
-//! over, share the next row. [`super::snapshots`] keeps the number of rows bounded.
+//! arrive while a write is in flight, within a short linger, or before the minimum spacing of
+//! writes has passed share the next row. [`super::snapshots`] bounds the number of rows.
 //!
-//! An event is applied to the state when it is proposed, so that the next decision sees it; its
-//! effects (an answer to a caller, a command to a worker) wait for [`Ticket`]. If the write can't be
-//! settled because another owner came, the whole state is dropped with the shard.
+//! An event is applied to the state when it is proposed, so that the next decision sees it. Its
+//! effects (a reply to a caller, a command to a worker) wait for the [`Ticket`]. If another owner
+//! has taken the shard and the outcome of a write stays unknown, the state is dropped with the
+//! shard.
 
 use super::{
     Cx,
@@ -37,12 +38,13 @@
 
 pub use super::proposals::{ProposeError, Ticket, Urgency, WriteEnd};
 
-/// First wait before an unsettled write is tried again.
+/// First wait before a batch that is not known to be written is tried again.
 const FIRST_RETRY: Duration = Duration::from_millis(50);
-/// Longest wait before an unsettled write is tried again.
+/// Longest wait before a batch that is not known to be written is tried again.
 const LONGEST_RETRY: Duration = Duration::from_secs(1);
+
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Standing {
+enum WriterStatus {
     Writing,
     Stalled,
     Lost,
@@ -51,15 +53,15 @@
 struct Inner {
     state: State,
     index: Index,
-    open: VecDeque<Proposal>,
-    /// Who waits for the row that is under way.
-    under_way: Vec<oneshot::Sender<WriteEnd>>,
+    queued: VecDeque<Proposal>,
+    /// Waiters for the row whose write is in flight.
+    in_flight: Vec<oneshot::Sender<WriteEnd>>,
     pending: Pending,
     due: Option<Millis>,
-    written_at: Option<Millis>,
-    standing: Standing,
-    since_snapshot: u64,
-    is_storing: bool,
+    last_write_at: Option<Millis>,
+    status: WriterStatus,
+    rows_since_snapshot: u64,
+    is_storing_snapshot: bool,
     snapshot: Option<Snapshot>,
     first_row: Sequence,
 }
@@ -70,36 +72,36 @@
     epoch: Epoch,
     epoch_version: u64,
     inner: RefCell<Inner>,
-    work: Notify,
-    snapshot_work: Notify,
+    wakeup: Notify,
+    snapshot_ready: Notify,
 }
 
-/// A batch on its way to the table and the snapshot due after it.
+/// A batch to write, and the snapshot to store after it if one is due.
 struct Outgoing {
     batch: Batch,
     snapshot: Option<Snapshot>,
 }
 
-enum Settled {
+enum AppendOutcome {
     Committed,
     Refused,
     Lost,
 }
 
 impl Journal {
-    /// A ledger that has not been recovered.
+    /// Creates an empty ledger, which accepts no events before [`Self::recover`].
     pub fn new(shard: ShardId, epoch: Epoch, epoch_version: u64) -> Self {
         let inner = Inner {
             state: State::default(),
             index: Index::default(),
-            open: VecDeque::new(),
-            under_way: Vec::new(),
+            queued: VecDeque::new(),
+            in_flight: Vec::new(),
             pending: Pending::default(),
             due: None,
-            written_at: None,
-            standing: Standing::Stalled,
-            since_snapshot: 0,
-            is_storing: false,
+            last_write_at: None,
+            status: WriterStatus::Stalled,
+            rows_since_snapshot: 0,
+            is_storing_snapshot: false,
             snapshot: None,
             first_row: Sequence::default().next(),
         };
@@ -108,43 +110,43 @@
             epoch,
             epoch_version,
             inner: RefCell::new(inner),
-            work: Notify::new(),
-            snapshot_work: Notify::new(),
+            wakeup: Notify::new(),
+            snapshot_ready: Notify::new(),
         }
     }
 
-    /// The shard.
+    /// The shard whose ledger this is.
     pub fn shard(&self) -> &ShardId {
         &self.shard
     }
 
-    /// The epoch, and the version of its row that every write asserts.
+    /// The owner's epoch, and the version of the epoch row that every write requires.
     pub fn guard(&self) -> (Epoch, u64) {
         (self.epoch, self.epoch_version)
     }
 
-    /// The state, with everything proposed so far.
+    /// The state with all proposed events applied, durable or not.
     pub fn state(&self) -> Ref<'_, State> {
         Ref::map(self.inner.borrow(), |inner| &inner.state)
     }
 
-    /// The index of the state.
+    /// The index over [`Self::state`].
     pub fn index(&self) -> Ref<'_, Index> {
         Ref::map(self.inner.borrow(), |inner| &inner.index)
     }
 
-    /// The index, to take from its queues and lists.
+    /// The index, for removing items from its queues and lists.
     pub fn index_mut(&self) -> RefMut<'_, Index> {
         RefMut::map(self.inner.borrow_mut(), |inner| &mut inner.index)
     }
 
-    /// Takes the next waiting job of an entry off its queue; see [`Index::take_waiting`].
+    /// Removes and returns the next waiting job of an entry; see [`Index::take_waiting`].
     pub fn take_waiting(&self, entry: &EntryName) -> Option<JobId> {
         let inner = &mut *self.inner.borrow_mut();
         inner.index.take_waiting(&inner.state, entry)
     }
 
-    /// Whether an event about the job has been proposed that is not yet durable.
+    /// Whether a proposed event about the job is not yet durable.
     pub fn is_unsettled(&self, job: &JobId) -> bool {
         self.inner.borrow().pending.has(job)
     }
@@ -154,13 +156,13 @@
         self.inner.borrow().pending.accepts(job)
     }
 
-    /// Whether the table has taken the last row without delay.
+    /// Whether the table accepted the last row without a retry.
     pub fn is_writing(&self) -> bool {
-        self.inner.borrow().standing == Standing::Writing
+        self.inner.borrow().status == WriterStatus::Writing
     }
 
-    /// Applies events and has them written together. On an error nothing was changed. Without events
-    /// the ticket completes once everything proposed before is durable.
+    /// Applies events and queues them to be written in one row. On an error nothing is changed.
+    /// Without events the ticket completes once everything proposed before is durable.
     pub fn propose(
         &self,
         cx: &Cx,
@@ -168,10 +170,10 @@
         urgency: Urgency,
     ) -> Result<Ticket, ProposeError> {
         let inner = &mut *self.inner.borrow_mut();
-        match inner.standing {
-            Standing::Writing => {}
-            Standing::Stalled => return Err(ProposeError::Stalled),
-            Standing::Lost => return Err(ProposeError::Lost),
+        match inner.status {
+            WriterStatus::Writing => {}
+            WriterStatus::Stalled => return Err(ProposeError::Stalled),
+            WriterStatus::Lost => return Err(ProposeError::Lost),
         }
         let now = cx.clock.now();
         let before = Index::before(&inner.state, &events);
@@ -184,30 +186,30 @@
             inner.pending.add(event);
         }
         let (waiter, ticket) = Ticket::new();
-        inner.open.push_back(Proposal { events, waiter });
+        inner.queued.push_back(Proposal { events, waiter });
         let linger = match urgency {
             Urgency::Urgent => cx.cfg.shards.linger_urgent,
             Urgency::Batch => cx.cfg.shards.linger_batch,
         };
         let due = now + linger;
         inner.due = Some(inner.due.map_or(due, |earlier| earlier.min(due)));
-        self.work.notify_one();
+        self.wakeup.notify_one();
         Ok(ticket)
     }
 
-    /// Ends the ledger: nothing more is written by this owner. A row under way may yet be in.
+    /// Stops the ledger: this owner writes nothing more. A row in flight may still be written.
     pub fn lose(&self) {
         let inner = &mut *self.inner.borrow_mut();
-        inner.standing = Standing::Lost;
-        for proposal in inner.open.drain(..) {
+        inner.status = WriterStatus::Lost;
+        for proposal in inner.queued.drain(..) {
             let _ = proposal.waiter.send(WriteEnd::NotWritten);
         }
-        answer(&mut inner.under_way, WriteEnd::Unknown);
-        self.work.notify_one();
+        answer(&mut inner.in_flight, WriteEnd::Unknown);
+        self.wakeup.notify_one();
     }
 
-    /// Reads the last snapshot and the rows after it. The epoch row has been raised before, so no
-    /// earlier owner can add a row while or after this reads.
+    /// Loads the last snapshot and the rows after it. The epoch was raised before, so no previous
+    /// owner can add a row during or after the read.
     pub async fn recover(&self, cx: &Cx) -> eyre::Result<()> {
         let mut state = snapshots::read(cx, &self.shard).await?;
         let rows = cx
@@ -222,36 +224,37 @@
         let first_row = batches.first().map(|batch| batch.sequence);
         let replayed = state.replay(&batches)?;
         let inner = &mut *self.inner.borrow_mut();
-        if inner.standing == Standing::Lost {
+        if inner.status == WriterStatus::Lost {
             return Ok(());
         }
         inner.first_row = first_row.unwrap_or(state.sequence.next());
         inner.index = Index::build(&state, cx.clock.now());
         inner.state = state;
-        inner.since_snapshot = replayed;
-        inner.standing = Standing::Writing;
+        inner.rows_since_snapshot = replayed;
+        inner.status = WriterStatus::Writing;
         Ok(())
     }
 
-    /// Writes what is proposed until the shard is lost.
+    /// Writes proposed events until the shard is lost. `may_act` returns whether the
+    /// lease is still valid.
     pub async fn write_all(&self, cx: &Cx, may_act: impl Fn() -> bool) {
-        while let Some(mut due) = self.next_due(cx).await {
+        while let Some(mut due) = self.wait_for_due(cx).await {
             while due > cx.clock.now() {
                 let wait = due.since(cx.clock.now());
                 tokio::select! {
                     () = tokio::time::sleep(wait) => {}
-                    () = self.work.notified() => {}
+                    () = self.wakeup.notified() => {}
                 }
                 due = self.effective_due(cx).unwrap_or_default();
             }
             let Some(Outgoing { batch, snapshot }) = self.take_batch(cx) else {
                 continue;
             };
-            let settled = self.settle(cx, &batch, &may_act).await;
-            let end = match settled {
-                Settled::Committed => WriteEnd::Committed,
-                Settled::Refused => WriteEnd::NotWritten,
-                Settled::Lost => WriteEnd::Unknown,
+            let outcome = self.append_until_known(cx, &batch, &may_act).await;
+            let end = match outcome {
+                AppendOutcome::Committed => WriteEnd::Committed,
+                AppendOutcome::Refused => WriteEnd::NotWritten,
+                AppendOutcome::Lost => WriteEnd::Unknown,
             };
             self.end_batch(&batch, end);
             if end != WriteEnd::Committed {
@@ -262,7 +265,7 @@
             cx.metrics.ledger_events.inc_by(batch.events.len() as u64);
             if let Some(snapshot) = snapshot {
                 self.inner.borrow_mut().snapshot = Some(snapshot);
-                self.snapshot_work.notify_one();
+                self.snapshot_ready.notify_one();
             }
         }
     }
@@ -272,47 +275,49 @@
         for event in &batch.events {
             inner.pending.remove(event);
         }
-        answer(&mut inner.under_way, end);
+        answer(&mut inner.in_flight, end);
     }
 
-    async fn next_due(&self, cx: &Cx) -> Option<Millis> {
+    async fn wait_for_due(&self, cx: &Cx) -> Option<Millis> {
         loop {
-            if self.inner.borrow().standing == Standing::Lost {
+            if self.inner.borrow().status == WriterStatus::Lost {
                 return None;
             }
             if let Some(due) = self.effective_due(cx) {
                 return Some(due);
             }
-            self.work.notified().await;
+            self.wakeup.notified().await;
         }
     }
 
-    /// When the next row is due. Under load rows keep their spacing, however urgent their events;
-    /// after a quiet time an event waits for its own linger only.
+    /// When the next row is due. Rows keep their minimum spacing however urgent their events; if
+    /// the last row is older than that, an event waits only for its own linger.
     fn effective_due(&self, cx: &Cx) -> Option<Millis> {
         let inner = self.inner.borrow();
-        let spaced = inner.written_at.map(|at| at + cx.cfg.shards.write_spacing);
-        inner.due.map(|due| due.max(spaced.unwrap_or_default()))
+        let earliest = inner
+            .last_write_at
+            .map(|at| at + cx.cfg.shards.write_spacing);
+        inner.due.map(|due| due.max(earliest.unwrap_or_default()))
     }
 
     fn take_batch(&self, cx: &Cx) -> Option<Outgoing> {
         let inner = &mut *self.inner.borrow_mut();
-        let most = cx.cfg.shards.row_events;
+        let max_events = cx.cfg.shards.row_events;
         let mut events = Vec::new();
-        while let Some(proposal) = inner.open.front() {
-            if !events.is_empty() && events.len() + proposal.events.len() > most {
+        while let Some(proposal) = inner.queued.front() {
+            if !events.is_empty() && events.len() + proposal.events.len() > max_events {
                 break;
             }
-            if let Some(proposal) = inner.open.pop_front() {
+            if let Some(proposal) = inner.queued.pop_front() {
                 events.extend(proposal.events);
-                inner.under_way.push(proposal.waiter);
+                inner.in_flight.push(proposal.waiter);
             }
         }
-        // What did not fit goes as soon as the spacing allows.
-        inner.due = (!inner.open.is_empty()).then(|| cx.clock.now());
+        // Proposals that did not fit are written as soon as the spacing allows.
+        inner.due = (!inner.queued.is_empty()).then(|| cx.clock.now());
         if events.is_empty() {
-            // One write at a time: whatever was proposed before is durable by now.
-            answer(&mut inner.under_way, WriteEnd::Committed);
+            // There is one write at a time, so everything proposed before is durable.
+            answer(&mut inner.in_flight, WriteEnd::Committed);
             return None;
         }
         let batch = Batch {
@@ -321,17 +326,16 @@
             nonce: rand::random(),
             events,
         };
-        inner.written_at = Some(cx.clock.now());
+        inner.last_write_at = Some(cx.clock.now());
         inner.state.sequence = batch.sequence;
         inner.state.epoch = self.epoch;
-        inner.since_snapshot += 1;
-        // A state that is ahead of its row must not be stored under that row's number.
+        inner.rows_since_snapshot += 1;
+        // A state that includes later events must not be stored under this row's number.
         let is_due =
-            inner.since_snapshot >= cx.cfg.shards.snapshot_batches && inner.open.is_empty();
-        let snapshot = (is_due && !inner.is_storing).then(|| {
-            inner.since_snapshot = 0;
-            inner.is_storing = true;
-            // The state as of this batch, before anything later is proposed.
+            inner.rows_since_snapshot >= cx.cfg.shards.snapshot_batches && inner.queued.is_empty();
+        let snapshot = (is_due && !inner.is_storing_snapshot).then(|| {
+            inner.rows_since_snapshot = 0;
+            inner.is_storing_snapshot = true;
             Snapshot {
                 sequence: batch.sequence,
                 state: inner.state.clone(),
@@ -340,88 +344,98 @@
         Some(Outgoing { batch, snapshot })
     }
 
-    /// Tries a batch until it is known to be written, or never to be.
-    async fn settle(&self, cx: &Cx, batch: &Batch, may_act: &impl Fn() -> bool) -> Settled {
+    /// Tries to write a batch until its outcome is known or the ledger is stopped.
+    async fn append_until_known(
+        &self,
+        cx: &Cx,
+        batch: &Batch,
+        may_act: &impl Fn() -> bool,
+    ) -> AppendOutcome {
         let txn = append(&self.shard, self.epoch_version, batch);
         let mut backoff = Backoff::new(FIRST_RETRY, LONGEST_RETRY);
-        let mut in_doubt = false;
+        let mut may_be_written = false;
         loop {
-            if self.inner.borrow().standing == Standing::Lost {
-                return if in_doubt {
-                    Settled::Lost
+            if self.inner.borrow().status == WriterStatus::Lost {
+                return if may_be_written {
+                    AppendOutcome::Lost
                 } else {
-                    Settled::Refused
+                    AppendOutcome::Refused
                 };
             }
-            // A paused owner wakes here with its lease gone and must not write. A row that was sent
-            // may be sent again: its epoch still decides.
-            if in_doubt || may_act() {
+            // An owner that was paused may resume here after its lease has expired and must not
+            // write. A row that was sent before may be sent again: the epoch check still guards it.
+            if may_be_written || may_act() {
                 match cx.platform.txn(&txn).await {
                     TxnOutcome::Committed(_) => {
-                        self.set_standing(Standing::Writing);
-                        return Settled::Committed;
+                        self.set_status(WriterStatus::Writing);
+                        return AppendOutcome::Committed;
                     }
                     TxnOutcome::Conflict(conflict) => {
-                        let found = self.read_back(cx, batch, in_doubt, &conflict.key).await;
-                        if let Some(settled) = found {
-                            return settled;
+                        let found = self
+                            .read_back(cx, batch, may_be_written, &conflict.key)
+                            .await;
+                        if let Some(outcome) = found {
+                            return outcome;
                         }
                     }
                     TxnOutcome::Unknown(_) => {
                         cx.metrics.platform_unknown.inc();
-                        in_doubt = true;
-                        // Read rather than sent again: the next answer may be lost just as well.
-                        if self.is_in(cx, batch).await {
-                            self.set_standing(Standing::Writing);
-                            return Settled::Committed;
+                        may_be_written = true;
+                        // Read before sending again: the next reply may be lost too.
+                        if self.is_written(cx, batch).await {
+                            self.set_status(WriterStatus::Writing);
+                            return AppendOutcome::Committed;
                         }
                     }
                 }
             }
-            self.set_standing(Standing::Stalled);
+            self.set_status(WriterStatus::Stalled);
             let wait = backoff.next_wait(&mut rand::rng());
             tokio::time::sleep(wait).await;
         }
     }
 
-    /// After a conflict: is the row at our place our own write, whose answer was lost?
+    /// After a conflict, finds out whether the row at the batch's sequence number is the batch
+    /// itself, written by an earlier attempt whose reply was lost. None if the table does not
+    /// answer.
     async fn read_back(
         &self,
         cx: &Cx,
         batch: &Batch,
-        in_doubt: bool,
+        may_be_written: bool,
         conflict: &str,
-    ) -> Option<Settled> {
-        if !in_doubt && conflict == epoch_key(&self.shard) {
-            return Some(Settled::Refused);
+    ) -> Option<AppendOutcome> {
+        if !may_be_written && conflict == epoch_key(&self.shard) {
+            return Some(AppendOutcome::Refused);
         }
         match self.row_at(cx, batch.sequence).await? {
             Some(found) if found.nonce == batch.nonce => {
-                self.set_standing(Standing::Writing);
-                Some(Settled::Committed)
+                self.set_status(WriterStatus::Writing);
+                Some(AppendOutcome::Committed)
             }
-            // The next owner may have replaced the row by a snapshot.
-            None => Some(Settled::Lost),
-            Some(_) => Some(Settled::Refused),
+            // The next owner may have replaced the row with a snapshot.
+            None => Some(AppendOutcome::Lost),
+            Some(_) => Some(AppendOutcome::Refused),
         }
     }
 
-    async fn is_in(&self, cx: &Cx, batch: &Batch) -> bool {
+    async fn is_written(&self, cx: &Cx, batch: &Batch) -> bool {
         let found = self.row_at(cx, batch.sequence).await.flatten();
         found.is_some_and(|found| found.nonce == batch.nonce)
     }
 
-    /// The batch in the table at a place, if the table answers and if there is one.
+    /// The batch with this sequence number in the table. The outer `None` means that the table did
+    /// not answer, the inner one that there is no such batch.
     async fn row_at(&self, cx: &Cx, sequence: Sequence) -> Option<Option<Batch>> {
         let key = snapshots::row_key(&self.shard, sequence);
         let row = cx.platform.get(&key).await.ok()?;
         Some(row.and_then(|row| row.parse::<Batch>()))
     }
 
-    fn set_standing(&self, standing: Standing) {
+    fn set_status(&self, status: WriterStatus) {
         let mut inner = self.inner.borrow_mut();
-        if inner.standing != Standing::Lost {
-            inner.standing = standing;
+        if inner.status != WriterStatus::Lost {
+            inner.status = status;
         }
     }
 
@@ -431,28 +445,28 @@
             if let Some(snapshot) = self.inner.borrow_mut().snapshot.take() {
                 return snapshot;
             }
-            self.snapshot_work.notified().await;
+            self.snapshot_ready.notified().await;
         }
     }
 
-    /// Notes that a snapshot was stored or given up; a failure leaves more rows to replay.
+    /// Notes that storing a snapshot succeeded or failed; after a failure more rows need replay.
     pub fn end_snapshot(&self) {
-        self.inner.borrow_mut().is_storing = false;
+        self.inner.borrow_mut().is_storing_snapshot = false;
     }
 
-    /// The first row that may not be deleted yet.
+    /// Sequence number of the first row that is not known to be deleted.
     pub fn first_row(&self) -> Sequence {
         self.inner.borrow().first_row
     }
 
-    /// Notes that all rows before this one are deleted.
+    /// Notes that all rows before `first` are deleted.
     pub fn set_first_row(&self, first: Sequence) {
         self.inner.borrow_mut().first_row = first;
     }
 }
 
-/// The transaction that appends a batch: only under the epoch whose row has `epoch_version`, and only
-/// where no batch is.
+/// The transaction that appends a batch. It commits only if the epoch row still has `epoch_version`
+/// and no row has the batch's sequence number.
 pub fn append(shard: &ShardId, epoch_version: u64, batch: &Batch) -> Txn {
     let row = snapshots::row_key(shard, batch.sequence);
     Txn::default()
