--- a/src/lapisdrum/core/catalogue.rs
+++ b/src/lapisdrum/core/catalogue.rs
@@ -1,7 +1,7 @@
-//! Catalogue entries: who owns a kind of work, its class, and the limits that it may consume.
+//! Catalogue entries: the owner, class, size and limits of each kind of work.
 //!
-//! Operators write [`RawEntry`] (TOML or JSON); `TryFrom` checks it whole and names every fault at
-//! once. [`Entry`] is what the rest of the code sees.
+//! Operators write [`RawEntry`] (TOML or JSON). `TryFrom` validates it and reports all faults at
+//! once. The rest of the code uses the validated [`Entry`].
 
 use super::{
     id::{EntryName, OwnerName, Revision},
@@ -10,44 +10,41 @@
 use serde::{Deserialize, Serialize};
 use std::{fmt, time::Duration};
 
-/// Deadline of a request whose entry gives none, in milliseconds.
 const DEFAULT_DEADLINE_MS: u64 = 1_000;
-/// Concurrent runs of an entry that gives no limit.
+/// Requests or tasks of an entry that may run at once.
 const DEFAULT_CONCURRENCY: u32 = 64;
-/// Waiting requests of an entry that gives no bound.
+/// Requests or jobs of an entry that may wait.
 const DEFAULT_QUEUE: u32 = 256;
-/// How long an owner may go on renewing a task without reaching the table, in milliseconds: two
-/// hours, since regions lose each other for an hour now and then.
+/// How long an owner that can't reach the table may keep renewing a task's lease: two hours, since
+/// regions occasionally lose contact for an hour.
 const DEFAULT_HOLD_MS: u64 = 7_200_000;
-/// Failed attempts after which a job is given up.
+/// Failed attempts after which a job ends as failed.
 const DEFAULT_MAX_FAILURES: u32 = 5;
-/// Importance of an entry that gives none.
 const DEFAULT_PRIORITY: u32 = 100;
-/// Largest answerable deadline, in milliseconds: an hour.
+/// One hour.
 const MAX_DEADLINE_MS: u64 = 3_600_000;
-/// Largest hold, in milliseconds: a day.
+/// One day.
 const MAX_HOLD_MS: u64 = 86_400_000;
-/// Largest importance.
 const MAX_PRIORITY: u32 = 1_000;
 
 scalar! {
-    /// A class of work.
+    /// A class of work, which decides how it is requested and scheduled.
     #[serde(rename_all = "kebab-case")]
     pub enum Class {
-        /// Answered within its deadline or refused at once.
+        /// Requests that are answered within their deadline or refused at once.
         LatencyCritical,
-        /// Queued, run, evicted and resumed until it finishes.
+        /// Jobs that are queued, run, and may be evicted and resumed until they finish.
         Batch,
-        /// Runs in one place until cancelled.
+        /// Jobs that run in one place until they are cancelled.
         LongRunning,
     }
 
-    /// Whether an entry takes new work.
+    /// Whether an entry accepts new work.
     #[serde(rename_all = "kebab-case")]
     pub enum EntryState {
-        /// New work is taken.
+        /// New work is accepted.
         Active,
-        /// No new work; what was accepted is finished or cancelled as the class demands.
+        /// No new work is accepted; accepted work is finished or cancelled, depending on its class.
         Retired,
     }
 }
@@ -63,41 +60,41 @@
 }
 
 data! {
-    /// What an entry may consume over the whole system.
+    /// Limits of an entry, over the whole system.
     pub struct Limits {
         /// Requests or tasks that may run at once.
         pub concurrency: u32,
-        /// Requests a second that may be admitted; none for no such limit.
+        /// Requests per second that may be admitted; `None` when the rate is not limited.
         pub rate_per_s: Option<u32>,
         /// Requests or jobs that may wait.
         pub queue: u32,
-        /// Bytes of a request's body.
+        /// Maximum size of a request's body, in bytes.
         pub body_bytes: u64,
     }
 
-    /// A checked catalogue entry.
+    /// A validated catalogue entry.
     pub struct Entry {
-        /// Its name.
+        /// Name by which callers request the work.
         pub name: EntryName,
-        /// The team that answers for it.
+        /// The team that is responsible for it.
         pub owner: OwnerName,
-        /// Its class of work.
+        /// Whether it serves requests, batch jobs or long-running jobs.
         pub class: Class,
-        /// What one request or task of it takes.
+        /// Resources that one request or task takes of a host.
         pub size: Size,
-        /// Its limits.
+        /// Limits on concurrency, rate, queue length and body size.
         pub limits: Limits,
-        /// Whether a request may be sent a second time when its answer is unknown.
+        /// Whether a request may be sent again when its outcome is unknown.
         pub idempotent: bool,
-        /// Time within which a request is answered unless the caller says less.
+        /// Time within which a request is answered unless the caller sets a shorter deadline.
         pub deadline: Duration,
-        /// Time for which an owner that is cut off from the table may go on renewing a task.
+        /// How long an owner that can't reach the table may keep renewing a task's lease.
         pub hold: Duration,
         /// Failed attempts after which a job ends as failed.
         pub max_failures: u32,
-        /// Importance: the lower, the sooner evicted.
+        /// Priority: the owner's weight in queues. Tasks with a lower one are evicted sooner.
         pub priority: u32,
-        /// Whether it takes new work.
+        /// Whether it accepts new work.
         pub state: EntryState,
         /// The catalogue revision that last changed it.
         pub revision: Revision,
@@ -106,81 +103,85 @@
     /// A catalogue entry as operators write it.
     #[serde(deny_unknown_fields)]
     pub struct RawEntry {
-        /// Its name.
+        /// 1 to 96 characters out of `a-z`, `0-9`, `.`, `_` and `-`.
         pub name: String,
-        /// The team that answers for it.
+        /// The team that is responsible for it, named by the same rules.
         pub owner: String,
         /// `latency-critical`, `batch` or `long-running`.
         pub class: String,
         /// Processors of one request or task, in thousandths of a core.
         pub millicores: u64,
-        /// Memory of one request or task, in megabytes.
+        /// Memory of one request or task, in MB.
         pub memory_mb: u64,
-        /// Accelerators of one request or task.
+        /// Accelerators of one request or task; 0 when absent.
         #[serde(default)]
         pub accelerators: u64,
-        /// Requests or tasks that may run at once over the whole system.
+        /// Requests or tasks that may run at once over the whole system; `DEFAULT_CONCURRENCY` when
+        /// absent.
         #[serde(default)]
         pub concurrency: Option<u32>,
-        /// Requests a second over the whole system.
+        /// Requests per second over the whole system; not limited when absent.
         #[serde(default)]
         pub rate_per_s: Option<u32>,
-        /// Requests or jobs that may wait.
+        /// Requests or jobs that may wait; `DEFAULT_QUEUE` when absent.
         #[serde(default)]
         pub queue: Option<u32>,
-        /// Bytes of a request's body.
+        /// Maximum size of a request's body, in bytes; [`DEFAULT_BODY_BYTES`] when absent.
         #[serde(default)]
         pub body_bytes: Option<u64>,
-        /// Whether a request may be sent again; false when absent.
+        /// Whether a request may be sent again when its outcome is unknown; false when absent.
         #[serde(default)]
         pub idempotent: bool,
-        /// Milliseconds within which a request is answered.
+        /// Time within which a request is answered, in milliseconds; `DEFAULT_DEADLINE_MS` when
+        /// absent.
         #[serde(default)]
         pub deadline_ms: Option<u64>,
-        /// Milliseconds for which a cut-off owner may go on renewing a task.
+        /// How long an owner that can't reach the table may keep renewing a task's lease, in
+        /// milliseconds; `DEFAULT_HOLD_MS` when absent.
         #[serde(default)]
         pub hold_ms: Option<u64>,
-        /// Failed attempts after which a job ends as failed.
+        /// Failed attempts after which a job ends as failed; `DEFAULT_MAX_FAILURES` when absent.
         #[serde(default)]
         pub max_failures: Option<u32>,
-        /// Importance, 0 to 1000.
+        /// Priority, 0 to 1000; tasks with a lower one are evicted sooner. `DEFAULT_PRIORITY` when
+        /// absent.
         #[serde(default)]
         pub priority: Option<u32>,
-        /// Whether the entry no longer takes work.
+        /// Whether the entry accepts no new work.
         #[serde(default)]
         pub retired: bool,
     }
 }
 
-/// Largest body that any entry may allow, in bytes.
+/// Maximum of any entry's body limit, in bytes.
 pub const MAX_BODY_BYTES: u64 = 16 * 1024 * 1024;
-/// Body limit of an entry that gives none, in bytes.
+/// Body limit of an entry that does not set one, in bytes.
 pub const DEFAULT_BODY_BYTES: u64 = 1024 * 1024;
 
 /// A catalogue file as operators write it: a list of `[[entry]]` tables.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CatalogueFile {
-    /// The entries.
+    /// The `[[entry]]` tables, in the order of the file.
     #[serde(default)]
     pub entry: Vec<RawEntry>,
 }
 
-/// Everything that is wrong with one entry.
+/// All faults of one entry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EntryFaults {
-    /// The entry's name as written.
+    /// The entry's name as written, which may itself be invalid.
     pub entry: String,
-    /// The faults, in the order found.
+    /// The faults, at least one, in the order in which they were found.
     pub faults: Vec<KeyFault>,
 }
 
-/// What is wrong with one key of an entry.
+/// A fault in one key of an entry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KeyFault {
-    /// The key.
+    /// The key as it is written in a catalogue file.
     pub key: &'static str,
-    /// The value and what is allowed.
+    /// A message with the value and the values that are allowed.
     pub what: String,
 }
 
@@ -200,7 +201,7 @@
 impl std::error::Error for EntryFaults {}
 
 impl Entry {
-    /// Whether the entry takes new work.
+    /// Whether the entry accepts new work.
     pub fn is_active(&self) -> bool {
         self.state == EntryState::Active
     }
@@ -275,7 +276,7 @@
     }
 }
 
-/// Collects faults, so that an operator mends all of them in one go.
+/// Collects faults, so that an operator can correct all of them at once.
 #[derive(Default)]
 struct Check {
     faults: Vec<KeyFault>,
--- a/src/lapisdrum/core/job.rs
+++ b/src/lapisdrum/core/job.rs
@@ -1,4 +1,4 @@
-//! A job: one batch or long-running task that a caller handed in, from acceptance to its end.
+//! A job: one batch or long-running task that a caller submitted, from its acceptance to its end.
 
 use super::{
     id::{EntryName, Epoch, WorkerId},
@@ -7,75 +7,76 @@
 use std::time::Duration;
 
 scalar! {
-    /// Counts the runs of one job; each placement is a new attempt.
+    /// Number of an attempt to run a job, from 1; each placement is a new attempt.
     #[derive(Default)]
     pub struct Attempt(pub u32);
 }
 
 data! {
-    /// Where a job's saved progress lies and how far it goes; written by the worker.
+    /// A job's saved progress, as reported by its worker.
     pub struct Checkpoint {
-        /// The worker's name for the saved state.
+        /// Name that the worker gave the saved state.
         pub name: String,
-        /// Progress in thousandths of the declared work.
+        /// Progress, in thousandths of the declared work.
         pub progress_permille: u32,
     }
 
-    /// One placement of a job on a worker.
+    /// The placement of a job on a worker.
     pub struct Placement {
-        /// The worker.
+        /// The worker that may run the job.
         pub worker: WorkerId,
         /// The epoch of the owner that placed it.
         pub epoch: Epoch,
-        /// Which run of the job this is.
+        /// Number of this attempt.
         pub attempt: Attempt,
     }
 
     /// How a job ended.
     pub enum JobEnd {
-        /// The worker finished it.
+        /// The worker completed it.
         Done,
-        /// It failed as often as its entry allows; the text is the last worker's.
+        /// It failed as often as its entry allows. The text is from the last worker.
         Failed(String),
-        /// A caller or the entry's retirement ended it.
+        /// It was cancelled by a caller or because its entry was retired.
         Cancelled,
     }
 
-    /// The stage that a job has reached.
+    /// The state of a job between its acceptance and its end.
     pub enum JobPhase {
-        /// Accepted or evicted, waiting for a place.
+        /// Not placed; it waits for a worker, also after an eviction or a failed attempt.
         Waiting,
         /// Placed on a worker; it may run there.
         Placed(Placement),
-        /// Over.
+        /// It was completed, failed or was cancelled, and won't run again.
         Ended(JobEnd),
     }
 
-    /// A job as its home shard's ledger holds it.
+    /// A job as a shard's ledger holds it.
     pub struct Job {
-        /// The catalogue entry that it belongs to.
+        /// The catalogue entry that the job runs.
         pub entry: EntryName,
-        /// What it takes of a host, copied from the entry when it was accepted.
+        /// Resources that it takes of a host, copied from the entry when the job was accepted.
         pub size: Size,
-        /// How long an owner that is cut off may go on renewing it, copied in the same way. A
-        /// successor waits this out, so both must go by one figure: were it read from the catalogue,
-        /// a change would reach the successor and not the owner that is cut off.
+        /// How long an owner that can't reach the table may keep renewing the task's lease, copied
+        /// in the same way. The next owner waits for this time, so both must use the same value: if
+        /// it were read from the catalogue, a change would reach the next owner but not the one
+        /// that is cut off.
         pub hold: Duration,
-        /// Its stage.
+        /// Whether the job waits, is placed or has ended.
         pub phase: JobPhase,
-        /// Attempts so far.
+        /// Number of the last attempt; 0 before the first.
         pub attempts: Attempt,
-        /// Attempts that failed on a worker.
+        /// Number of attempts that failed on a worker.
         pub failures: u32,
-        /// The last checkpoint that the ledger names.
+        /// The last checkpoint that the ledger recorded.
         pub checkpoint: Option<Checkpoint>,
-        /// A cancel was asked for; the worker may not have stopped yet.
+        /// Whether cancellation was requested; the task may still be running.
         pub cancelling: bool,
     }
 }
 
 impl Job {
-    /// The placement that may be running, if any.
+    /// The present placement; the job may be running there.
     pub fn placement(&self) -> Option<&Placement> {
         match &self.phase {
             JobPhase::Placed(placement) => Some(placement),
@@ -83,7 +84,7 @@
         }
     }
 
-    /// Whether the job is over.
+    /// Whether the job was completed, failed or was cancelled.
     pub fn is_ended(&self) -> bool {
         matches!(self.phase, JobPhase::Ended(_))
     }
--- a/src/lapisdrum/core/mod.rs
+++ b/src/lapisdrum/core/mod.rs
@@ -1,6 +1,7 @@
-//! Checked types that every other module shares: names, sizes, time, catalogue entries, jobs.
+//! Validated types that all other modules share: names, sizes, time, catalogue entries, jobs.
 //!
-//! Raw input becomes one of these by `TryFrom` at an edge; past the edge nothing is checked again.
+//! Raw input is converted to these types by `TryFrom` where it enters the process and is not
+//! validated again after that.
 
 pub mod catalogue;
 pub mod id;
--- a/src/lapisdrum/core/outcome.rs
+++ b/src/lapisdrum/core/outcome.rs
@@ -1,7 +1,7 @@
-//! How the system answers a caller: done, refused or unknown, and why refused.
+//! The outcome of a call, done, refused or unknown, and the reasons for a refusal.
 //!
-//! `refused` is a promise that nothing was run. Anything sent to a worker without an answer that
-//! tells is `unknown`, and never `refused`.
+//! `refused` guarantees that nothing was run. When a request was sent to a worker and no answer
+//! shows whether it ran, the outcome is `unknown`, never `refused`.
 
 use super::{
     catalogue::Class,
@@ -10,77 +10,78 @@
 use std::{fmt, time::Duration};
 
 data! {
-    /// A refusal: nothing was run, nothing was changed.
+    /// Why a call was refused. Nothing was run and nothing was changed.
     pub enum Refusal {
         /// The catalogue has no such entry.
         UnknownEntry(EntryName),
-        /// The entry takes no new work.
+        /// The entry accepts no new work.
         Retired(EntryName),
-        /// The entry's class is asked for in another way.
+        /// Work of the entry's class is requested at another endpoint.
         WrongClass {
-            /// The entry.
+            /// The entry that was called.
             entry: EntryName,
-            /// Its class.
+            /// The entry's class.
             class: Class,
         },
-        /// The entry's or its owner's limit is reached.
+        /// The limit of the entry or of its owner is reached.
         OverLimit {
-            /// The entry.
+            /// The entry that was called.
             entry: EntryName,
-            /// When to come back.
+            /// Time after which the caller may try again.
             retry_after: Duration,
         },
-        /// Every worker is busy, or the deadline can't be met.
+        /// No worker has free capacity, the deadline can't be met, or the shard that keeps the
+        /// request id has no space for more claims.
         Busy {
-            /// When to come back.
+            /// Time after which the caller may try again.
             retry_after: Duration,
         },
-        /// The deadline had passed before anything could be sent.
+        /// The deadline passed before the request could be sent to a worker.
         TooLate {
-            /// When to come back.
+            /// Time after which the caller may try again.
             retry_after: Duration,
         },
-        /// What has to be made durable can't be at present.
+        /// The platform's table can't be reached, and the call needs a durable write.
         StoreAway {
-            /// When to come back.
+            /// Time after which the caller may try again.
             retry_after: Duration,
         },
-        /// The shard has no owner that can be reached.
+        /// The shard has no owner, or its owner can't be reached.
         NoOwner {
-            /// When to come back.
+            /// Time after which the caller may try again.
             retry_after: Duration,
         },
-        /// No worker could ever run it.
+        /// No host has enough capacity for a task of the entry's size.
         NeverFits {
-            /// Why, in words for people.
+            /// An explanation for the caller.
             reason: String,
         },
-        /// There is no such job.
+        /// The job's shard has no job with this id.
         UnknownJob(JobId),
-        /// The same request id is being served at this moment.
+        /// A request with the same id is being served.
         InProgress {
-            /// When to come back.
+            /// Time after which the caller may try again.
             retry_after: Duration,
         },
-        /// The request id was used before, for another entry or another body.
+        /// The request id was already used with another entry or another body.
         IdReused(RequestId),
-        /// The request's body is beyond the entry's limit.
+        /// The request's body is larger than the entry allows.
         BodyTooLarge {
-            /// The entry.
+            /// The entry that was called.
             entry: EntryName,
-            /// The limit in bytes.
+            /// Maximum size of a body, in bytes.
             limit: u64,
         },
         /// This daemon is shutting down.
         Draining {
-            /// When to come back.
+            /// Time after which the caller may try again.
             retry_after: Duration,
         },
     }
 }
 
 impl Refusal {
-    /// When the caller should come back; none when coming back can't help.
+    /// Time after which the caller may try again; `None` when trying again can't succeed.
     pub fn retry_after(&self) -> Option<Duration> {
         match self {
             Self::UnknownEntry(_)
@@ -100,7 +101,7 @@
         }
     }
 
-    /// A fixed word for metrics and logs.
+    /// A stable identifier for metrics and logs.
     pub fn reason(&self) -> &'static str {
         match self {
             Self::UnknownEntry(_) => "unknown_entry",
@@ -120,7 +121,7 @@
         }
     }
 
-    /// What the caller can do about it.
+    /// Advice to the caller, for the response.
     pub fn help(&self) -> &'static str {
         match self {
             Self::UnknownEntry(_) => "check the name, or ask an operator to add the entry",
--- a/src/lapisdrum/core/size.rs
+++ b/src/lapisdrum/core/size.rs
@@ -1,34 +1,34 @@
-//! What a task or request takes of a host, and what a host has.
+//! Resources of a host: the demand of a task or request, or the capacity of the host.
 
 data! {
-    /// Processors, memory and accelerators, taken or offered.
+    /// Processors, memory and accelerators, as a demand or as a capacity.
     #[derive(Copy, Default, Hash)]
     pub struct Size {
         /// Processors, in thousandths of a core.
         pub millicores: u64,
-        /// Memory, in megabytes.
+        /// Memory, in MB.
         pub memory_mb: u64,
-        /// Whole accelerators.
+        /// Number of accelerators; they are not divided.
         pub accelerators: u64,
     }
 }
 
 impl Size {
-    /// Nothing at all.
+    /// No resources.
     pub const ZERO: Self = Self {
         millicores: 0,
         memory_mb: 0,
         accelerators: 0,
     };
 
-    /// Whether this size fits into `room` in every dimension.
+    /// Whether this size is at most `room` in every dimension.
     pub fn fits(&self, room: &Self) -> bool {
         self.millicores <= room.millicores
             && self.memory_mb <= room.memory_mb
             && self.accelerators <= room.accelerators
     }
 
-    /// The sum of both sizes.
+    /// The sum of both sizes in each dimension.
     #[must_use]
     pub fn plus(&self, other: &Self) -> Self {
         Self {
@@ -38,7 +38,7 @@
         }
     }
 
-    /// What is left of this size without `other`; a dimension that would fall below zero is zero.
+    /// This size less `other` in each dimension, but not below zero.
     #[must_use]
     pub fn minus(&self, other: &Self) -> Self {
         Self {
@@ -48,7 +48,7 @@
         }
     }
 
-    /// This size `n` times.
+    /// This size multiplied by `n`.
     #[must_use]
     pub fn times(&self, n: u64) -> Self {
         Self {
@@ -58,7 +58,7 @@
         }
     }
 
-    /// This size divided by `n`, rounded down.
+    /// This size divided by `n` and rounded down. Panics when `n` is 0.
     #[must_use]
     pub fn divided(&self, n: u64) -> Self {
         Self {
--- a/src/lapisdrum/state/catalogue.rs
+++ b/src/lapisdrum/state/catalogue.rs
@@ -1,8 +1,8 @@
-//! The catalogue as a daemon holds it: entries under one revision that only rises.
+//! The catalogue as a daemon holds it: its entries and one revision, which only increases.
 //!
 //! A change is a compare-and-set on its entry and on the revision. A daemon adopts a catalogue only
-//! when its revision is greater than its own, so news that arrives late, twice or out of order
-//! never brings an older state back.
+//! when its revision is greater than the daemon's own, so updates that arrive late, twice or out of
+//! order never restore an older state.
 
 use crate::core::{
     catalogue::{Entry, RawEntry},
@@ -11,59 +11,60 @@
 use indexmap::IndexMap;
 
 data! {
-    /// The table row of an entry: what the operator wrote and when it came into force.
+    /// The table row of an entry.
     pub struct EntryRow {
-        /// The entry as written.
+        /// The entry as the operator wrote it.
         pub raw: RawEntry,
         /// The revision that wrote this row.
         pub revision: Revision,
-        /// The operator's id for the change.
+        /// The id that the operator's client gave the change.
         pub change: ChangeId,
     }
 
-    /// The table row of the revision.
+    /// The table row with the catalogue's revision.
     #[derive(Default)]
     pub struct RevisionRow {
         /// The greatest accepted revision.
         pub revision: Revision,
     }
 
-    /// One accepted change, as kept for followers and for the history.
+    /// One accepted change, kept for daemons that catch up and for the history.
     pub struct ChangeRow {
-        /// The revision that it made.
+        /// The catalogue's revision after the change.
         pub revision: Revision,
-        /// The entry.
+        /// The name of the changed entry.
         pub name: EntryName,
-        /// The entry's row since then.
+        /// The entry's row after the change.
         pub row: EntryRow,
     }
 
-    /// A whole catalogue at one revision.
+    /// All rows of the catalogue at one revision.
     #[derive(Default)]
     pub struct Catalogue {
-        /// Its revision.
+        /// The revision of the last change applied; 0 before the first.
         pub revision: Revision,
-        /// Its rows by name.
+        /// Active and retired entries.
         pub rows: IndexMap<EntryName, EntryRow>,
     }
 }
 
-/// Why a change was not made.
+/// Why a change was refused.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ChangeRefusal {
-    /// The entry is at another revision than the operator named.
+    /// The entry's revision is not the one that the operator expected.
     Conflict {
-        /// The entry's revision; 0 when there is none.
+        /// The entry's revision; 0 when there is no such entry.
         current: Revision,
     },
-    /// The entry exists and the operator named no revision.
+    /// The entry exists and the operator gave no expected revision.
     Unconditional {
-        /// The entry's revision.
+        /// The revision at which the entry was last changed.
         current: Revision,
     },
 }
 
-/// Checks a change against the entry's present row and the revision that the operator saw.
+/// Checks that a change may be made to an entry with the row `current`. `if_match` is the revision
+/// that the operator expects the entry to have; an absent entry counts as revision 0.
 pub fn check_change(
     current: Option<&EntryRow>,
     if_match: Option<Revision>,
@@ -78,7 +79,7 @@
 }
 
 impl Catalogue {
-    /// Takes `newer` over if its revision is greater; tells whether it did.
+    /// Replaces this catalogue by `newer` if its revision is greater; returns whether it did.
     pub fn adopt(&mut self, newer: Self) -> bool {
         if newer.revision <= self.revision {
             return false;
@@ -87,8 +88,8 @@
         true
     }
 
-    /// Applies the very next change; tells whether it did. A change with a gap before it has to wait
-    /// for those in between, or the catalogue would hold a state that was never in force.
+    /// Applies a change if it is the one after the present revision; returns whether it did. With a
+    /// gap before it, the catalogue would get a state that was never in force.
     pub fn apply(&mut self, change: &ChangeRow) -> bool {
         if change.revision.0 != self.revision.0 + 1 {
             return false;
@@ -98,7 +99,7 @@
         true
     }
 
-    /// A checked entry, with its revision.
+    /// The entry with its revision; `None` when it is absent or its row is not valid.
     pub fn entry(&self, name: &EntryName) -> Option<Entry> {
         let row = self.rows.get(name)?;
         let entry = Entry::try_from(row.raw.clone()).ok()?;
--- a/src/lapisdrum/state/claims.rs
+++ b/src/lapisdrum/state/claims.rs
@@ -1,55 +1,58 @@
-//! Claims on request ids that callers bring: where they are kept, and what a repeat is told.
+//! Claims on request ids that callers choose: which shard keeps them, and how a repeated request
+//! is answered.
 //!
 //! An id is claimed in a shard's ledger before its request is sent, so that a repeat through any
-//! daemon finds the claim. All daemons must therefore agree on the shard: an id belongs to the
-//! highest of all *homes* by rendezvous hashing, and the homes stand in one table row, not in what a
-//! daemon happens to have seen. Homes taken from the shards in sight would send a repeat through a
-//! daemon that has not yet seen a new shard to another ledger, and the request would run twice.
+//! daemon finds the claim. All daemons must therefore agree on the shard. An id belongs to the
+//! highest of all *homes* by rendezvous hashing, and the list of homes is one table row. Were each
+//! daemon to use the shards it knows, a daemon that does not yet know a new shard would look in
+//! another ledger, and a repeated request would run twice.
 //!
-//! A new shard moves about one id in n to itself. Its row says so before any claim is made there,
-//! and keeps the list before the change until every claim under that list is forgotten; in between
-//! an id is claimed at both homes, the earlier first. That is enough, since a daemon uses a row no
-//! longer than the retention after it read it, and a row stays for [`overlap`] before it is changed
-//! again: whoever still goes by the list before has its claims found at the earlier home.
+//! A new shard becomes the home of about one id in n. The row lists it before any claim is made
+//! there, and keeps the previous list until every claim made under that list is forgotten. Until
+//! then an id is claimed at both homes, the previous one first. This is sufficient because a daemon
+//! uses a row for at most one retention after reading it, and a row stays unchanged for
+//! [`overlap`]: claims of a daemon that still uses the previous list are found at the previous
+//! home.
 
 use super::ledger::{Claim, ClaimEnd, State};
 use crate::core::id::{EntryName, RequestId, ShardId};
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Largest body that is kept for repeats, in bytes. A certificate check's answer is far smaller; a
-/// larger one would make the ledger grow with the callers' data.
+/// Largest response body that is kept for repeated requests, in bytes. A certificate check's is
+/// far smaller; larger ones would make the ledger grow with the callers' data.
 pub const KEPT_BODY_BYTES: usize = 4 * 1024;
-/// Claims that a shard keeps at most: at the bound further ids are refused.
+/// Most claims that a shard keeps; once reached, further ids are refused.
 pub const MOST_CLAIMS: usize = 100_000;
 
 data! {
-    /// The row that names the shards which keep claims.
+    /// The table row that lists the shards that keep claims.
     pub struct Homes {
-        /// Raised by each change.
+        /// Raised by one at each change of the row; the first row has 1.
         pub generation: u64,
-        /// The shards.
+        /// The present homes, sorted.
         pub shards: Vec<ShardId>,
-        /// The shards before the last change, as long as claims under them may be kept.
+        /// The homes before the last shards were added; empty once no claim made under that list is
+        /// kept any more.
         pub before: Vec<ShardId>,
     }
 
-    /// What is kept of a claimed request's answer.
+    /// The response to a claimed request, kept for repeats.
     pub struct KeptAnswer {
-        /// The hash of the request's body, so that an id used for another body is found out.
+        /// Hash of the request's body, to detect that an id is reused with another body.
         pub digest: u64,
-        /// The answer's content type.
+        /// The response's content type.
         pub content_type: Option<String>,
-        /// The answer's body; none when it was too large to keep.
+        /// The response's body; `None` when it was larger than [`KEPT_BODY_BYTES`].
         #[serde(skip)]
         pub body: Option<Vec<u8>>,
-        /// Whether the body follows.
+        /// Whether the body follows the JSON head.
         is_whole: bool,
     }
 }
 
 impl Homes {
-    /// The first row, with the shards in sight.
+    /// The first row, which lists the known shards; `None` when none is known.
     pub fn first(known: &[ShardId]) -> Option<Self> {
         (!known.is_empty()).then(|| Self {
             generation: 1,
@@ -58,7 +61,7 @@
         })
     }
 
-    /// The shards at which an id is claimed, in this order.
+    /// The shards at which an id must be claimed, in this order.
     pub fn of(&self, id: &RequestId) -> Vec<ShardId> {
         let mut homes: Vec<ShardId> = highest(&self.before, id).cloned().into_iter().collect();
         if let Some(home) = highest(&self.shards, id)
@@ -69,8 +72,9 @@
         homes
     }
 
-    /// The next row, if it is time for one: first the list before the last change is dropped, then
-    /// shards that are not yet homes are added. `unchanged` is for how long this row has stood.
+    /// The row to write next, or `None` when nothing is to be changed yet. The previous list is
+    /// dropped first; known shards that are not yet homes are added by a later row. `unchanged` is
+    /// the time since this row was written.
     pub fn next(&self, known: &[ShardId], unchanged: Duration, overlap: Duration) -> Option<Self> {
         if unchanged < overlap {
             return None;
@@ -105,33 +109,34 @@
     sorted
 }
 
-/// Rendezvous hashing: adding a shard moves only the ids that the new one wins.
+/// The shard with the highest rendezvous hash for an id. Adding a shard moves only the ids for
+/// which the new shard is the highest.
 fn highest<'a>(shards: &'a [ShardId], id: &RequestId) -> Option<&'a ShardId> {
     let seed = xxh3_64_with_seed(id.as_str().as_bytes(), 0);
     let weight = |shard: &&ShardId| xxh3_64_with_seed(shard.as_str().as_bytes(), seed);
     shards.iter().max_by_key(weight)
 }
 
-/// How long a row stands before it is changed again: a daemon may claim by an earlier row for one
-/// retention, its request takes up to `longest_request`, and the claim is kept one retention more.
+/// How long a row must stay unchanged: a daemon may use a previous row for one retention, its
+/// request takes up to `longest_request`, and the claim is kept for another retention.
 pub fn overlap(retention: Duration, longest_request: Duration) -> Duration {
     retention * 2 + longest_request
 }
 
-/// What a shard's ledger says of an id.
+/// The result of looking a request id up in a shard's ledger.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Found {
-    /// Nothing: it may be claimed.
+    /// The id is not claimed.
     Nothing,
     /// The request is being served.
     InProgress,
-    /// The request is over.
+    /// The request has ended.
     Ended(ClaimEnd),
-    /// The id was used for another entry.
+    /// The id was claimed for another catalogue entry.
     OtherEntry,
 }
 
-/// Looks an id up.
+/// Looks up the claim on `id` for a request to `entry`.
 pub fn look(state: &State, id: &RequestId, entry: &EntryName) -> Found {
     match state.claims.get(id) {
         None => Found::Nothing,
@@ -142,7 +147,8 @@
 }
 
 impl KeptAnswer {
-    /// Keeps an answer, without its body when that is too large.
+    /// A response whose body is dropped when it is larger than [`KEPT_BODY_BYTES`]. `digest` is
+    /// the hash of the request's body.
     pub fn new(digest: u64, content_type: Option<String>, body: &[u8]) -> Self {
         let is_whole = body.len() <= KEPT_BODY_BYTES;
         Self {
@@ -154,7 +160,7 @@
     }
 }
 
-/// Ends the head of a kept answer; JSON never holds it.
+/// Separates the JSON head from the body. Compact JSON contains no line feed.
 const HEAD_END: u8 = b'\n';
 
 impl From<&KeptAnswer> for Vec<u8> {
@@ -166,7 +172,7 @@
     }
 }
 
-/// Bytes in a ledger that are no kept answer.
+/// Bytes in a ledger that can't be decoded as a [`KeptAnswer`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MalformedAnswer;
 
--- a/src/lapisdrum/state/event.rs
+++ b/src/lapisdrum/state/event.rs
@@ -1,7 +1,7 @@
 //! The events of a shard's ledger and the row that carries a batch of them.
 //!
-//! They are what lasts: a snapshot and every row after it must be readable by the next owner. What
-//! each event does to the state is [`super::ledger`]'s.
+//! These types are stored: the next owner must be able to read a snapshot and every row after it.
+//! [`super::ledger`] applies the events to the state.
 
 use super::ownership::Holder;
 use crate::core::{
@@ -12,189 +12,189 @@
 use std::time::Duration;
 
 data! {
-    /// What a daemon may use of a worker for requests, without asking anybody.
+    /// Slots and capacity of a worker that a daemon may use for requests without asking the owner.
     #[derive(Copy, Default)]
     pub struct Grant {
-        /// Requests at once.
+        /// Requests that may run at the same time.
         pub slots: u32,
-        /// The sum of their sizes.
+        /// Upper limit on the sum of their sizes.
         pub size: Size,
     }
 
-    /// How a claimed request ended.
+    /// The outcome of a claimed request.
     pub enum ClaimEnd {
-        /// Answered: status, and the body when it is small enough to keep.
+        /// The worker answered.
         Done {
-            /// The worker's status.
+            /// The status code that the worker answered.
             status: u16,
-            /// The worker's body.
+            /// The encoded response; see [`super::claims::KeptAnswer`].
             body: Vec<u8>,
         },
-        /// It was not run and may be asked again.
+        /// The request was not run, or it is idempotent and may run again: the id is released.
         NotRun,
-        /// Whether it ran is not known; it will not be sent again.
+        /// The request may have run; it is not sent again.
         Unknown,
     }
 
-    /// A caller's request id, claimed before the request is sent.
+    /// A claim on a caller's request id, made before the request is sent.
     pub struct Claim {
-        /// The entry that it was claimed for.
+        /// The catalogue entry that the request runs.
         pub entry: EntryName,
-        /// The daemon that claimed it and may send it.
+        /// The daemon that made the claim and may send the request.
         pub by: Holder,
-        /// How it ended, once known.
+        /// The request's outcome; `None` until it is known.
         pub end: Option<ClaimEnd>,
     }
 
     /// An owner that may have renewed tasks of this shard.
     pub struct OwnerRecord {
-        /// Its epoch.
+        /// The epoch in which it owned the shard.
         pub epoch: Epoch,
-        /// Who it was.
+        /// The incarnation of the daemon.
         pub holder: Holder,
-        /// Whether it gave the shard up itself.
+        /// Whether it released the shard itself.
         pub released: bool,
     }
 
-    /// One thing that happened in a shard.
+    /// A change to the state of a shard.
     pub enum Event {
-        /// An owner took the shard.
+        /// An owner took the shard over.
         OwnerBegan {
-            /// Its epoch.
+            /// The new owner's epoch.
             epoch: Epoch,
-            /// Who it is.
+            /// The incarnation of the daemon.
             holder: Holder,
         },
-        /// An owner gave the shard up; its last event.
+        /// An owner released the shard. This is its last event.
         OwnerEnded {
-            /// Its epoch.
+            /// The epoch of the owner that released it.
             epoch: Epoch,
         },
-        /// A job was accepted.
+        /// A job was accepted and waits to be placed.
         Accepted {
-            /// The job.
+            /// The new job's id.
             job: JobId,
-            /// Its entry.
+            /// The catalogue entry that the job runs.
             entry: EntryName,
-            /// What it takes.
+            /// The capacity that the job takes of a worker's host.
             size: Size,
-            /// How long an owner that is cut off may go on renewing it.
+            /// How long an owner that can't reach the table may keep renewing the job's lease.
             hold: Duration,
         },
-        /// A job was given a place.
+        /// A waiting job was placed on a worker.
         Placed {
-            /// The job.
+            /// The job, which was waiting.
             job: JobId,
-            /// Where, by whom, which attempt.
+            /// The worker, the owner's epoch and the number of the attempt.
             placement: Placement,
         },
         /// A worker saved a job's progress.
         Checkpointed {
-            /// The job.
+            /// The job, which is placed.
             job: JobId,
             /// The attempt that saved it.
             attempt: Attempt,
-            /// What was saved.
+            /// The saved state, which replaces the previous checkpoint.
             checkpoint: Checkpoint,
         },
-        /// A job lost its place: it has certainly stopped there and waits for another.
+        /// A job was evicted: it has certainly stopped on its worker and waits to be placed again.
         Evicted {
-            /// The job.
+            /// The job, which waits from now on.
             job: JobId,
             /// The attempt that stopped.
             attempt: Attempt,
         },
-        /// An attempt failed on its worker; the job waits again.
+        /// An attempt failed on its worker; the job waits to be placed again.
         AttemptFailed {
-            /// The job.
+            /// The job, which waits from now on.
             job: JobId,
             /// The attempt that failed.
             attempt: Attempt,
         },
-        /// A cancel was asked for.
+        /// Cancellation of a job was requested.
         CancelAsked {
-            /// The job.
+            /// The job, which may still be running.
             job: JobId,
         },
-        /// A job is over.
+        /// A job ended.
         Ended {
-            /// The job.
+            /// The job, which is kept until its retention has passed.
             job: JobId,
-            /// How.
+            /// Whether the job finished, failed or was cancelled.
             end: JobEnd,
         },
-        /// An ended job is forgotten after its retention.
+        /// The retention of an ended or moved job has passed.
         Forgotten {
-            /// The job.
+            /// The job, which is removed from the state.
             job: JobId,
         },
-        /// A waiting job left for another shard, in the transaction that put it there.
+        /// A waiting job moved to another shard, in the transaction that adds it there.
         MovedOut {
-            /// The job.
+            /// The job, which this shard no longer places.
             job: JobId,
-            /// Where to.
+            /// The shard that the job moved to.
             to: ShardId,
         },
-        /// A job arrived from another shard, in the transaction that took it from there.
+        /// A job moved here from another shard, in the transaction that removes it there.
         MovedIn {
             /// The job's id, which still names its home shard.
             id: JobId,
-            /// The job as it left.
+            /// The job's state in the shard that it left.
             job: Job,
         },
         /// A request id was claimed.
         Claimed {
-            /// The id.
+            /// The id that the caller chose.
             request: RequestId,
-            /// The entry.
+            /// The catalogue entry that the request runs.
             entry: EntryName,
-            /// The daemon that will send it.
+            /// The daemon that may send the request.
             by: Holder,
         },
-        /// A claimed request's end is known.
+        /// The outcome of a claimed request is known.
         ClaimEnded {
-            /// The id.
+            /// The claimed id.
             request: RequestId,
-            /// How it ended.
+            /// The outcome, which repeats of the request receive.
             end: ClaimEnd,
         },
-        /// A claim is forgotten after its retention.
+        /// The retention of an ended claim has passed.
         ClaimForgotten {
-            /// The id.
+            /// The id, which may be claimed again.
             request: RequestId,
         },
-        /// A daemon's floor on a worker is set; an empty grant takes it back.
+        /// A daemon's floor on a worker was set; an empty grant removes it.
         Granted {
-            /// The daemon.
+            /// The daemon that may use the grant.
             to: Holder,
-            /// The worker.
+            /// The worker whose capacity is granted.
             worker: WorkerId,
-            /// What it may use.
+            /// The new floor, which replaces the previous one.
             grant: Grant,
         },
-        /// A daemon is certainly gone, and with it all its floors.
+        /// A daemon has certainly ended; all its floors are removed.
         GrantsVoided {
-            /// The daemon.
+            /// The daemon that ended.
             of: Holder,
         },
     }
 
     /// One row of the ledger.
     pub struct Batch {
-        /// Its place.
+        /// Position of the batch in the ledger.
         pub sequence: Sequence,
-        /// The writer's epoch.
+        /// Epoch of the owner that wrote the batch.
         pub epoch: Epoch,
-        /// Drawn at random by the writer for this try, so that a read-back tells its own row from
-        /// one that somebody else wrote at the same place.
+        /// Drawn at random for each attempt to write the batch, so that a writer that reads the row
+        /// back can distinguish it from another writer's row with the same sequence number.
         pub nonce: u64,
-        /// What happened, in order.
+        /// The events, in the order in which they are applied.
         pub events: Vec<Event>,
     }
 }
 
 impl Event {
-    /// The job that it is about.
+    /// The job that the event changes; `None` when it changes no job.
     pub fn job(&self) -> Option<&JobId> {
         match self {
             Self::Accepted { job, .. }
@@ -217,7 +217,7 @@
         }
     }
 
-    /// The claimed request that it is about.
+    /// The request whose claim the event changes; `None` when it changes no claim.
     pub(super) fn request(&self) -> Option<&RequestId> {
         match self {
             Self::Claimed { request, .. }
--- a/src/lapisdrum/state/fencing.rs
+++ b/src/lapisdrum/state/fencing.rs
@@ -1,29 +1,31 @@
-//! When a task that may be running somewhere may be started elsewhere, and how long a command to a
-//! worker stays valid.
+//! When a task that may still be running may be started on another worker, and how long a command
+//! to a worker stays valid.
 //!
-//! A doubled livestream splits its viewers. So a task is started elsewhere only when the worker has
-//! confirmed that it stopped, or when nobody can still be renewing it and its lease has run out.
-//! Silence alone proves nothing: an earlier owner on the far side of a partition may be renewing
-//! the task on a worker that only it can reach.
+//! A task must not run twice: two instances of a livestream would split its viewers. It is started
+//! elsewhere only when its worker has confirmed that it stopped, or when no owner can still be
+//! renewing it and its lease has run out. A worker that does not answer proves nothing: in a
+//! network partition, an earlier owner may be renewing the task on a worker that only that owner
+//! can reach.
 
 use super::ownership::LeaseTerms;
 use crate::core::time::{Millis, WorkerMillis};
 use std::time::Duration;
 
-/// A worker's clock, read from one of its answers.
+/// A reading of a worker's clock, taken from one of its answers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct ClockReading {
-    /// What the worker's clock showed.
+    /// Time on the worker's clock when it sent the answer.
     pub worker: WorkerMillis,
-    /// When the answer arrived here. The reading is at least as old as this.
+    /// When this daemon received the answer. The reading was taken before.
     pub received_at: Millis,
 }
 
-/// The end of a command on the worker's clock, such that it never lies after `end` on ours.
+/// The time on the worker's clock until which a command is valid, never later than `end` on this
+/// daemon's clock.
 ///
-/// The worker's clock showed `reading.worker` before `reading.received_at`, so counting on from the
-/// arrival errs early; the drift margin covers a worker's clock that runs slow. Returns `None` when
-/// nothing is left: the command must not be sent.
+/// The worker's clock showed `reading.worker` before `reading.received_at`, so counting from the
+/// arrival gives an end that is too early rather than too late; the drift margin covers a worker's
+/// clock that runs slow. Returns `None` when no time is left: the command must not be sent.
 pub fn end_on_worker(
     reading: ClockReading,
     end: Millis,
@@ -33,41 +35,43 @@
     (!left.is_zero()).then(|| reading.worker + terms.shortened(left))
 }
 
-/// What is known of the owners before the present one, as far as they may have renewed a task.
+/// State of the earlier owners that may have renewed a task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum EarlierOwners {
-    /// The present owner placed the task itself.
+    /// There are none: the present owner placed the task itself.
     None,
-    /// All of them have released the shard or are known dead; the last was found so at this time.
+    /// All of them have released the shard or are known to have ended; the last was found to have
+    /// ended at this time.
     Gone(Millis),
-    /// At least one may be alive and cut off.
+    /// At least one may still be running, cut off from the table.
     Unaccounted,
 }
 
-/// What is known of a placed task's worker.
+/// What is known about a placed task from its worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum WorkerEvidence {
-    /// Under the present epoch the worker answered that the task does not run, or the platform no
-    /// longer names the worker.
+    /// In the present epoch the worker answered that the task is not running, or the platform no
+    /// longer lists the worker.
     Stopped,
-    /// No answer.
+    /// The worker has not confirmed that the task stopped.
     Silent,
 }
 
 /// Everything that decides whether a task may be started elsewhere.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Evidence {
-    /// The worker's side.
+    /// Whether the task is known to have stopped.
     pub worker: WorkerEvidence,
-    /// The end, on our clock, of the last lease that the present owner itself sent.
+    /// End of the last lease that the present owner sent, on its own clock; `None` when it sent
+    /// none.
     pub own_lease_end: Option<Millis>,
-    /// The owners before.
+    /// The owners before the present one.
     pub earlier: EarlierOwners,
-    /// When the present owner took the shard.
+    /// When the present owner took the shard over.
     pub owner_since: Millis,
-    /// The life of a task's lease.
+    /// Time after which a task's lease ends when it is not renewed.
     pub task_lease: Duration,
-    /// The entry's hold: how long an owner may renew without reaching the table.
+    /// How long an owner that can't reach the table may keep renewing the task's lease.
     pub hold: Duration,
 }
 
@@ -79,17 +83,18 @@
     let own = evidence.own_lease_end.unwrap_or_default();
     let theirs = match evidence.earlier {
         EarlierOwners::None => Millis::default(),
-        // Its last command may have been under way when it died.
+        // Its last command may have been in flight when it ended.
         EarlierOwners::Gone(since) => since + terms.lengthened(evidence.task_lease),
-        // Whoever held the shard renewed it last before it was taken over, and promised the hold
-        // from then.
+        // The previous owner last renewed its own lease before the take-over, and may extend the
+        // task's lease to at most `hold` after that.
         EarlierOwners::Unaccounted => evidence.owner_since + terms.lengthened(evidence.hold),
     };
     own.max(theirs)
 }
 
-/// The end on our own clock of a lease that we sent at `now`: the worker counted from an earlier
-/// reading, so this errs late, as the waiting side must.
+/// The end, on this daemon's clock, of a task lease sent at `now`. The worker counts from an
+/// earlier clock reading, so this is too late rather than too early, as the side that waits
+/// requires.
 pub fn own_lease_end(now: Millis, task_lease: Duration, terms: &LeaseTerms) -> Millis {
     now + terms.lengthened(task_lease)
 }
--- a/src/lapisdrum/state/grants.rs
+++ b/src/lapisdrum/state/grants.rs
@@ -1,9 +1,11 @@
-//! Floors: what each daemon may use of each worker for requests without asking anybody.
+//! Floors: the capacity of each worker that a daemon may use for requests without asking the
+//! shard's owner.
 //!
-//! Both sides of the exchange are here, without the exchange. The owner's side proposes ledger events
-//! ([`changes`]); the daemon's side holds itself to what it was answered ([`Floors`]). A floor rises
-//! only after the ledger has it and falls in the ledger only after the daemon has come down, so a
-//! lost, late or repeated message leaves the ledger above what is used and never below it.
+//! This module has the rules of both sides of the exchange, without the messages. The owner
+//! proposes ledger events ([`changes`]); the daemon keeps within the floors that it received
+//! ([`Floors`]). A floor is raised only after the ledger has recorded it, and is lowered in the
+//! ledger only after the daemon has lowered its own. A lost, late or repeated message therefore
+//! leaves the ledger above what is used, never below it.
 
 use super::{
     ledger::{Event, Grant, State},
@@ -15,20 +17,19 @@
 };
 use indexmap::IndexMap;
 
-/// Hundredths in a whole.
 const PERCENT: u64 = 100;
 
-/// Floors by worker.
+/// The floors of one daemon.
 pub type ByWorker = IndexMap<WorkerId, Grant>;
 
-/// One worker's floor at a daemon.
+/// A daemon's floor on one worker.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Floor {
-    /// What may be used.
+    /// Slots and capacity that the daemon may use.
     pub grant: Grant,
-    /// What is in use.
+    /// Slots and capacity that its requests use at present.
     pub used: Grant,
-    /// The epoch of the owner that granted last.
+    /// The epoch of the owner that last set the floor.
     pub epoch: Epoch,
 }
 
@@ -38,17 +39,18 @@
     }
 }
 
-/// What a daemon may use of workers, and what it uses.
+/// A daemon's floors on all workers, and its use of them.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Floors {
-    /// By worker.
+    /// Floors that are granted or in use.
     pub held: IndexMap<WorkerId, Floor>,
-    /// Exchanges begun so far.
+    /// Number of the last exchange started.
     round: u64,
 }
 
 impl Floors {
-    /// Begins an exchange: its number, by which the owner tells a later one from a late one.
+    /// Starts an exchange and returns its number, by which the owner recognises messages that
+    /// arrive late.
     pub fn next_round(&mut self) -> u64 {
         self.round += 1;
         self.round
@@ -62,7 +64,7 @@
         })
     }
 
-    /// Takes a slot and `size` on a worker.
+    /// Reserves a slot and `size` on a worker.
     pub fn take(&mut self, worker: &WorkerId, size: &Size) {
         if let Some(floor) = self.held.get_mut(worker) {
             floor.used.slots += 1;
@@ -70,7 +72,7 @@
         }
     }
 
-    /// Gives a slot and `size` on a worker back.
+    /// Releases a slot and `size` on a worker.
     pub fn release(&mut self, worker: &WorkerId, size: &Size) {
         if let Some(floor) = self.held.get_mut(worker) {
             floor.used.slots = floor.used.slots.saturating_sub(1);
@@ -78,8 +80,8 @@
         }
     }
 
-    /// The epoch that a request to a worker carries: that of the owner whose floor it uses. Shards of
-    /// one data centre have epochs of their own.
+    /// The epoch that a request to a worker carries: that of the owner whose floor it uses. Each
+    /// shard of a data centre has its own epochs.
     pub fn epoch_on(&self, worker: &WorkerId) -> Epoch {
         self.held
             .get(worker)
@@ -87,8 +89,8 @@
             .unwrap_or_default()
     }
 
-    /// Applies an owner's answer to the last round: floors as durable, lowered to the targets as far
-    /// as use allows. Answers to earlier rounds must not reach this.
+    /// Applies an owner's reply: sets the floors to those in the ledger, then lowers them towards
+    /// the targets, but not below present use. The reply must be to the latest exchange.
     pub fn adopt(&mut self, epoch: Epoch, floors: &ByWorker, targets: &ByWorker) {
         for (worker, grant) in floors {
             let floor = self.held.entry(worker.clone()).or_default();
@@ -103,7 +105,7 @@
         self.held.retain(|_, floor| !floor.is_empty());
     }
 
-    /// What this daemon holds itself to: it uses no more before a new answer.
+    /// The floors that this daemon keeps within until it receives another reply.
     pub fn holding(&self) -> ByWorker {
         let list = self.held.iter();
         list.map(|(worker, floor)| (worker.clone(), floor.grant))
@@ -111,7 +113,7 @@
     }
 }
 
-/// A floor brought down to `target`, but not below what is in use.
+/// `grant` lowered to `target`, but not below `used`.
 pub fn lowered(grant: &Grant, target: &Grant, used: &Grant) -> Grant {
     Grant {
         slots: grant.slots.min(target.slots.max(used.slots)),
@@ -135,8 +137,9 @@
     }
 }
 
-/// One of `count` parts of a worker's request share; slots that don't divide go round by `rank`.
-/// `whole` is the worker's slots and capacity.
+/// One of `count` equal parts of a worker's request share. Slots that can't be divided evenly go
+/// one each to the lowest ranks; `rank` counts modulo `count`, so that callers can rotate it over
+/// the workers. `whole` has the worker's slots and capacity.
 pub fn even_part(whole: &Grant, share_percent: u32, rank: usize, count: usize) -> Grant {
     let (count, rank) = (to_u32(count).max(1), to_u32(rank));
     let extra = u32::from(rank % count < whole.slots % count);
@@ -155,7 +158,7 @@
     whole.size.times(share_percent.into()).divided(PERCENT)
 }
 
-/// What of a worker's request share no daemon holds yet; tasks are kept out of it.
+/// The part of a worker's request share that is not granted to any daemon. Tasks must not use it.
 pub fn unclaimed_reserve(
     state: &State,
     worker: &WorkerId,
@@ -170,8 +173,9 @@
     request_share(whole, share_percent).minus(&held)
 }
 
-/// Ledger events that take back what a daemon no longer holds and raise what has room. `hosts` are
-/// the slots and capacities of the workers that the platform names.
+/// Ledger events that lower a daemon's floors to those it still holds, and raise them towards
+/// `targets` where the worker has free capacity. `hosts` has the slots and capacities of the
+/// workers that the platform lists; floors on other workers are not raised.
 pub fn changes(
     state: &State,
     hosts: &ByWorker,
@@ -214,7 +218,7 @@
     grants.get(worker).copied().unwrap_or_default()
 }
 
-/// What tasks and other daemons' floors take of a worker.
+/// Sum of the tasks and of other daemons' floors on a worker.
 fn others_on(state: &State, worker: &WorkerId, own: &Grant) -> Grant {
     let committed = state.committed_on(worker);
     Grant {
@@ -223,7 +227,7 @@
     }
 }
 
-/// `kept` raised towards `target` as far as the worker has room beside `others`.
+/// `kept` raised towards `target` as far as `others` leave free capacity on the worker.
 fn raise(whole: &Grant, others: &Grant, kept: &Grant, target: &Grant) -> Grant {
     let room_slots = whole.slots.saturating_sub(others.slots);
     let room_size = whole.size.minus(&others.size);
--- a/src/lapisdrum/state/ledger.rs
+++ b/src/lapisdrum/state/ledger.rs
@@ -1,10 +1,10 @@
-//! A shard's ledger: what its owner must remember, as events applied to a state.
+//! A shard's ledger: the durable state of the shard as a log of events.
 //!
-//! The owner alone appends. One table transaction asserts the epoch and the next sequence number
-//! and puts one row that carries a [`Batch`]; recovery is the last snapshot plus the batches after
-//! it. [`State::apply`] checks every event against the state, so an event that does not belong is
-//! found when it is proposed and not at the next recovery. The events themselves stand in
-//! [`super::event`].
+//! Only the shard's owner appends. One table transaction asserts the epoch and the next sequence
+//! number and writes one row with a [`Batch`]; recovery loads the last snapshot and replays the
+//! batches after it. [`State::apply`] checks every event against the state, so an invalid event is
+//! rejected when it is proposed and not found at the next recovery. [`super::event`] defines the
+//! events.
 
 pub use super::event::{Batch, Claim, ClaimEnd, Event, Grant, OwnerRecord};
 
@@ -17,7 +17,7 @@
 use indexmap::IndexMap;
 use std::{fmt, hash::Hash, time::Duration};
 
-/// An event that does not belong to the state that it was applied to.
+/// An event that is invalid in the state that it was applied to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Misplaced {
     what: &'static str,
@@ -40,34 +40,36 @@
 }
 
 data! {
-    /// Everything that a shard remembers.
+    /// The state of a shard after its last batch.
     #[derive(Default)]
     pub struct State {
-        /// The last batch applied.
+        /// Sequence number of the last batch applied; 0 before the first.
         pub sequence: Sequence,
-        /// The epoch of the last owner that wrote.
+        /// The epoch of the owner that wrote the last batch.
         pub epoch: Epoch,
-        /// Jobs that are not yet forgotten.
+        /// Jobs held by this shard, ended ones until their retention has passed.
         pub jobs: IndexMap<JobId, Job>,
-        /// Jobs that left for another shard, and where to: a repeat of their acceptance must not make
-        /// a second job, and callers are sent on.
+        /// Jobs that moved to another shard, and that shard. Repeating their acceptance must not
+        /// create a second job, and callers are redirected.
         #[serde(default)]
         pub moved: IndexMap<JobId, ShardId>,
-        /// Request ids that callers brought.
+        /// Claims on request ids that callers chose.
         pub claims: IndexMap<RequestId, Claim>,
-        /// Floors of each daemon on each worker.
+        /// Capacity of each worker that is granted to each daemon for requests.
         #[serde(with = "indexmap::map::serde_seq")]
         pub grants: IndexMap<Holder, IndexMap<WorkerId, Grant>>,
-        /// Owners so far that may matter to a task still placed.
+        /// Owners that may have renewed a task that is still placed, by ascending epoch.
         pub owners: Vec<OwnerRecord>,
-        /// What is committed on each worker, tasks and floors together; follows from the rest.
+        /// Sum of the placed tasks and granted floors on each worker. Derived from `jobs` and
+        /// `grants`; see [`Self::recount`].
         pub committed: IndexMap<WorkerId, Grant>,
     }
 }
 
 impl State {
-    /// Brings a snapshot up to date with the rows found beside it, in order; tells how many it took.
-    /// Rows that it covers may not have been deleted yet. A gap is an error.
+    /// Replays batches, in order of sequence, on a snapshot and returns how many were applied.
+    /// Batches that the snapshot already covers may not have been deleted yet and are skipped. A
+    /// gap is an error.
     pub fn replay(&mut self, batches: &[Batch]) -> Result<u64, Misplaced> {
         let mut taken = 0;
         for batch in batches {
@@ -79,8 +81,8 @@
         Ok(taken)
     }
 
-    /// Applies a batch, or nothing of it when its place or epoch is wrong. An event in it that does
-    /// not belong means that the ledger is broken; the state is then of no use.
+    /// Applies a batch. The state is unchanged when the sequence number or the epoch is wrong. An
+    /// invalid event means that the ledger is corrupt; the state must not be used after it.
     pub fn apply_batch(&mut self, batch: &Batch) -> Result<(), Misplaced> {
         if batch.sequence != self.sequence.next() {
             return Err(misplaced("sequence out of order", &batch.sequence.0));
@@ -96,7 +98,7 @@
         Ok(())
     }
 
-    /// Applies several events, or none of them.
+    /// Applies all events, or none of them when one is invalid.
     pub fn apply_all(&mut self, events: &[Event]) -> Result<(), Misplaced> {
         if let [event] = events {
             return self.apply(event);
@@ -111,8 +113,8 @@
         Ok(())
     }
 
-    /// As much of the state as decides whether `events` belong to it. Cloning all of it for each
-    /// proposal would cost time in proportion to the jobs kept.
+    /// Copies the part of the state that decides whether `events` are valid. Cloning the whole
+    /// state for each proposal would take time proportional to the number of jobs kept.
     fn subjects_of(&self, events: &[Event]) -> Self {
         let jobs: Vec<&JobId> = events.iter().filter_map(Event::job).collect();
         let requests = events.iter().filter_map(Event::request);
@@ -125,7 +127,7 @@
         }
     }
 
-    /// Applies one event; an error leaves the state as it was.
+    /// Applies one event; an error leaves the state unchanged.
     pub fn apply(&mut self, event: &Event) -> Result<(), Misplaced> {
         match event {
             Event::OwnerBegan { epoch, holder } => self.owner_began(*epoch, holder),
@@ -169,12 +171,12 @@
         }
     }
 
-    /// What is committed on a worker.
+    /// Sum of the placed tasks and granted floors on a worker.
     pub fn committed_on(&self, worker: &WorkerId) -> Grant {
         self.committed.get(worker).copied().unwrap_or_default()
     }
 
-    /// What follows from jobs and floors alone; equals `committed` at all times.
+    /// Computes `committed` from the jobs and grants. The two are always equal.
     pub fn recount(&self) -> IndexMap<WorkerId, Grant> {
         let mut sums: IndexMap<WorkerId, Grant> = IndexMap::new();
         for job in self.jobs.values() {
@@ -191,7 +193,7 @@
         sums
     }
 
-    /// The owners besides `epoch` that may have renewed a task placed at `placed`.
+    /// The owners before `epoch` that may have renewed a task placed in epoch `placed`.
     pub fn suspects(&self, placed: Epoch, epoch: Epoch) -> impl Iterator<Item = &OwnerRecord> {
         self.owners
             .iter()
@@ -260,8 +262,8 @@
         if placement.attempt != Attempt(job.attempts.0 + 1) {
             return Err(misplaced("attempt out of order", id));
         }
-        // Its successor takes an owner that has ended for one that starts nothing more, and waits
-        // only for the last lease.
+        // The next owner relies on an owner that has ended to start nothing more, and waits only
+        // for the last lease to run out.
         let has_ended = |owner: &OwnerRecord| owner.epoch == placement.epoch && owner.released;
         if self.owners.iter().any(has_ended) {
             return Err(misplaced("job placed by an owner that has ended", id));
@@ -348,7 +350,7 @@
         }
     }
 
-    /// A placed job stays: while it may be running, only the shard of its worker can tell.
+    /// A placed job can't move: it may be running, and only its worker's shard can find out.
     fn moved_out(&mut self, id: &JobId, to: &ShardId) -> Result<(), Misplaced> {
         match self.jobs.get(id) {
             Some(job) if job.phase == JobPhase::Waiting => {
@@ -367,7 +369,7 @@
         if job.phase != JobPhase::Waiting {
             return Err(misplaced("only a waiting job moves", id));
         }
-        // It may come back to a shard that it left.
+        // A job may return to a shard that it left.
         self.moved.swap_remove(id);
         self.jobs.insert(id.clone(), job.clone());
         Ok(())
--- a/src/lapisdrum/state/mod.rs
+++ b/src/lapisdrum/state/mod.rs
@@ -1,7 +1,7 @@
-//! Pure transitions of everything that must last or must be agreed.
+//! Pure state transitions of everything that must be durable or agreed between daemons.
 //!
-//! No module here performs I/O or reads a clock: the daemon hands in rows, answers and times. The
-//! same functions run under the model checker and the property tests.
+//! No module here performs I/O or reads a clock: the daemon passes rows, replies and times as
+//! arguments. The model checker and the property tests run the same functions.
 
 pub mod catalogue;
 pub mod claims;
--- a/src/lapisdrum/state/ownership.rs
+++ b/src/lapisdrum/state/ownership.rs
@@ -1,10 +1,10 @@
-//! Who owns a shard: a table row with a holder, an epoch and a lease.
+//! Ownership of a shard: a table row with a holder, an epoch and a lease.
 //!
-//! One writer a shard keeps hosts within their size without a table write for each task. The row
-//! changes by compare-and-set only, so two daemons that race for it get one winner. The holder
-//! counts its lease from *before* it sent the renewal and takes the drift margin off; the others
-//! count from when they *saw* the row unchanged and put the margin on. Both err towards a gap
-//! without an owner, never towards two.
+//! A single writer per shard keeps hosts from being overcommitted without a table write for each
+//! task. The row is only changed by compare-and-set, so of two daemons that race for it one wins.
+//! The holder counts its lease from *before* it sent the renewal and subtracts the drift margin;
+//! the others count from when they *first read* the row's present version and add the margin.
+//! Errors on either side lead to a time without an owner, never to two owners.
 
 use crate::core::{
     id::{DaemonId, Epoch, Incarnation},
@@ -13,60 +13,62 @@
 use std::time::Duration;
 
 data! {
-    /// One run of one daemon.
+    /// One incarnation of a daemon.
     #[derive(PartialOrd, Ord, Hash)]
     pub struct Holder {
-        /// The daemon.
+        /// The daemon's name, the same for all its incarnations.
         pub daemon: DaemonId,
-        /// Which run of it.
+        /// Drawn at random when the daemon started.
         pub incarnation: Incarnation,
-        /// Its host's address; a new incarnation at the same address proves the old one gone.
+        /// The daemon's address. A new incarnation at the same address proves that the old one has
+        /// ended.
         pub address: String,
     }
 
     /// The table row of a shard.
     pub struct ShardRow {
-        /// Raised by each take-over.
+        /// Raised by one at each take-over.
         pub epoch: Epoch,
-        /// The owner; none once it has released the shard.
+        /// The owner; `None` once it has released the shard.
         pub holder: Option<Holder>,
-        /// Raised by each renewal, so that a renewed row differs from the one before.
+        /// Raised by one at each renewal, so that a renewed row differs from the previous one.
         pub renewals: u64,
     }
 }
 
-/// Lease figures that every daemon of a data centre must share.
+/// Lease settings, which must be the same for all daemons of a data centre.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaseTerms {
-    /// Life of a lease without renewal.
+    /// Time after its last renewal at which a lease ends.
     pub lease: Duration,
-    /// Greatest relative clock drift between two hosts, in thousandths.
+    /// Maximum relative clock drift between two hosts, in thousandths.
     pub drift_permille: u32,
 }
 
 impl LeaseTerms {
-    /// `span` as the side that must stop early counts it.
+    /// `span` less the drift margin, for the side that must stop in time.
     pub fn shortened(&self, span: Duration) -> Duration {
         span - span * self.drift_permille / 1_000
     }
 
-    /// `span` as the side that must wait long enough counts it.
+    /// `span` plus the drift margin, for the side that must wait long enough.
     pub fn lengthened(&self, span: Duration) -> Duration {
         span + span * self.drift_permille / 1_000
     }
 }
 
-/// What a daemon has seen of a row that somebody else holds.
+/// A daemon's last observation of a row that another daemon holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Sighting {
-    /// The row's table version; 0 for an absent row.
+    /// The row's table version; 0 when there is no row.
     pub version: u64,
-    /// When this version was first seen.
+    /// When this version was first read.
     pub since: Millis,
 }
 
 impl Sighting {
-    /// The sighting after reading the row at `now`: time counts on only while the row is unchanged.
+    /// The observation after reading the row at `now`. `since` is kept while the version is the
+    /// same.
     #[must_use]
     pub fn update(previous: Option<Self>, version: u64, now: Millis) -> Self {
         match previous {
@@ -79,18 +81,19 @@
     }
 }
 
-/// Whether a shard may be taken.
+/// Whether a daemon may take a shard over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Availability {
-    /// Nobody holds it: never held, or released.
+    /// It has no holder: it was never held, or was released.
     Vacant,
-    /// Its lease has run out unrenewed.
+    /// The lease has run out without a renewal.
     Lapsed,
-    /// Somebody holds it.
+    /// The lease may still be in force.
     Held,
 }
 
-/// Judges a row that was last read as `row`, first seen in that version at `seen.since`.
+/// Availability of a shard whose row was last read as `row`, with that version first read at
+/// `seen.since`.
 pub fn availability(
     row: Option<&ShardRow>,
     seen: Sighting,
@@ -104,7 +107,7 @@
     }
 }
 
-/// The row that a taker writes: the next epoch, under its own name.
+/// The row that `holder` writes to take the shard over, with the next epoch.
 pub fn taken(row: Option<&ShardRow>, holder: Holder) -> ShardRow {
     let epoch = row.map(|row| row.epoch).unwrap_or_default().next();
     ShardRow {
@@ -122,7 +125,7 @@
     }
 }
 
-/// The row that the holder writes to give the shard up.
+/// The row that the holder writes to release the shard.
 pub fn released(row: &ShardRow) -> ShardRow {
     ShardRow {
         holder: None,
@@ -131,29 +134,29 @@
     }
 }
 
-/// A holder's own view of its lease.
+/// A lease as its holder counts it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Tenure {
-    /// The epoch held.
+    /// The epoch in which the holder owns the shard.
     pub epoch: Epoch,
-    /// When the last renewal that took effect was *sent*.
+    /// When the last renewal that took effect was *sent*, on the holder's clock.
     pub renewed_at: Millis,
 }
 
 impl Tenure {
-    /// Whether the holder may still start or commit anything at `now`. A holder that was paused
-    /// asks this on waking and finds its lease gone before it acts.
+    /// Whether the holder may still start or commit anything at `now`. A process that was paused
+    /// must check this before it acts, since its lease may have run out.
     pub fn may_act(&self, now: Millis, terms: &LeaseTerms) -> bool {
         now.since(self.renewed_at) < terms.shortened(terms.lease)
     }
 
-    /// The last moment to which the holder may let a task's lease run, for an entry's `hold`. This
-    /// is the durable promise that a successor waits out when neither worker nor holder answers.
+    /// The latest end of a task's lease that the holder may grant, given the entry's `hold`. The
+    /// next owner waits for this time when neither the worker nor the holder answers.
     pub fn right_until(&self, hold: Duration, terms: &LeaseTerms) -> Millis {
         self.renewed_at + terms.shortened(hold)
     }
 
-    /// Notes that a renewal sent at `sent_at` took effect.
+    /// Records that a renewal sent at `sent_at` took effect.
     pub fn renew(&mut self, sent_at: Millis) {
         self.renewed_at = self.renewed_at.max(sent_at);
     }
--- a/src/lapisdrum/state/shares.rs
+++ b/src/lapisdrum/state/shares.rs
@@ -1,95 +1,98 @@
-//! Shares of an entry's limit over the whole system, as one table row an entry.
+//! Shares of an entry's global limit, stored as one table row per entry.
 //!
-//! A limit holds everywhere at once, also while a data centre is cut off. So it is divided durably:
-//! each *party* (a run of a daemon for requests, a shard for jobs) has a part in the row, the parts
-//! add up to no more than the limit, and a party uses its part without asking anybody. A data
-//! centre's share is what its parties have together.
+//! A limit applies to the whole system, also while a data centre is cut off. It is therefore
+//! divided durably: each *party* (a daemon incarnation for requests, a shard for jobs) has a part
+//! in the row, the parts add up to no more than the limit, and a party uses its part without asking
+//! others. The share of a data centre is the sum of its parties' parts.
 //!
-//! - Only a party itself lowers its part, after it has come down to it: the giver first. What it gave
-//!   is free for others. A party that is cut off keeps its part, and so nobody else can use it.
-//! - A party that wants more than there is free marks its part; those above their even part come
-//!   down to it, and those that are idle to half of it. What is free goes to whoever is short, half
-//!   of it at a time, so that shares follow demand over several looks and do not swing.
-//! - A daemon's part is voided when it is certainly gone and the longest deadline has passed.
+//! - Only a party itself lowers its part, and only after it has reduced its use to the new amount.
+//!   The difference is then free for others. A party that is cut off keeps its part, so no other
+//!   party can use it.
+//! - A party that needs more than is free marks its part as short. Parties above their even part
+//!   then reduce theirs to it, idle ones to half of it. In one update a short party takes at most
+//!   half of the free amount, or its even part if that is more, so that shares follow demand over
+//!   several updates and do not oscillate.
+//! - A daemon's part is removed when the daemon has certainly ended and the longest deadline has
+//!   passed.
 //!
-//! Every change is a compare-and-set of the row. With one row for all daemons a row grows by about
-//! 150 bytes a daemon; beyond some fifty daemons it wants splitting into a row a data centre.
+//! Every change is a compare-and-set of the row. A row grows by about 150 bytes per daemon; above
+//! about fifty daemons it should be split into one row per data centre.
 
 use super::ownership::Holder;
 use crate::core::id::{DataCentre, Revision, ShardId};
 
 data! {
-    /// Who has a part of a limit.
+    /// A holder of a part of a limit.
     #[derive(PartialOrd, Ord, Hash)]
     pub enum Party {
-        /// A run of a daemon, for requests.
+        /// A daemon incarnation, for requests.
         Daemon(Holder),
-        /// A shard, for jobs, whoever owns it.
+        /// A shard, for jobs; the part stays with the shard when its owner changes.
         Shard(ShardId),
     }
 
-    /// One party's part.
+    /// One party's part of a limit.
     pub struct Part {
-        /// Whose.
+        /// The party that may use the part.
         pub party: Party,
-        /// Its data centre.
+        /// The party's data centre.
         pub data_centre: DataCentre,
-        /// How much of the limit.
+        /// Concurrent requests or tasks that the party may run.
         pub amount: u32,
-        /// Whether it wants more than was free.
+        /// Whether the party needs more than was free at its last update.
         pub is_short: bool,
     }
 
-    /// The row of an entry.
+    /// The table row of an entry.
     #[derive(Default)]
     pub struct Shares {
-        /// The catalogue revision that the limit is from.
+        /// The catalogue revision that set the limit.
         pub revision: Revision,
-        /// The limit that is divided.
+        /// Concurrent requests or tasks of the entry over the whole system.
         pub limit: u32,
-        /// The parts.
+        /// One part per party.
         pub parts: Vec<Part>,
     }
 }
 
-/// What a party knows of itself and the others when it looks at the row.
+/// What a party knows about itself and the other parties when it updates the row.
 #[derive(Clone, Debug)]
 pub struct Look<'a> {
-    /// The party.
+    /// The party that updates the row.
     pub party: &'a Party,
-    /// Its data centre.
+    /// The party's data centre.
     pub data_centre: &'a DataCentre,
-    /// The revision of the entry's limit.
+    /// The catalogue revision of `limit`.
     pub revision: Revision,
-    /// The entry's limit.
+    /// Concurrent requests or tasks of the entry over the whole system.
     pub limit: u32,
-    /// Parties that there are at present, this one included, and this one's place among them.
+    /// Number of parties known at present, this one included.
     pub parties: u32,
-    /// This party's place.
+    /// This party's rank among them, from 0.
     pub rank: u32,
-    /// Runs at present, counted until they are certainly over.
+    /// Requests or tasks that run at present, each counted until it has certainly ended.
     pub running: u32,
-    /// Most runs and waiting of the last while.
+    /// Recent peak of requests or tasks that run or wait.
     pub demand: u32,
 }
 
 impl Shares {
-    /// What is given to parties, all together.
+    /// The sum of all parts.
     pub fn given(&self) -> u32 {
         self.parts.iter().map(|part| part.amount).sum()
     }
 
-    /// What nobody has.
+    /// The part of the limit that no party has.
     pub fn free(&self) -> u32 {
         self.limit.saturating_sub(self.given())
     }
 
-    /// A party's part.
+    /// A party's part; `None` when it is not in the row.
     pub fn part(&self, party: &Party) -> Option<&Part> {
         self.parts.iter().find(|part| part.party == *party)
     }
 
-    /// The row after a party's look at it; the same where it has nothing to change.
+    /// The row after a party's update; equal to this row when there is nothing to change.
     #[must_use]
     pub fn looked_at(&self, look: &Look<'_>) -> Self {
         let mut next = self.clone();
@@ -104,7 +107,7 @@
         let own = next.own(look);
         let wanted = look.demand.max(look.running).max(even / 2);
         let wanted = if wanted >= own.amount.max(1) {
-            // Some room above what is used, so that the next request does not wait for a look.
+            // A margin above present use, so that the next request need not wait for an update.
             wanted + wanted / 4 + 1
         } else {
             wanted
@@ -120,9 +123,11 @@
         next
     }
 
-    /// Up to what a party starts anything while others are short: its even part. Its part can't come
-    /// down below what runs, and where callers wait there is always as much running as the part
-    /// allows; without the ceiling it would never come down, and the others would get nothing.
+    /// The number of running requests or tasks up to which a party may start more: its even part
+    /// while others are short or the parts exceed the limit, and no ceiling (`u32::MAX`) at other
+    /// times. A part can't be lowered below what is running, and while callers wait a party runs as
+    /// much as its part allows. Without the ceiling the part would never be lowered and the others
+    /// would get nothing.
     pub fn ceiling(&self, look: &Look<'_>) -> u32 {
         let is_short = self
             .parts
@@ -134,14 +139,14 @@
         }
     }
 
-    /// A party's even part. A party whose presence is not yet seen here is in the row all the same;
-    /// left out of the division, it would find the whole limit given to those that know each other.
+    /// A party's even part. Parties in the row that this one does not know yet count too; otherwise
+    /// the parties that know each other would divide the whole limit among themselves.
     fn even_part_of(&self, look: &Look<'_>) -> u32 {
         let listed = u32::try_from(self.parts.len()).unwrap_or(u32::MAX);
         even_part(look.limit, look.parties.max(listed), look.rank)
     }
 
-    /// The row without a party that is certainly gone.
+    /// The row without the part of a party that has certainly ended.
     #[must_use]
     pub fn without(&self, party: &Party) -> Self {
         let mut next = self.clone();
@@ -164,39 +169,40 @@
     }
 }
 
-/// Part `rank` of `count` of a limit; what doesn't divide goes to the first.
+/// The even part of the party with `rank` out of `count`; the remainder goes to the lowest ranks.
 fn even_part(limit: u32, count: u32, rank: u32) -> u32 {
     let count = count.max(1);
     limit / count + u32::from(rank < limit % count)
 }
 
-/// What a party lets itself use: never more than its last certain part, and never more than a part
-/// that it may have come down to.
+/// The amount that a party lets itself use: at most its last confirmed part, and at most any lower
+/// part that it may since have written.
 ///
-/// Failure: the answer to a write that lowers the part is lost. The row, read at once, still shows
-/// the greater part; then the late write takes effect and others take what was given up. A party
-/// that had gone back up would have the limit exceeded. So only a write of its own that is known to
-/// have taken effect raises it: that write's compare rules any earlier one out.
+/// It guards against this failure: the answer to a write that lowers the part is lost. The row,
+/// read right away, still shows the greater part; then the late write takes effect and other
+/// parties take the difference. If this party had raised its use again, the limit would be
+/// exceeded. The amount is therefore raised only by a write of its own that is known to have taken
+/// effect: the comparison in that write rules out that an earlier one takes effect later.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Allowed(u32);
 
 impl Allowed {
-    /// How much may be used.
+    /// Concurrent requests or tasks that the party may run.
     pub fn amount(self) -> u32 {
         self.0
     }
 
-    /// Before a write of `amount` is sent: comes down to it, and does not go up.
+    /// Lowers the amount before a write of `amount` is sent; never raises it.
     pub fn before_write(&mut self, amount: u32) {
         self.0 = self.0.min(amount);
     }
 
-    /// After a write of `amount` certainly took effect.
+    /// Sets the amount after a write of `amount` has certainly taken effect.
     pub fn after_write(&mut self, amount: u32) {
         self.0 = amount;
     }
 
-    /// After reading that the row gives `amount`.
+    /// Lowers the amount after `amount` was read from the row; never raises it.
     pub fn after_read(&mut self, amount: u32) {
         self.0 = self.0.min(amount);
     }
