--- a/src/lapisdrum/core/catalogue.rs
+++ b/src/lapisdrum/core/catalogue.rs
@@ -305,9 +305,9 @@
         }
     }
 
-    fn range(&mut self, key: &'static str, value: u64, least: u64, most: u64) {
-        if !(least..=most).contains(&value) {
-            self.fault(key, format!("{value} is outside {least} to {most}"));
+    fn range(&mut self, key: &'static str, value: u64, min: u64, max: u64) {
+        if !(min..=max).contains(&value) {
+            self.fault(key, format!("{value} is outside {min} to {max}"));
         }
     }
 }
--- a/src/lapisdrum/core/size.rs
+++ b/src/lapisdrum/core/size.rs
@@ -21,11 +21,11 @@
         accelerators: 0,
     };
 
-    /// Whether this size is at most `room` in every dimension.
-    pub fn fits(&self, room: &Self) -> bool {
-        self.millicores <= room.millicores
-            && self.memory_mb <= room.memory_mb
-            && self.accelerators <= room.accelerators
+    /// Whether this size is at most `capacity` in every dimension.
+    pub fn fits(&self, capacity: &Self) -> bool {
+        self.millicores <= capacity.millicores
+            && self.memory_mb <= capacity.memory_mb
+            && self.accelerators <= capacity.accelerators
     }
 
     /// The sum of both sizes in each dimension.
@@ -68,11 +68,11 @@
         }
     }
 
-    /// How many times this size fits into `room`; `u64::MAX` for an empty size.
-    pub fn count_in(&self, room: &Self) -> u64 {
+    /// How many times this size fits into `capacity`; `u64::MAX` for an empty size.
+    pub fn count_in(&self, capacity: &Self) -> u64 {
         let per = |have: u64, need: u64| have.checked_div(need).unwrap_or(u64::MAX);
-        per(room.millicores, self.millicores)
-            .min(per(room.memory_mb, self.memory_mb))
-            .min(per(room.accelerators, self.accelerators))
+        per(capacity.millicores, self.millicores)
+            .min(per(capacity.memory_mb, self.memory_mb))
+            .min(per(capacity.accelerators, self.accelerators))
     }
 }
--- a/src/lapisdrum/state/claims.rs
+++ b/src/lapisdrum/state/claims.rs
@@ -21,7 +21,7 @@
 
 /// Largest response body that is kept for repeated requests, in bytes. A certificate check's is
 /// far smaller; larger ones would make the ledger grow with the callers' data.
-pub const KEPT_BODY_BYTES: usize = 4 * 1024;
+pub const MAX_KEPT_BODY_BYTES: usize = 4 * 1024;
 /// Most claims that a shard keeps; once reached, further ids are refused.
 pub const MOST_CLAIMS: usize = 100_000;
 
@@ -43,7 +43,7 @@
         pub digest: u64,
         /// The response's content type.
         pub content_type: Option<String>,
-        /// The response's body; `None` when it was larger than [`KEPT_BODY_BYTES`].
+        /// The response's body; `None` when it was larger than [`MAX_KEPT_BODY_BYTES`].
         #[serde(skip)]
         pub body: Option<Vec<u8>>,
         /// Whether the body follows the JSON head.
@@ -56,15 +56,18 @@
     pub fn first(known: &[ShardId]) -> Option<Self> {
         (!known.is_empty()).then(|| Self {
             generation: 1,
-            shards: sorted(known),
+            shards: sorted_and_unique(known),
             before: Vec::new(),
         })
     }
 
     /// The shards at which an id must be claimed, in this order.
     pub fn of(&self, id: &RequestId) -> Vec<ShardId> {
-        let mut homes: Vec<ShardId> = highest(&self.before, id).cloned().into_iter().collect();
-        if let Some(home) = highest(&self.shards, id)
+        let mut homes: Vec<ShardId> = highest_by_hash(&self.before, id)
+            .cloned()
+            .into_iter()
+            .collect();
+        if let Some(home) = highest_by_hash(&self.shards, id)
             && !homes.contains(home)
         {
             homes.push(home.clone());
@@ -96,13 +99,13 @@
         );
         (shards.len() > self.shards.len()).then(|| Self {
             generation,
-            shards: sorted(&shards),
+            shards: sorted_and_unique(&shards),
             before: self.shards.clone(),
         })
     }
 }
 
-fn sorted(shards: &[ShardId]) -> Vec<ShardId> {
+fn sorted_and_unique(shards: &[ShardId]) -> Vec<ShardId> {
     let mut sorted = shards.to_vec();
     sorted.sort();
     sorted.dedup();
@@ -111,7 +114,7 @@
 
 /// The shard with the highest rendezvous hash for an id. Adding a shard moves only the ids for
 /// which the new shard is the highest.
-fn highest<'a>(shards: &'a [ShardId], id: &RequestId) -> Option<&'a ShardId> {
+fn highest_by_hash<'a>(shards: &'a [ShardId], id: &RequestId) -> Option<&'a ShardId> {
     let seed = xxh3_64_with_seed(id.as_str().as_bytes(), 0);
     let weight = |shard: &&ShardId| xxh3_64_with_seed(shard.as_str().as_bytes(), seed);
     shards.iter().max_by_key(weight)
@@ -147,10 +150,10 @@
 }
 
 impl KeptAnswer {
-    /// A response whose body is dropped when it is larger than [`KEPT_BODY_BYTES`]. `digest` is
+    /// A response whose body is dropped when it is larger than [`MAX_KEPT_BODY_BYTES`]. `digest` is
     /// the hash of the request's body.
     pub fn new(digest: u64, content_type: Option<String>, body: &[u8]) -> Self {
-        let is_whole = body.len() <= KEPT_BODY_BYTES;
+        let is_whole = body.len() <= MAX_KEPT_BODY_BYTES;
         Self {
             digest,
             content_type,
@@ -161,12 +164,12 @@
 }
 
 /// Separates the JSON head from the body. Compact JSON contains no line feed.
-const HEAD_END: u8 = b'\n';
+const HEAD_SEPARATOR: u8 = b'\n';
 
 impl From<&KeptAnswer> for Vec<u8> {
     fn from(kept: &KeptAnswer) -> Self {
         let mut bytes = serde_json::to_vec(kept).unwrap_or_default();
-        bytes.push(HEAD_END);
+        bytes.push(HEAD_SEPARATOR);
         bytes.extend_from_slice(kept.body.as_deref().unwrap_or_default());
         bytes
     }
@@ -180,7 +183,7 @@
     type Error = MalformedAnswer;
 
     fn try_from(bytes: &[u8]) -> Result<Self, MalformedAnswer> {
-        let end = bytes.iter().position(|byte| *byte == HEAD_END);
+        let end = bytes.iter().position(|byte| *byte == HEAD_SEPARATOR);
         let (head, body) = bytes.split_at(end.ok_or(MalformedAnswer)?);
         let mut kept: Self = serde_json::from_slice(head).map_err(|_| MalformedAnswer)?;
         kept.body = kept.is_whole.then(|| body[1..].to_vec());
--- a/src/lapisdrum/state/fencing.rs
+++ b/src/lapisdrum/state/fencing.rs
@@ -31,8 +31,8 @@
     end: Millis,
     terms: &LeaseTerms,
 ) -> Option<WorkerMillis> {
-    let left = end.since(reading.received_at);
-    (!left.is_zero()).then(|| reading.worker + terms.shortened(left))
+    let remaining = end.since(reading.received_at);
+    (!remaining.is_zero()).then(|| reading.worker + terms.shortened(remaining))
 }
 
 /// State of the earlier owners that may have renewed a task.
@@ -80,8 +80,8 @@
     if evidence.worker == WorkerEvidence::Stopped {
         return Millis::default();
     }
-    let own = evidence.own_lease_end.unwrap_or_default();
-    let theirs = match evidence.earlier {
+    let own_end = evidence.own_lease_end.unwrap_or_default();
+    let earlier_end = match evidence.earlier {
         EarlierOwners::None => Millis::default(),
         // Its last command may have been in flight when it ended.
         EarlierOwners::Gone(since) => since + terms.lengthened(evidence.task_lease),
@@ -89,7 +89,7 @@
         // task's lease to at most `hold` after that.
         EarlierOwners::Unaccounted => evidence.owner_since + terms.lengthened(evidence.hold),
     };
-    own.max(theirs)
+    own_end.max(earlier_end)
 }
 
 /// The end, on this daemon's clock, of a task lease sent at `now`. The worker counts from an
--- a/src/lapisdrum/state/grants.rs
+++ b/src/lapisdrum/state/grants.rs
@@ -117,11 +117,11 @@
 pub fn lowered(grant: &Grant, target: &Grant, used: &Grant) -> Grant {
     Grant {
         slots: grant.slots.min(target.slots.max(used.slots)),
-        size: least(&grant.size, &most(&target.size, &used.size)),
+        size: min_size(&grant.size, &max_size(&target.size, &used.size)),
     }
 }
 
-fn least(a: &Size, b: &Size) -> Size {
+fn min_size(a: &Size, b: &Size) -> Size {
     Size {
         millicores: a.millicores.min(b.millicores),
         memory_mb: a.memory_mb.min(b.memory_mb),
@@ -129,7 +129,7 @@
     }
 }
 
-fn most(a: &Size, b: &Size) -> Size {
+fn max_size(a: &Size, b: &Size) -> Size {
     Size {
         millicores: a.millicores.max(b.millicores),
         memory_mb: a.memory_mb.max(b.memory_mb),
@@ -139,14 +139,14 @@
 
 /// One of `count` equal parts of a worker's request share. Slots that can't be divided evenly go
 /// one each to the lowest ranks; `rank` counts modulo `count`, so that callers can rotate it over
-/// the workers. `whole` has the worker's slots and capacity.
-pub fn even_part(whole: &Grant, share_percent: u32, rank: usize, count: usize) -> Grant {
+/// the workers. `capacity` has all slots and the whole size of the worker.
+pub fn even_part(capacity: &Grant, share_percent: u32, rank: usize, count: usize) -> Grant {
     let (count, rank) = (to_u32(count).max(1), to_u32(rank));
-    let extra = u32::from(rank % count < whole.slots % count);
-    let slots = whole.slots / count + extra;
-    let size = request_share(whole, share_percent)
+    let extra = u32::from(rank % count < capacity.slots % count);
+    let slots = capacity.slots / count + extra;
+    let size = request_share(capacity, share_percent)
         .times(slots.into())
-        .divided(whole.slots.max(1).into());
+        .divided(capacity.slots.max(1).into());
     Grant { slots, size }
 }
 
@@ -154,15 +154,15 @@
     u32::try_from(n).unwrap_or(u32::MAX)
 }
 
-fn request_share(whole: &Grant, share_percent: u32) -> Size {
-    whole.size.times(share_percent.into()).divided(PERCENT)
+fn request_share(capacity: &Grant, share_percent: u32) -> Size {
+    capacity.size.times(share_percent.into()).divided(PERCENT)
 }
 
 /// The part of a worker's request share that is not granted to any daemon. Tasks must not use it.
 pub fn unclaimed_reserve(
     state: &State,
     worker: &WorkerId,
-    whole: &Grant,
+    capacity: &Grant,
     share_percent: u32,
 ) -> Size {
     let floors = state
@@ -170,7 +170,7 @@
         .values()
         .filter_map(|floors| floors.get(worker));
     let held = floors.fold(Size::ZERO, |sum, grant| sum.plus(&grant.size));
-    request_share(whole, share_percent).minus(&held)
+    request_share(capacity, share_percent).minus(&held)
 }
 
 /// Ledger events that lower a daemon's floors to those it still holds, and raise them towards
@@ -190,16 +190,16 @@
         .filter(|worker| !floors.contains_key(*worker));
     let mut events = Vec::new();
     for worker in floors.keys().chain(new) {
-        let ledger = of(floors, worker);
-        let held = of(holding, worker);
+        let ledger = grant_on(floors, worker);
+        let held = grant_on(holding, worker);
         let kept = Grant {
             slots: ledger.slots.min(held.slots),
-            size: least(&ledger.size, &held.size),
+            size: min_size(&ledger.size, &held.size),
         };
         let raised = match hosts.get(worker) {
-            Some(whole) => {
-                let others = others_on(state, worker, &ledger);
-                raise(whole, &others, &kept, &of(targets, worker))
+            Some(capacity) => {
+                let others = committed_by_others(state, worker, &ledger);
+                raise(capacity, &others, &kept, &grant_on(targets, worker))
             }
             None => kept,
         };
@@ -214,12 +214,12 @@
     events
 }
 
-fn of(grants: &ByWorker, worker: &WorkerId) -> Grant {
+fn grant_on(grants: &ByWorker, worker: &WorkerId) -> Grant {
     grants.get(worker).copied().unwrap_or_default()
 }
 
 /// Sum of the tasks and of other daemons' floors on a worker.
-fn others_on(state: &State, worker: &WorkerId, own: &Grant) -> Grant {
+fn committed_by_others(state: &State, worker: &WorkerId, own: &Grant) -> Grant {
     let committed = state.committed_on(worker);
     Grant {
         slots: committed.slots - own.slots,
@@ -228,11 +228,11 @@
 }
 
 /// `kept` raised towards `target` as far as `others` leave free capacity on the worker.
-fn raise(whole: &Grant, others: &Grant, kept: &Grant, target: &Grant) -> Grant {
-    let room_slots = whole.slots.saturating_sub(others.slots);
-    let room_size = whole.size.minus(&others.size);
+fn raise(capacity: &Grant, others: &Grant, kept: &Grant, target: &Grant) -> Grant {
+    let free_slots = capacity.slots.saturating_sub(others.slots);
+    let free_size = capacity.size.minus(&others.size);
     Grant {
-        slots: kept.slots.max(target.slots.min(room_slots)),
-        size: most(&kept.size, &least(&target.size, &room_size)),
+        slots: kept.slots.max(target.slots.min(free_slots)),
+        size: max_size(&kept.size, &min_size(&target.size, &free_size)),
     }
 }
--- a/src/lapisdrum/state/ledger.rs
+++ b/src/lapisdrum/state/ledger.rs
@@ -20,21 +20,21 @@
 /// An event that is invalid in the state that it was applied to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Misplaced {
-    what: &'static str,
+    reason: &'static str,
     subject: String,
 }
 
 impl fmt::Display for Misplaced {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{} for `{}`", self.what, self.subject)
+        write!(f, "{} for `{}`", self.reason, self.subject)
     }
 }
 
 impl std::error::Error for Misplaced {}
 
-fn misplaced(what: &'static str, subject: &impl ToString) -> Misplaced {
+fn invalid_event(reason: &'static str, subject: &impl ToString) -> Misplaced {
     Misplaced {
-        what,
+        reason,
         subject: subject.to_string(),
     }
 }
@@ -71,24 +71,24 @@
     /// Batches that the snapshot already covers may not have been deleted yet and are skipped. A
     /// gap is an error.
     pub fn replay(&mut self, batches: &[Batch]) -> Result<u64, Misplaced> {
-        let mut taken = 0;
+        let mut applied = 0;
         for batch in batches {
             if batch.sequence > self.sequence {
                 self.apply_batch(batch)?;
-                taken += 1;
+                applied += 1;
             }
         }
-        Ok(taken)
+        Ok(applied)
     }
 
     /// Applies a batch. The state is unchanged when the sequence number or the epoch is wrong. An
     /// invalid event means that the ledger is corrupt; the state must not be used after it.
     pub fn apply_batch(&mut self, batch: &Batch) -> Result<(), Misplaced> {
         if batch.sequence != self.sequence.next() {
-            return Err(misplaced("sequence out of order", &batch.sequence.0));
+            return Err(invalid_event("sequence out of order", &batch.sequence.0));
         }
         if batch.epoch < self.epoch {
-            return Err(misplaced("epoch below the last writer's", &batch.epoch));
+            return Err(invalid_event("epoch below the last writer's", &batch.epoch));
         }
         for event in &batch.events {
             self.apply(event)?;
@@ -103,9 +103,9 @@
         if let [event] = events {
             return self.apply(event);
         }
-        let mut trial = self.subjects_of(events);
+        let mut copy = self.state_for(events);
         for event in events {
-            trial.apply(event)?;
+            copy.apply(event)?;
         }
         for event in events {
             self.apply(event)?;
@@ -115,7 +115,7 @@
 
     /// Copies the part of the state that decides whether `events` are valid. Cloning the whole
     /// state for each proposal would take time proportional to the number of jobs kept.
-    fn subjects_of(&self, events: &[Event]) -> Self {
+    fn state_for(&self, events: &[Event]) -> Self {
         let jobs: Vec<&JobId> = events.iter().filter_map(Event::job).collect();
         let requests = events.iter().filter_map(Event::request);
         Self {
@@ -144,12 +144,12 @@
                 attempt,
                 checkpoint,
             } => {
-                self.running(job, *attempt)?.checkpoint = Some(checkpoint.clone());
+                self.placed_attempt(job, *attempt)?.checkpoint = Some(checkpoint.clone());
                 Ok(())
             }
-            Event::Evicted { job, attempt } => self.unplaced(job, *attempt).map(|_| ()),
+            Event::Evicted { job, attempt } => self.unplace(job, *attempt).map(|_| ()),
             Event::AttemptFailed { job, attempt } => {
-                self.unplaced(job, *attempt)?.failures += 1;
+                self.unplace(job, *attempt)?.failures += 1;
                 Ok(())
             }
             Event::CancelAsked { job } => self.cancel_asked(job),
@@ -202,7 +202,7 @@
 
     fn owner_began(&mut self, epoch: Epoch, holder: &Holder) -> Result<(), Misplaced> {
         if self.owners.last().is_some_and(|last| last.epoch >= epoch) {
-            return Err(misplaced("owner's epoch not above the last", &epoch));
+            return Err(invalid_event("owner's epoch not above the last", &epoch));
         }
         let oldest = self
             .jobs
@@ -222,7 +222,7 @@
 
     fn owner_ended(&mut self, epoch: Epoch) -> Result<(), Misplaced> {
         let owner = self.owners.iter_mut().find(|owner| owner.epoch == epoch);
-        let owner = owner.ok_or_else(|| misplaced("no such owner", &epoch))?;
+        let owner = owner.ok_or_else(|| invalid_event("no such owner", &epoch))?;
         owner.released = true;
         Ok(())
     }
@@ -235,7 +235,7 @@
         hold: Duration,
     ) -> Result<(), Misplaced> {
         if self.jobs.contains_key(id) || self.moved.contains_key(id) {
-            return Err(misplaced("job accepted twice", id));
+            return Err(invalid_event("job accepted twice", id));
         }
         let job = Job {
             entry: entry.clone(),
@@ -255,18 +255,18 @@
         let job = self
             .jobs
             .get_mut(id)
-            .ok_or_else(|| misplaced("no such job", id))?;
+            .ok_or_else(|| invalid_event("no such job", id))?;
         if job.phase != JobPhase::Waiting {
-            return Err(misplaced("job placed while not waiting", id));
+            return Err(invalid_event("job placed while not waiting", id));
         }
         if placement.attempt != Attempt(job.attempts.0 + 1) {
-            return Err(misplaced("attempt out of order", id));
+            return Err(invalid_event("attempt out of order", id));
         }
         // The next owner relies on an owner that has ended to start nothing more, and waits only
         // for the last lease to run out.
         let has_ended = |owner: &OwnerRecord| owner.epoch == placement.epoch && owner.released;
         if self.owners.iter().any(has_ended) {
-            return Err(misplaced("job placed by an owner that has ended", id));
+            return Err(invalid_event("job placed by an owner that has ended", id));
         }
         job.attempts = placement.attempt;
         job.phase = JobPhase::Placed(placement.clone());
@@ -275,26 +275,26 @@
         Ok(())
     }
 
-    fn running(&mut self, id: &JobId, attempt: Attempt) -> Result<&mut Job, Misplaced> {
+    fn placed_attempt(&mut self, id: &JobId, attempt: Attempt) -> Result<&mut Job, Misplaced> {
         let job = self
             .jobs
             .get_mut(id)
-            .ok_or_else(|| misplaced("no such job", id))?;
+            .ok_or_else(|| invalid_event("no such job", id))?;
         match job.placement() {
             Some(placement) if placement.attempt == attempt => Ok(job),
-            _ => Err(misplaced("attempt is not the placed one", id)),
+            _ => Err(invalid_event("attempt is not the placed one", id)),
         }
     }
 
-    fn unplaced(&mut self, id: &JobId, attempt: Attempt) -> Result<&mut Job, Misplaced> {
-        self.running(id, attempt)?;
-        self.free_place(id);
+    fn unplace(&mut self, id: &JobId, attempt: Attempt) -> Result<&mut Job, Misplaced> {
+        self.placed_attempt(id, attempt)?;
+        self.release_placement(id);
         let job = &mut self.jobs[id];
         job.phase = JobPhase::Waiting;
         Ok(job)
     }
 
-    fn free_place(&mut self, id: &JobId) {
+    fn release_placement(&mut self, id: &JobId) {
         let job = &self.jobs[id];
         let Some(placement) = job.placement() else {
             return;
@@ -302,10 +302,10 @@
         let (worker, size) = (placement.worker.clone(), job.size);
         let sum = self.committed.entry(worker.clone()).or_default();
         sum.size = sum.size.minus(&size);
-        self.drop_empty(&worker);
+        self.remove_if_empty(&worker);
     }
 
-    fn drop_empty(&mut self, worker: &WorkerId) {
+    fn remove_if_empty(&mut self, worker: &WorkerId) {
         if self.committed.get(worker) == Some(&Grant::default()) {
             self.committed.swap_remove(worker);
         }
@@ -315,9 +315,9 @@
         let job = self
             .jobs
             .get_mut(id)
-            .ok_or_else(|| misplaced("no such job", id))?;
+            .ok_or_else(|| invalid_event("no such job", id))?;
         if job.is_ended() {
-            return Err(misplaced("cancel of an ended job", id));
+            return Err(invalid_event("cancel of an ended job", id));
         }
         job.cancelling = true;
         Ok(())
@@ -327,11 +327,11 @@
         let job = self
             .jobs
             .get(id)
-            .ok_or_else(|| misplaced("no such job", id))?;
+            .ok_or_else(|| invalid_event("no such job", id))?;
         if job.is_ended() {
-            return Err(misplaced("job ended twice", id));
+            return Err(invalid_event("job ended twice", id));
         }
-        self.free_place(id);
+        self.release_placement(id);
         self.jobs[id].phase = JobPhase::Ended(end.clone());
         Ok(())
     }
@@ -346,7 +346,7 @@
                 self.moved.swap_remove(id);
                 Ok(())
             }
-            _ => Err(misplaced("only an ended job is forgotten", id)),
+            _ => Err(invalid_event("only an ended job is forgotten", id)),
         }
     }
 
@@ -358,16 +358,16 @@
                 self.moved.insert(id.clone(), to.clone());
                 Ok(())
             }
-            _ => Err(misplaced("only a waiting job moves", id)),
+            _ => Err(invalid_event("only a waiting job moves", id)),
         }
     }
 
     fn moved_in(&mut self, id: &JobId, job: &Job) -> Result<(), Misplaced> {
         if self.jobs.contains_key(id) {
-            return Err(misplaced("job moved in twice", id));
+            return Err(invalid_event("job moved in twice", id));
         }
         if job.phase != JobPhase::Waiting {
-            return Err(misplaced("only a waiting job moves", id));
+            return Err(invalid_event("only a waiting job moves", id));
         }
         // A job may return to a shard that it left.
         self.moved.swap_remove(id);
@@ -377,7 +377,7 @@
 
     fn claimed(&mut self, id: &RequestId, entry: &EntryName, by: &Holder) -> Result<(), Misplaced> {
         if self.claims.contains_key(id) {
-            return Err(misplaced("request claimed twice", id));
+            return Err(invalid_event("request claimed twice", id));
         }
         let claim = Claim {
             entry: entry.clone(),
@@ -392,9 +392,9 @@
         let claim = self
             .claims
             .get_mut(id)
-            .ok_or_else(|| misplaced("no such claim", id))?;
+            .ok_or_else(|| invalid_event("no such claim", id))?;
         if claim.end.is_some() {
-            return Err(misplaced("claim ended twice", id));
+            return Err(invalid_event("claim ended twice", id));
         }
         claim.end = Some(end.clone());
         Ok(())
@@ -406,7 +406,7 @@
                 self.claims.swap_remove(id);
                 Ok(())
             }
-            _ => Err(misplaced("only an ended claim is forgotten", id)),
+            _ => Err(invalid_event("only an ended claim is forgotten", id)),
         }
     }
 
@@ -422,7 +422,7 @@
         let sum = self.committed.entry(worker.clone()).or_default();
         sum.slots = sum.slots - before.slots + grant.slots;
         sum.size = sum.size.minus(&before.size).plus(&grant.size);
-        self.drop_empty(worker);
+        self.remove_if_empty(worker);
     }
 
     fn grants_voided(&mut self, of: &Holder) {
@@ -430,7 +430,7 @@
             let sum = self.committed.entry(worker.clone()).or_default();
             sum.slots -= grant.slots;
             sum.size = sum.size.minus(&grant.size);
-            self.drop_empty(&worker);
+            self.remove_if_empty(&worker);
         }
     }
 }
--- a/src/lapisdrum/state/shares.rs
+++ b/src/lapisdrum/state/shares.rs
@@ -100,26 +100,26 @@
             next.revision = look.revision;
             next.limit = look.limit;
         }
-        let others_short = |part: &Part| part.is_short && part.party != *look.party;
-        let is_wanted = next.parts.iter().any(others_short) || next.given() > next.limit;
+        let is_other_short = |part: &Part| part.is_short && part.party != *look.party;
+        let is_contended = next.parts.iter().any(is_other_short) || next.given() > next.limit;
         let free = next.free();
         let even = next.even_part_of(look);
-        let own = next.own(look);
-        let wanted = look.demand.max(look.running).max(even / 2);
-        let wanted = if wanted >= own.amount.max(1) {
+        let own = next.own_part(look);
+        let needed = look.demand.max(look.running).max(even / 2);
+        let needed = if needed >= own.amount.max(1) {
             // A margin above present use, so that the next request need not wait for an update.
-            wanted + wanted / 4 + 1
+            needed + needed / 4 + 1
         } else {
-            wanted
+            needed
         };
-        if is_wanted && own.amount > wanted.min(even) {
-            own.amount = wanted.min(even).max(look.running).min(own.amount);
+        if is_contended && own.amount > needed.min(even) {
+            own.amount = needed.min(even).max(look.running).min(own.amount);
         } else {
-            let target = if is_wanted { even } else { even.max(wanted) };
+            let target = if is_contended { even } else { even.max(needed) };
             let step = free.div_ceil(2).max(even.min(free));
             own.amount += target.saturating_sub(own.amount).min(step);
         }
-        own.is_short = own.amount < wanted && own.amount < look.limit;
+        own.is_short = own.amount < needed && own.amount < look.limit;
         next
     }
 
@@ -129,11 +129,11 @@
     /// much as its part allows. Without the ceiling the part would never be lowered and the others
     /// would get nothing.
     pub fn ceiling(&self, look: &Look<'_>) -> u32 {
-        let is_short = self
+        let is_other_short = self
             .parts
             .iter()
             .any(|part| part.is_short && part.party != *look.party);
-        match is_short || self.given() > self.limit {
+        match is_other_short || self.given() > self.limit {
             true => self.even_part_of(look),
             false => u32::MAX,
         }
@@ -154,7 +154,7 @@
         next
     }
 
-    fn own(&mut self, look: &Look<'_>) -> &mut Part {
+    fn own_part(&mut self, look: &Look<'_>) -> &mut Part {
         let index = self.parts.iter().position(|part| part.party == *look.party);
         let index = index.unwrap_or_else(|| {
             self.parts.push(Part {
--- a/tests/testsuite/requests/claims.rs
+++ b/tests/testsuite/requests/claims.rs
@@ -6,7 +6,7 @@
 use actix_http::Method;
 use lapisdrum::{
     core::id::{RequestId, ShardId},
-    state::claims::{Homes, KEPT_BODY_BYTES, KeptAnswer},
+    state::claims::{Homes, KeptAnswer, MAX_KEPT_BODY_BYTES},
 };
 use lapisdrum_standins::{platform::server::PlatformSwitches, worker::server::WorkerSwitches};
 use proptest::prelude::*;
@@ -298,12 +298,12 @@
     fn kept_answers_come_back_as_they_were(
         digest: u64,
         content_type in prop::option::of("[ -~]{0,30}"),
-        body in prop::collection::vec(any::<u8>(), 0..2 * KEPT_BODY_BYTES),
+        body in prop::collection::vec(any::<u8>(), 0..2 * MAX_KEPT_BODY_BYTES),
     ) {
         let kept = KeptAnswer::new(digest, content_type, &body);
         let back = KeptAnswer::try_from(Vec::from(&kept).as_slice());
         prop_assert_eq!(back, Ok(kept.clone()));
-        let is_small = body.len() <= KEPT_BODY_BYTES;
+        let is_small = body.len() <= MAX_KEPT_BODY_BYTES;
         prop_assert_eq!(kept.body, is_small.then_some(body));
     }
 }
