--- a/src/lapisdrum/peer/client.rs
+++ b/src/lapisdrum/peer/client.rs
@@ -1,7 +1,6 @@
-//! Calls to other daemons over connections that are kept and reopened.
+//! Client for other daemons. Connections are reused, and reopened after a failed call.
 //!
-//! tarpc matches replies to calls by id; a call that times out is dropped on this side, so a late
-//! reply reaches nobody.
+//! tarpc matches replies to calls by id, so the late reply to a call that timed out is discarded.
 
 use super::{
     server::PeerServiceClient as Stub,
@@ -15,7 +14,7 @@
 /// Largest frame between daemons, in bytes.
 pub const MAX_FRAME_BYTES: usize = 64 * 1024 * 1024;
 
-/// A call without a reply; it may have taken effect unless it is known to be unsent.
+/// A call without a reply; unless it was never sent, it may have taken effect.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PeerError {
     what: String,
@@ -37,7 +36,7 @@
         }
     }
 
-    /// Whether no connection was made, so that the call certainly had no effect.
+    /// Whether no connection was opened, so that the call certainly had no effect.
     pub fn is_unsent(&self) -> bool {
         self.is_unsent
     }
@@ -51,7 +50,7 @@
 
 impl std::error::Error for PeerError {}
 
-/// Connections to other daemons by address.
+/// Client for other daemons; keeps one connection per address.
 pub struct Peers {
     timeline: Rc<Timeline>,
     timeout: Duration,
@@ -59,7 +58,7 @@
 }
 
 impl Peers {
-    /// No connections yet; each call is given `timeout`.
+    /// Creates a client; calls time out after `timeout` unless they have a limit of their own.
     pub fn new(timeline: Rc<Timeline>, timeout: Duration) -> Self {
         Self {
             timeline,
@@ -68,12 +67,13 @@
         }
     }
 
-    /// Calls the daemon at `address`.
+    /// Calls the daemon at `address` (IP address and port) with the default timeout.
     pub async fn call(&self, address: &str, req: PeerRequest) -> Result<PeerReply, PeerError> {
         self.call_within(address, req, self.timeout).await
     }
 
-    /// Calls the daemon at `address` and waits for its reply no longer than `limit`.
+    /// Calls the daemon at `address` and waits for its reply for at most `limit`, which includes opening a
+    /// connection.
     pub async fn call_within(
         &self,
         address: &str,
@@ -115,7 +115,7 @@
         }
         let target: SocketAddr = address
             .parse()
-            .map_err(|_| PeerError::unsent(format!("`{address}` is no IP number and port")))?;
+            .map_err(|_| PeerError::unsent(format!("`{address}` is not an IP address and port")))?;
         let mut connect = tarpc::serde_transport::tcp::connect(target, Bincode::default);
         connect.config_mut().max_frame_length(MAX_FRAME_BYTES);
         let transport = connect.await.map_err(PeerError::unsent)?;
--- a/src/lapisdrum/peer/mod.rs
+++ b/src/lapisdrum/peer/mod.rs
@@ -1,4 +1,4 @@
-//! The edge between daemons: one tarpc service whose calls carry time-line stamps both ways.
+//! Interface between daemons: one tarpc service whose requests and replies carry timeline stamps.
 
 pub mod client;
 pub mod server;
--- a/src/lapisdrum/peer/server.rs
+++ b/src/lapisdrum/peer/server.rs
@@ -1,4 +1,4 @@
-//! Serving other daemons' calls on the daemon's own thread.
+//! Server for other daemons' calls, on the daemon's own thread.
 
 use super::{
     client::MAX_FRAME_BYTES,
@@ -15,10 +15,10 @@
     tokio_util::codec::{Decoder, LengthDelimitedCodec},
 };
 
-/// The service between daemons: one call, whose request and reply are closed sets.
+/// The service between daemons: a single call whose request and reply are enums.
 #[tarpc::service]
 pub trait PeerService {
-    /// Asks one thing of another daemon.
+    /// Handles one request of another daemon.
     async fn call(req: Stamped<PeerRequest>) -> Stamped<PeerReply>;
 }
 
@@ -38,7 +38,7 @@
     }
 }
 
-/// Serves peers on `listener` for as long as the returned future is polled.
+/// Accepts other daemons' connections on `listener` for as long as the returned future is polled.
 pub async fn serve(cx: Cx, listener: TcpListener) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
--- a/src/lapisdrum/store/client.rs
+++ b/src/lapisdrum/store/client.rs
@@ -1,7 +1,7 @@
-//! The client of the platform's services.
+//! HTTP client for the platform's services.
 //!
-//! Every call ends in one of three ways that callers must tell apart: it took effect, it certainly
-//! did not, or nobody knows. An answer may be lost after the write took effect, so a write that
+//! Every call has one of three outcomes that callers must distinguish: it took effect, it certainly did
+//! not, or the outcome is unknown. The response may be lost after a write took effect, so a write that
 //! failed in any way after it was sent is [`TxnOutcome::Unknown`] until its row is read back.
 
 use super::wire::{Host, HostWire, Row, Txn, TxnConflict, TxnDone};
@@ -15,30 +15,30 @@
 use serde::de::DeserializeOwned;
 use std::{fmt, rc::Rc, time::Duration};
 
-/// Largest answer that is read, in bytes: a whole catalogue or a shard's ledger.
+/// Largest response body that is read, in bytes: a whole catalogue or a shard's ledger.
 const MAX_ANSWER_BYTES: usize = 256 * 1024 * 1024;
 
-/// How a transaction ended.
+/// Outcome of a transaction.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TxnOutcome {
-    /// It took effect; the new versions of the rows put.
+    /// It took effect; with the new versions of the written rows, in the order of the transaction's `put`.
     Committed(Vec<u64>),
-    /// An assertion failed and nothing was written.
+    /// A precondition failed and nothing was written.
     Conflict(TxnConflict),
-    /// No answer, or none that tells; it may take effect yet.
+    /// No usable response; it may still take effect.
     Unknown(PlatformError),
 }
 
-/// The membership list as read.
+/// The membership list of a data centre.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HostList {
-    /// The hosts.
+    /// Hosts with valid names.
     pub hosts: Vec<Host>,
-    /// The list's tag, if the platform gives one.
+    /// Entity tag of this version of the list, if the platform sends one.
     pub tag: Option<String>,
 }
 
-/// A call that the platform did not answer as asked.
+/// A call that got no response, or an error or malformed one; or that was never sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PlatformError {
     what: String,
@@ -53,9 +53,9 @@
 impl std::error::Error for PlatformError {}
 
 impl PlatformError {
-    /// A write that its sender held back since its lease has run out.
+    /// The error of a write that was not sent because the sender's lease has expired.
     pub fn lease_lapsed() -> Self {
-        Self::new("the lease has run out")
+        Self::new("the lease has expired")
     }
 
     fn new(what: impl fmt::Display) -> Self {
@@ -65,7 +65,7 @@
     }
 }
 
-/// Speaks to the platform at one address.
+/// HTTP client for the platform at one address.
 #[derive(Clone)]
 pub struct PlatformClient {
     http: Client,
@@ -74,9 +74,9 @@
 }
 
 impl PlatformClient {
-    /// A client of the platform at `address` (IP number and port) that gives each call `timeout` and
-    /// names itself `user_agent`, so that the platform's logs tell daemons apart. Rows carry stamps of
-    /// `timeline`, since a row is also a message to whoever reads it.
+    /// Creates a client of the platform at `address` (IP address and port). Each call times out after
+    /// `timeout`; `user_agent` identifies the daemon in the platform's logs. Written rows carry stamps
+    /// of `timeline`, since a row is also a message to the daemons that read it.
     pub fn new(address: &str, user_agent: &str, timeout: Duration, timeline: Rc<Timeline>) -> Self {
         let http = Client::builder()
             .timeout(timeout)
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Reads a row.
+    /// Reads a row; `None` if it does not exist.
     pub async fn get(&self, key: &str) -> Result<Option<Row>, PlatformError> {
         let answer = self.fetch(&format!("{}/table/{key}", self.base)).await?;
         let row = answer.map(|body| parse(&body)).transpose()?;
@@ -119,7 +119,7 @@
         Ok(row)
     }
 
-    /// Reads all rows whose keys begin with `prefix`, in key order, as of one moment.
+    /// Reads a consistent snapshot of all rows whose keys start with `prefix`, in key order.
     pub async fn list(&self, prefix: &str) -> Result<Vec<Row>, PlatformError> {
         let answer = self
             .fetch(&format!("{}/table?prefix={prefix}", self.base))
@@ -135,9 +135,9 @@
         }
     }
 
-    /// Reads the membership list of a data centre, unless it still has the tag `known`; none when it
-    /// is unchanged. Hosts whose names break the rules are left out. A platform that knows neither
-    /// tags nor the parameter answers with the whole list, which is as good and only larger.
+    /// Reads the membership list of a data centre; `None` if it still has the tag `known`. Hosts with
+    /// invalid names are left out. A platform that supports neither tags nor the query parameter
+    /// returns the list of all hosts, which has the same result and is only larger.
     pub async fn hosts(
         &self,
         dc: &DataCentre,
@@ -163,7 +163,7 @@
         Ok(Some(HostList { hosts, tag }))
     }
 
-    /// Stores an object.
+    /// Stores an object under `key`.
     pub async fn put_object(&self, key: &str, body: Bytes) -> Result<(), PlatformError> {
         let sent = self
             .http
@@ -177,12 +177,12 @@
         Err(PlatformError::new(answer.status()))
     }
 
-    /// Reads an object.
+    /// Reads an object; `None` if it does not exist.
     pub async fn get_object(&self, key: &str) -> Result<Option<Bytes>, PlatformError> {
         self.fetch(&format!("{}/objects/{key}", self.base)).await
     }
 
-    /// Deletes an object; one that is not there is no error.
+    /// Deletes an object; any response counts as success, also one that the object does not exist.
     pub async fn delete_object(&self, key: &str) -> Result<(), PlatformError> {
         let sent = self
             .http
@@ -202,7 +202,7 @@
     }
 }
 
-/// Waits for an answer and reads it whole.
+/// Waits for a response and reads its whole body.
 async fn whole(sent: SendClientRequest) -> Result<(StatusCode, Bytes), PlatformError> {
     let mut answer = sent.await.map_err(PlatformError::new)?;
     let body = answer.body().limit(MAX_ANSWER_BYTES).await;
--- a/src/lapisdrum/store/mod.rs
+++ b/src/lapisdrum/store/mod.rs
@@ -1,4 +1,4 @@
-//! The edge to the platform: transactional table, object store and membership list over HTTP.
+//! Interface to the platform over HTTP: transactional table, object store and membership list.
 
 pub mod client;
 pub mod wire;
--- a/src/lapisdrum/store/wire.rs
+++ b/src/lapisdrum/store/wire.rs
@@ -10,110 +10,109 @@
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-/// Field of a row with the stamp of its writer.
+/// Field of a row's value that holds the timeline stamp of its writer.
 const STAMP_FIELD: &str = "stamp";
 
 data! {
-    /// Asserts a row's version; 0 asserts that there is none.
+    /// Precondition of a transaction.
     pub struct Compare {
-        /// The row's key.
+        /// Key of the row.
         pub key: String,
-        /// Its version.
+        /// Expected version; 0 if the row must not exist.
         pub version: u64,
     }
 
-    /// Writes a row.
+    /// A row to write in a transaction.
     pub struct Put {
-        /// The row's key.
+        /// Key of the row.
         pub key: String,
-        /// Its value.
+        /// The value to write.
         pub value: Value,
     }
 
-    /// `POST /v1/table/txn`: all of it or nothing.
+    /// `POST /v1/table/txn`: an atomic transaction.
     #[derive(Default)]
     pub struct Txn {
-        /// Versions that must hold.
+        /// Preconditions; if one fails, nothing is written.
         #[serde(default)]
         pub compare: Vec<Compare>,
         /// Rows to write.
         #[serde(default)]
         pub put: Vec<Put>,
-        /// Rows to delete.
+        /// Keys of the rows to delete.
         #[serde(default)]
         pub delete: Vec<String>,
     }
 
-    /// The answer to a transaction that took effect.
+    /// Response to a transaction that took effect.
     pub struct TxnDone {
-        /// The new version of each row put, in order.
+        /// The new version of each written row, in the order of the transaction's `put`.
         pub versions: Vec<u64>,
     }
 
-    /// The answer to a transaction of which an assertion failed.
+    /// Response to a transaction with a failed precondition.
     pub struct TxnConflict {
-        /// The row that failed.
+        /// Key of the row whose precondition failed.
         pub key: String,
-        /// Its version.
+        /// The row's present version.
         pub version: u64,
     }
 
-    /// A row as read.
+    /// A row as read from the table.
     pub struct Row {
-        /// Its key.
+        /// Key, unique in the table.
         pub key: String,
-        /// Its value.
+        /// Value, with the writer's stamp if it is an object.
         pub value: Value,
-        /// Its version, raised by every write.
+        /// Version, increased by every write.
         pub version: u64,
     }
 
-    /// One host of the membership list.
+    /// A host in the membership list, unchecked.
     pub struct HostWire {
-        /// The host's name.
+        /// Name of the host.
         pub host: String,
-        /// Where it answers: IP number and port.
+        /// IP address and port of the host's worker.
         pub address: String,
-        /// Its data centre.
+        /// Name of the data centre.
         pub data_centre: String,
-        /// Its rack.
+        /// Name of the rack.
         pub rack: String,
         /// `live` or `leaving`.
         pub state: String,
-        /// Processors; 0 for an entry host, which takes no work.
+        /// Number of cores; 0 for an entry host, which takes no work.
         pub cores: u64,
         /// Memory in megabytes.
         pub memory_mb: u64,
-        /// Accelerators.
+        /// Number of whole accelerators.
         pub accelerators: u64,
-        /// Requests at once.
+        /// Maximum number of concurrent requests.
         pub slots: u32,
-        /// Connections at once.
+        /// Maximum number of open connections.
         pub connections: u32,
     }
 
-    /// A checked host.
+    /// A host with validated names.
     pub struct Host {
-        /// The worker's name.
+        /// Id of the host's worker.
         pub worker: WorkerId,
-        /// Where it answers.
+        /// IP address and port of the worker.
         pub address: String,
-        /// Its data centre.
+        /// The data centre of the host.
         pub data_centre: DataCentre,
-        /// Its rack.
+        /// The rack of the host.
         pub rack: Rack,
-        /// Whether it is on its way out and must get no new work.
+        /// Whether the host is leaving and must get no new work.
         pub leaving: bool,
-        /// What it has.
+        /// Total resources of the host.
         pub capacity: Size,
-        /// Requests at once.
+        /// Maximum number of concurrent requests.
         pub slots: u32,
-        /// Connections at once.
+        /// Maximum number of open connections.
         pub connections: u32,
     }
 }
 
-/// Millicores in a core.
 const MILLICORES: u64 = 1_000;
 
 impl TryFrom<HostWire> for Host {
@@ -138,7 +137,7 @@
 }
 
 impl Txn {
-    /// Adds an assertion.
+    /// Adds a precondition on the version of a row; see [`Compare::version`].
     #[must_use]
     pub fn compare(mut self, key: impl Into<String>, version: u64) -> Self {
         self.compare.push(Compare {
@@ -168,8 +167,8 @@
 }
 
 impl Txn {
-    /// Adds the writer's stamp to every row that is an object; readers of a row's own fields pass
-    /// over it.
+    /// Adds the writer's stamp to every written value that is a JSON object; decoding into a typed
+    /// row ignores it.
     #[must_use]
     pub fn stamped(mut self, stamp: Stamp) -> Self {
         let stamp = serde_json::to_value(stamp).unwrap_or_default();
@@ -183,12 +182,12 @@
 }
 
 impl Row {
-    /// The stamp of the row's writer.
+    /// The stamp of the row's writer, if the value has a valid one.
     pub fn stamp(&self) -> Option<Stamp> {
         Stamp::deserialize(self.value.get(STAMP_FIELD)?).ok()
     }
 
-    /// The value as a typed row; none when it has another form.
+    /// Decodes the value; `None` if it does not match the type.
     pub fn parse<T: for<'de> Deserialize<'de>>(&self) -> Option<T> {
         T::deserialize(&self.value).ok()
     }
--- a/src/lapisdrum/worker/client.rs
+++ b/src/lapisdrum/worker/client.rs
@@ -1,11 +1,11 @@
-//! The client of workers.
+//! HTTP client for workers.
 //!
-//! For a request the difference between *not run* and *unknown* decides whether it may be sent
-//! again. Only two things prove that it did not run: no connection was made, or the worker said so
-//! of this very request. A broken connection, a timeout or a body cut short prove nothing; nor does
-//! a kept connection that the worker closes at the moment of use, since it may have read the request
-//! first. awc closes a connection whose answer was not read whole. An answer that a worker sends
-//! twice may still meet the next request on the connection, so each answer must name its request.
+//! A request may be sent again only if it certainly did not run. Two things prove that: no connection
+//! was opened, or the worker reported it for this request. A broken connection, a timeout or a
+//! truncated body prove nothing; nor does a reused connection that the worker closes while the request
+//! is sent, since it may have read the request first. awc closes a connection whose response was not
+//! read completely. A response that a worker sends twice may still be taken for that of the next
+//! request on the connection, so each response must carry the id of its request.
 
 use super::wire::{
     CLOCK_HEADER, DEADLINE_HEADER, ENTRY_HEADER, EPOCH_HEADER, NOT_RUN_HEADER, OwnerCommand,
@@ -25,69 +25,69 @@
 use serde::{Serialize, de::DeserializeOwned};
 use std::{fmt, time::Duration};
 
-/// Largest answer to a command, in bytes.
+/// Largest response to a command that is read, in bytes.
 const MAX_COMMAND_ANSWER: usize = 16 * 1024 * 1024;
-/// Time to make a connection.
+/// Timeout for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// awc's limit counts the connections to all workers together and makes further requests wait
-/// unseen while their deadlines pass, so it is off; the router bounds each worker's connections.
+/// Turns off awc's connection limit, which counts the connections to all workers together and queues
+/// further requests silently until their deadlines pass; the router limits each worker's connections.
 const NO_LIMIT: usize = 0;
 
-/// A worker's whole answer to a request.
+/// A worker's complete response to a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Answer {
-    /// Its status.
+    /// HTTP status.
     pub status: u16,
-    /// Its content type, if it named one.
+    /// Value of the header `content-type`, if present.
     pub content_type: Option<String>,
-    /// Its body.
+    /// The body, at most [`Outgoing::answer_limit`] bytes.
     pub body: Bytes,
 }
 
-/// How a request to a worker ended.
+/// Outcome of a request to a worker.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RequestEnd {
-    /// The whole answer arrived.
+    /// The complete response arrived.
     Answered(Answer),
-    /// No connection was made.
+    /// No connection was opened, so the request did not run.
     Unsent(String),
-    /// The worker says that it did not run it.
+    /// The worker reported that it did not run the request.
     NotRun(String),
-    /// Nobody knows whether it ran.
+    /// The request may have run.
     Unknown(String),
 }
 
-/// How a command to a worker ended.
+/// Outcome of a command to a worker.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CommandEnd<T> {
-    /// It took effect.
+    /// It took effect; with the response and the worker's clock.
     Done(T, WorkerMillis),
-    /// The worker did nothing, and says why.
+    /// The worker did nothing; with the reason, the highest epoch it has seen and its clock.
     Rejected(RejectReason, Epoch, WorkerMillis),
-    /// No answer; it may take effect yet.
+    /// No usable response; it may still take effect.
     Silent(String),
 }
 
-/// A request on its way to a worker.
+/// A request to be sent to a worker.
 #[derive(Clone, Debug)]
 pub struct Outgoing<'a> {
-    /// Its id.
+    /// Id of the request, which the worker repeats in its response.
     pub request: &'a RequestId,
-    /// Its entry.
+    /// The catalogue entry that the request is for.
     pub entry: &'a EntryName,
-    /// The epoch under which the grant was given.
+    /// Epoch of the shard owner that granted the capacity for the request.
     pub epoch: Epoch,
-    /// The caller's content type.
+    /// Content type of the body, as the caller gave it.
     pub content_type: Option<&'a str>,
-    /// Its body.
+    /// The body, passed on unchanged.
     pub body: Bytes,
-    /// Time that is left for it.
+    /// Time left until the request's deadline.
     pub left: Duration,
-    /// Largest answer that is passed on, in bytes.
+    /// Largest response body that is passed on, in bytes.
     pub answer_limit: usize,
 }
 
-/// Speaks to workers.
+/// HTTP client for requests and commands to workers.
 #[derive(Clone)]
 pub struct WorkerClient {
     requests: Client,
@@ -95,8 +95,8 @@
 }
 
 impl WorkerClient {
-    /// A client that gives each command `command_timeout` and names itself `user_agent`, so that
-    /// workers' logs tell daemons apart.
+    /// Creates a client. Each command times out after `command_timeout`; `user_agent` identifies the
+    /// daemon in workers' logs.
     pub fn new(user_agent: &str, command_timeout: Duration) -> Self {
         let agent = ("user-agent", user_agent);
         let connector = Connector::new().limit(NO_LIMIT).timeout(CONNECT_TIMEOUT);
@@ -113,12 +113,12 @@
         Self { requests, commands }
     }
 
-    /// Sends a request and waits for the whole answer, no longer than `out.left`.
+    /// Sends a request and waits for the complete response, at most [`Outgoing::left`].
     pub async fn run(&self, address: &str, out: Outgoing<'_>) -> RequestEnd {
         let left = out.left;
         match tokio::time::timeout(left, self.exchange(address, out)).await {
             Ok(end) => end,
-            Err(_) => RequestEnd::Unknown("no answer before the deadline".to_owned()),
+            Err(_) => RequestEnd::Unknown("no response before the deadline".to_owned()),
         }
     }
 
@@ -136,15 +136,15 @@
             Err(e) => return unsent_or_unknown(&e),
         };
         let status = answer.status();
-        // An answer that names another request is not ours to pass on; nor is a refusal, which would
-        // have a request sent again that is running.
+        // A response with another request's id must not be passed on, not even a refusal: the request
+        // would be sent again although it may be running.
         if header_text(answer.headers(), REQUEST_HEADER) != Some(out.request.as_str()) {
-            return RequestEnd::Unknown("the answer names another request".to_owned());
+            return RequestEnd::Unknown("the response has the id of another request".to_owned());
         }
         if status == StatusCode::SERVICE_UNAVAILABLE
             && answer.headers().contains_key(NOT_RUN_HEADER)
         {
-            return RequestEnd::NotRun("the worker refused it".to_owned());
+            return RequestEnd::NotRun("the worker refused the request".to_owned());
         }
         let content_type = header_text(answer.headers(), "content-type").map(str::to_owned);
         match answer.body().limit(out.answer_limit).await {
@@ -153,11 +153,11 @@
                 content_type,
                 body,
             }),
-            Err(e) => RequestEnd::Unknown(format!("the answer broke off: {e}")),
+            Err(e) => RequestEnd::Unknown(format!("failed to read the response body: {e}")),
         }
     }
 
-    /// Claims a worker for an owner's epoch and reads back what runs there.
+    /// Claims a worker for an owner's epoch and returns all of the worker's tasks.
     pub async fn claim(&self, address: &str, epoch: Epoch) -> CommandEnd<TaskList> {
         self.command(
             Method::POST,
@@ -167,7 +167,7 @@
         .await
     }
 
-    /// Starts a task.
+    /// Starts a task; repeating the call for the same attempt has no further effect.
     pub async fn start(
         &self,
         address: &str,
@@ -178,7 +178,7 @@
             .await
     }
 
-    /// Renews leases and reads all tasks.
+    /// Renews the leases of the worker's tasks and returns the tasks that changed.
     pub async fn renew(&self, address: &str, renew: &RenewTasks) -> CommandEnd<TaskList> {
         self.command(Method::POST, &url(address, "renew"), renew)
             .await
@@ -191,7 +191,7 @@
             .await
     }
 
-    /// Asks for a checkpoint now.
+    /// Asks a task to save a checkpoint now.
     pub async fn checkpoint(
         &self,
         address: &str,
@@ -203,7 +203,7 @@
             .await
     }
 
-    /// Slows a task down or lets it run at full speed.
+    /// Sets the speed of a task.
     pub async fn throttle(
         &self,
         address: &str,
@@ -214,7 +214,7 @@
         self.command(Method::POST, &path, throttle).await
     }
 
-    /// Reads measured use, which lags.
+    /// Returns measured resource use, which is [`Usage::age_ms`] old.
     pub async fn usage(&self, address: &str) -> CommandEnd<Usage> {
         self.command(Method::GET, &url(address, "usage"), &()).await
     }
@@ -231,7 +231,7 @@
             Err(e) => return CommandEnd::Silent(e.to_string()),
         };
         let Some(clock) = worker_clock(answer.headers()) else {
-            return CommandEnd::Silent("an answer without the worker's clock".to_owned());
+            return CommandEnd::Silent("the response has no valid worker clock header".to_owned());
         };
         let body = match answer.body().limit(MAX_COMMAND_ANSWER).await {
             Ok(body) => body,
@@ -252,7 +252,7 @@
 }
 
 impl<T> CommandEnd<T> {
-    /// The worker's clock as of this answer, which arrived at `received_at`.
+    /// The worker's clock in this response, which arrived at `received_at`; `None` without a response.
     pub fn reading(&self, received_at: Millis) -> Option<crate::state::fencing::ClockReading> {
         match self {
             Self::Done(_, worker) | Self::Rejected(_, _, worker) => {
@@ -272,10 +272,10 @@
 
 fn unsent_or_unknown(e: &SendRequestError) -> RequestEnd {
     match e {
-        // awc gives this for a connection that closed before the answer's head, after the request
-        // had been sent on it.
+        // awc returns this if a connection closes before the response's head, after the request was
+        // sent on it.
         SendRequestError::Connect(ConnectError::Disconnected) => RequestEnd::Unknown(e.to_string()),
-        // Without a connection not a byte was sent.
+        // Nothing was sent, since there was no connection.
         SendRequestError::Connect(_) | SendRequestError::Url(_) => {
             RequestEnd::Unsent(e.to_string())
         }
--- a/src/lapisdrum/worker/mod.rs
+++ b/src/lapisdrum/worker/mod.rs
@@ -1,4 +1,4 @@
-//! The edge to workers: requests, tasks under leases, claims and usage over HTTP.
+//! Interface to workers over HTTP: requests, leased tasks, claims and resource use.
 
 pub mod client;
 pub mod wire;
--- a/src/lapisdrum/worker/wire.rs
+++ b/src/lapisdrum/worker/wire.rs
@@ -1,8 +1,8 @@
 //! Wire types of a worker's interface, JSON over HTTP/1.1.
 //!
-//! One call renews the leases of everything that runs on a worker, and its answer names only what has
-//! changed. Naming each task took 54 bytes a second for a task (docs/MEASUREMENTS.md): a data centre
-//! with 17,800 of them would need 1 MB/s, against a budget of 15 KB/s for a daemon.
+//! One call renews the leases of all tasks on a worker, and its response lists only tasks that changed.
+//! Listing every task took 54 bytes per second and task (docs/MEASUREMENTS.md): a data centre with
+//! 17,800 tasks would need 1 MB/s, against a budget of 15 KB/s for a daemon.
 
 use crate::core::{
     id::{Epoch, JobId},
@@ -10,164 +10,164 @@
     size::Size,
 };
 
-/// Header that names a request; the worker repeats it in its answer.
+/// Header with the id of a request; the worker repeats it in its response.
 pub const REQUEST_HEADER: &str = "lapisdrum-request";
-/// Header that names the entry of a request.
+/// Header with the name of the catalogue entry that a request is for.
 pub const ENTRY_HEADER: &str = "lapisdrum-entry";
 /// Header with the epoch of the shard's owner that a command or request is based on.
 pub const EPOCH_HEADER: &str = "lapisdrum-epoch";
-/// Header with the milliseconds that a request may still take.
+/// Header with the time left until a request's deadline, in milliseconds.
 pub const DEADLINE_HEADER: &str = "lapisdrum-deadline-ms";
-/// Header by which a worker says that it did not run a request.
+/// Header of a response by which a worker reports that it did not run the request.
 pub const NOT_RUN_HEADER: &str = "lapisdrum-not-run";
-/// Header with the worker's monotonic clock in milliseconds, in every answer.
+/// Header of every response with the worker's monotonic clock, in milliseconds.
 pub const CLOCK_HEADER: &str = "lapisdrum-worker-clock";
 
 data! {
-    /// `PUT /v1/tasks/ID`: start a task, or find it already started by the same attempt.
+    /// `PUT /v1/tasks/ID`: starts a task, unless the same attempt has already started it.
     pub struct StartTask {
-        /// The owner's epoch.
+        /// Epoch of the shard's owner.
         pub epoch: Epoch,
-        /// The lease's end on the worker's clock, in milliseconds.
+        /// End of the lease on the worker's clock, in milliseconds.
         pub until_ms: u64,
-        /// The attempt.
+        /// The attempt of the job that this task runs.
         pub attempt: Attempt,
-        /// The entry.
+        /// Name of the catalogue entry that the task runs.
         pub entry: String,
-        /// What it takes.
+        /// Resources reserved for the task.
         pub size: Size,
-        /// Where to resume.
+        /// The checkpoint to resume from, if any.
         pub checkpoint: Option<Checkpoint>,
     }
 
-    /// A task whose lease is not renewed like the others' on its worker.
+    /// A task whose lease is renewed differently from the others on its worker.
     pub struct RenewalException {
-        /// The task.
+        /// Id of the job that the task runs.
         pub task: JobId,
-        /// Its own end on the worker's clock, in milliseconds; 0 leaves its lease as it is.
+        /// End of its lease on the worker's clock, in milliseconds; 0 leaves the lease as it is.
         pub until_ms: u64,
     }
 
-    /// `POST /v1/renew`: a new lease for every task that runs on the worker, but for exceptions;
-    /// answered with the tasks that have changed.
+    /// `POST /v1/renew`: renews the leases of all tasks on the worker except `exceptions`; returns
+    /// the tasks that changed.
     pub struct RenewTasks {
-        /// The owner's epoch.
+        /// Epoch of the shard's owner.
         pub epoch: Epoch,
-        /// The new leases' end on the worker's clock, in milliseconds; 0 renews nothing.
+        /// End of the renewed leases on the worker's clock, in milliseconds; 0 renews nothing.
         pub until_ms: u64,
-        /// Tasks that are not renewed like the others.
+        /// Tasks with a lease of their own.
         pub exceptions: Vec<RenewalException>,
-        /// The owner knows every task as of this reading of the worker's clock, in milliseconds; 0
-        /// asks for all of them.
+        /// Time on the worker's clock, in milliseconds, since which changed tasks are returned; 0
+        /// returns all tasks.
         pub known_ms: u64,
     }
 
     /// `POST /v1/claim`, and the body of `POST /v1/tasks/ID/{checkpoint,stop}`.
     pub struct OwnerCommand {
-        /// The owner's epoch.
+        /// Epoch of the shard's owner.
         pub epoch: Epoch,
     }
 
-    /// `POST /v1/tasks/ID/throttle`.
+    /// `POST /v1/tasks/ID/throttle`: sets the speed of a task.
     pub struct ThrottleTask {
-        /// The owner's epoch.
+        /// Epoch of the shard's owner.
         pub epoch: Epoch,
         /// Speed in thousandths of full speed.
         pub permille: u32,
     }
 
-    /// What has become of a task on a worker.
+    /// State of a task on a worker.
     #[derive(Copy)]
     #[serde(rename_all = "kebab-case")]
     pub enum TaskState {
-        /// It runs.
+        /// Not ended yet.
         Running,
-        /// It ended well.
+        /// Ended successfully.
         Finished,
-        /// It ended with a fault.
+        /// Ended with an error.
         Failed,
-        /// It was stopped by command.
+        /// Stopped by a command.
         Stopped,
-        /// Its lease ran out and the worker stopped it.
+        /// Stopped by the worker because its lease expired.
         Lapsed,
     }
 
-    /// A task as its worker reports it, until a stop acknowledges its end.
+    /// A worker's report on a task. An ended task is reported until a stop acknowledges its end.
     pub struct TaskStatus {
-        /// The task.
+        /// Id of the job that the task runs.
         pub task: JobId,
-        /// The attempt.
+        /// The attempt of the job.
         pub attempt: Attempt,
-        /// Its state.
+        /// State at the time of the report.
         pub state: TaskState,
-        /// Its last saved progress.
+        /// The last checkpoint, if any.
         pub checkpoint: Option<Checkpoint>,
-        /// Why it failed, for people.
+        /// Description of a failure, for people.
         pub message: Option<String>,
     }
 
-    /// The answer to a claim or a renewal.
+    /// Response to a claim or a renewal.
     pub struct TaskList {
-        /// All tasks; or those that changed since the owner's reading and all that have ended and
-        /// are not yet acknowledged.
+        /// All tasks; or those that changed since [`RenewTasks::known_ms`], with all ended tasks that are
+        /// not yet acknowledged.
         pub tasks: Vec<TaskStatus>,
-        /// Whether these are all tasks.
+        /// Whether `tasks` has all tasks of the worker.
         pub is_complete: bool,
         /// The worker's clock when the list was made, in milliseconds.
         pub as_of_ms: u64,
     }
 
-    /// Why a worker did nothing.
+    /// Why a worker rejected a command; it did nothing.
     #[derive(Copy)]
     #[serde(rename_all = "kebab-case")]
     pub enum RejectReason {
-        /// The command's epoch is below the highest seen.
+        /// The command's epoch is lower than the highest that the worker has seen.
         StaleEpoch,
-        /// The command's end has passed on the worker's clock.
+        /// The lease in the command has already expired on the worker's clock.
         EndPassed,
-        /// Another attempt of the task is there.
+        /// The worker has another attempt of the task.
         OtherAttempt,
-        /// The worker lacks room.
+        /// The worker lacks free capacity.
         NoRoom,
-        /// There is no such task.
+        /// The worker has no such task.
         UnknownTask,
     }
 
-    /// The body of a 409 answer.
+    /// Body of a 409 response.
     pub struct Rejected {
-        /// Why.
+        /// Why the command was rejected.
         pub reason: RejectReason,
         /// The highest epoch that the worker has seen.
         pub epoch: Epoch,
     }
 
-    /// `GET /v1/usage`: what tasks and requests use, as of some time ago.
+    /// `GET /v1/usage`: measured resource use of tasks and requests.
     pub struct Usage {
-        /// Age of the figures in milliseconds.
+        /// Age of the measurements, in milliseconds.
         pub age_ms: u64,
-        /// Measured use of the whole worker.
+        /// Resource use of the whole worker.
         pub total: Size,
-        /// Measured use and slowdown of each task.
+        /// Resource use and slowdown of each task.
         pub tasks: Vec<TaskUsage>,
-        /// Measured slowdown of requests by entry.
+        /// Slowdown of requests, by catalogue entry.
         pub requests: Vec<EntrySlowdown>,
     }
 
-    /// One task's measured use.
+    /// Measured resource use of one task.
     pub struct TaskUsage {
-        /// The task.
+        /// Id of the job that the task runs.
         pub task: JobId,
-        /// What it uses.
+        /// Resources in use.
         pub size: Size,
-        /// Time it takes relative to running alone, in thousandths.
+        /// Duration relative to running alone on the worker, in thousandths.
         pub slowdown_permille: u32,
     }
 
-    /// Measured slowdown of one entry's requests on a worker.
+    /// Measured slowdown of one catalogue entry's requests on a worker.
     pub struct EntrySlowdown {
-        /// The entry.
+        /// Name of the entry.
         pub entry: String,
-        /// Time they take relative to running alone, in thousandths.
+        /// Duration relative to running alone on the worker, in thousandths.
         pub slowdown_permille: u32,
     }
 }
