--- a/src/lapisdrum/peer/client.rs
+++ b/src/lapisdrum/peer/client.rs
@@ -17,21 +17,21 @@
 /// A call without a reply; unless it was never sent, it may have taken effect.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PeerError {
-    what: String,
+    message: String,
     is_unsent: bool,
 }
 
 impl PeerError {
-    fn unsent(what: impl ToString) -> Self {
+    fn unsent(message: impl ToString) -> Self {
         Self {
-            what: what.to_string(),
+            message: message.to_string(),
             is_unsent: true,
         }
     }
 
-    fn unanswered(what: impl ToString) -> Self {
+    fn unanswered(message: impl ToString) -> Self {
         Self {
-            what: what.to_string(),
+            message: message.to_string(),
             is_unsent: false,
         }
     }
@@ -44,7 +44,7 @@
 
 impl fmt::Display for PeerError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "peer did not answer: {}", self.what)
+        write!(f, "peer did not answer: {}", self.message)
     }
 }
 
@@ -54,7 +54,7 @@
 pub struct Peers {
     timeline: Rc<Timeline>,
     timeout: Duration,
-    open: RefCell<IndexMap<String, Stub>>,
+    connections: RefCell<IndexMap<String, Stub>>,
 }
 
 impl Peers {
@@ -63,7 +63,7 @@
         Self {
             timeline,
             timeout,
-            open: RefCell::default(),
+            connections: RefCell::default(),
         }
     }
 
@@ -86,7 +86,7 @@
             Err(_) => Err(PeerError::unanswered("timeout")),
         };
         if outcome.is_err() {
-            self.open.borrow_mut().swap_remove(address);
+            self.connections.borrow_mut().swap_remove(address);
         }
         outcome
     }
@@ -110,7 +110,7 @@
     }
 
     async fn stub(&self, address: &str) -> Result<Stub, PeerError> {
-        if let Some(stub) = self.open.borrow().get(address) {
+        if let Some(stub) = self.connections.borrow().get(address) {
             return Ok(stub.clone());
         }
         let target: SocketAddr = address
@@ -123,7 +123,7 @@
         actix_rt::spawn(async move {
             let _ = new.dispatch.await;
         });
-        self.open
+        self.connections
             .borrow_mut()
             .insert(address.to_owned(), new.client.clone());
         Ok(new.client)
--- a/src/lapisdrum/store/client.rs
+++ b/src/lapisdrum/store/client.rs
@@ -16,7 +16,7 @@
 use std::{fmt, rc::Rc, time::Duration};
 
 /// Largest response body that is read, in bytes: a whole catalogue or a shard's ledger.
-const MAX_ANSWER_BYTES: usize = 256 * 1024 * 1024;
+const MAX_RESPONSE_BYTES: usize = 256 * 1024 * 1024;
 
 /// Outcome of a transaction.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -41,12 +41,12 @@
 /// A call that got no response, or an error or malformed one; or that was never sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PlatformError {
-    what: String,
+    message: String,
 }
 
 impl fmt::Display for PlatformError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "platform did not answer: {}", self.what)
+        write!(f, "platform did not answer: {}", self.message)
     }
 }
 
@@ -58,9 +58,9 @@
         Self::new("the lease has expired")
     }
 
-    fn new(what: impl fmt::Display) -> Self {
+    fn new(message: impl fmt::Display) -> Self {
         Self {
-            what: what.to_string(),
+            message: message.to_string(),
         }
     }
 }
@@ -101,7 +101,7 @@
     async fn try_txn(&self, txn: &Txn) -> Result<TxnOutcome, PlatformError> {
         let url = format!("{}/table/txn", self.base);
         let txn = txn.clone().stamped(self.timeline.stamp());
-        let (status, body) = whole(self.http.post(url).send_json(&txn)).await?;
+        let (status, body) = read_response(self.http.post(url).send_json(&txn)).await?;
         match status {
             StatusCode::OK => {
                 parse(&body).map(|done: TxnDone| TxnOutcome::Committed(done.versions))
@@ -156,7 +156,7 @@
         }
         let tag = answer.headers().get(ETAG);
         let tag = tag.and_then(|tag| tag.to_str().ok()).map(str::to_owned);
-        let body = answer.body().limit(MAX_ANSWER_BYTES).await;
+        let body = answer.body().limit(MAX_RESPONSE_BYTES).await;
         let raw: Vec<HostWire> = parse(&body.map_err(PlatformError::new)?)?;
         let hosts = raw.into_iter().filter_map(|host| Host::try_from(host).ok());
         let hosts = hosts.filter(|host| host.data_centre == *dc).collect();
@@ -193,7 +193,7 @@
     }
 
     async fn fetch(&self, url: &str) -> Result<Option<Bytes>, PlatformError> {
-        let (status, body) = whole(self.http.get(url).send()).await?;
+        let (status, body) = read_response(self.http.get(url).send()).await?;
         match status {
             StatusCode::OK => Ok(Some(body)),
             StatusCode::NOT_FOUND => Ok(None),
@@ -203,9 +203,9 @@
 }
 
 /// Waits for a response and reads its whole body.
-async fn whole(sent: SendClientRequest) -> Result<(StatusCode, Bytes), PlatformError> {
+async fn read_response(sent: SendClientRequest) -> Result<(StatusCode, Bytes), PlatformError> {
     let mut answer = sent.await.map_err(PlatformError::new)?;
-    let body = answer.body().limit(MAX_ANSWER_BYTES).await;
+    let body = answer.body().limit(MAX_RESPONSE_BYTES).await;
     Ok((answer.status(), body.map_err(PlatformError::new)?))
 }
 
--- a/src/lapisdrum/store/wire.rs
+++ b/src/lapisdrum/store/wire.rs
@@ -113,7 +113,7 @@
     }
 }
 
-const MILLICORES: u64 = 1_000;
+const MILLICORES_PER_CORE: u64 = 1_000;
 
 impl TryFrom<HostWire> for Host {
     type Error = InvalidName;
@@ -126,7 +126,7 @@
             rack: Rack::try_from(raw.rack)?,
             leaving: raw.state != "live",
             capacity: Size {
-                millicores: raw.cores * MILLICORES,
+                millicores: raw.cores * MILLICORES_PER_CORE,
                 memory_mb: raw.memory_mb,
                 accelerators: raw.accelerators,
             },
--- a/src/lapisdrum/worker/client.rs
+++ b/src/lapisdrum/worker/client.rs
@@ -26,12 +26,12 @@
 use std::{fmt, time::Duration};
 
 /// Largest response to a command that is read, in bytes.
-const MAX_COMMAND_ANSWER: usize = 16 * 1024 * 1024;
+const MAX_COMMAND_RESPONSE_BYTES: usize = 16 * 1024 * 1024;
 /// Timeout for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// Turns off awc's connection limit, which counts the connections to all workers together and queues
 /// further requests silently until their deadlines pass; the router limits each worker's connections.
-const NO_LIMIT: usize = 0;
+const UNLIMITED_CONNECTIONS: usize = 0;
 
 /// A worker's complete response to a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -99,7 +99,9 @@
     /// daemon in workers' logs.
     pub fn new(user_agent: &str, command_timeout: Duration) -> Self {
         let agent = ("user-agent", user_agent);
-        let connector = Connector::new().limit(NO_LIMIT).timeout(CONNECT_TIMEOUT);
+        let connector = Connector::new()
+            .limit(UNLIMITED_CONNECTIONS)
+            .timeout(CONNECT_TIMEOUT);
         let requests = Client::builder().connector(connector).disable_timeout();
         let requests = requests
             .disable_redirects()
@@ -233,7 +235,7 @@
         let Some(clock) = worker_clock(answer.headers()) else {
             return CommandEnd::Silent("the response has no valid worker clock header".to_owned());
         };
-        let body = match answer.body().limit(MAX_COMMAND_ANSWER).await {
+        let body = match answer.body().limit(MAX_COMMAND_RESPONSE_BYTES).await {
             Ok(body) => body,
             Err(e) => return CommandEnd::Silent(e.to_string()),
         };
