--- a/src/lapisdrum/peer/wire.rs
+++ b/src/lapisdrum/peer/wire.rs
@@ -150,7 +150,8 @@
     pub enum PeerReply {
         /// The request took effect; there is nothing to return.
         Ok,
-        /// Reply to [`PeerRequest::ShowJob`], among others.
+        /// Reply to [`PeerRequest::SubmitJob`], [`PeerRequest::ShowJob`] and
+        /// [`PeerRequest::CancelJob`]: the present state of the job.
         Job(Job),
         /// Reply to [`PeerRequest::ListJobs`].
         Jobs(ShardJobs),
