--- a/src/lapisdrum/peer/client.rs
+++ b/src/lapisdrum/peer/client.rs
@@ -1,7 +1,6 @@
-//! Calls to other daemons over connections that are kept and reopened.
+//! Client for other daemons. Connections are reused, and reopened after a failed call.
 //!
-//! tarpc matches replies to calls by id; a call that times out is dropped on this side, so a late
-//! reply reaches nobody.
+//! tarpc matches replies to calls by id, so the late reply to a call that timed out is discarded.
 
 use super::{
     server::PeerServiceClient as Stub,
@@ -15,29 +14,29 @@
 /// Largest frame between daemons, in bytes.
 pub const MAX_FRAME_BYTES: usize = 64 * 1024 * 1024;
 
-/// A call without a reply; it may have taken effect unless it is known to be unsent.
+/// A call without a reply; unless it was never sent, it may have taken effect.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PeerError {
-    what: String,
+    message: String,
     is_unsent: bool,
 }
 
 impl PeerError {
-    fn unsent(what: impl ToString) -> Self {
+    fn unsent(message: impl ToString) -> Self {
         Self {
-            what: what.to_string(),
+            message: message.to_string(),
             is_unsent: true,
         }
     }
 
-    fn unanswered(what: impl ToString) -> Self {
+    fn unanswered(message: impl ToString) -> Self {
         Self {
-            what: what.to_string(),
+            message: message.to_string(),
             is_unsent: false,
         }
     }
 
-    /// Whether no connection was made, so that the call certainly had no effect.
+    /// Whether no connection was opened, so that the call certainly had no effect.
     pub fn is_unsent(&self) -> bool {
         self.is_unsent
     }
@@ -45,35 +44,36 @@
 
 impl fmt::Display for PeerError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "peer did not answer: {}", self.what)
+        write!(f, "peer did not answer: {}", self.message)
     }
 }
 
 impl std::error::Error for PeerError {}
 
-/// Connections to other daemons by address.
+/// Client for other daemons; keeps one connection per address.
 pub struct Peers {
     timeline: Rc<Timeline>,
     timeout: Duration,
-    open: RefCell<IndexMap<String, Stub>>,
+    connections: RefCell<IndexMap<String, Stub>>,
 }
 
 impl Peers {
-    /// No connections yet; each call is given `timeout`.
+    /// Creates a client; calls time out after `timeout` unless they have a limit of their own.
     pub fn new(timeline: Rc<Timeline>, timeout: Duration) -> Self {
         Self {
             timeline,
             timeout,
-            open: RefCell::default(),
+            connections: RefCell::default(),
         }
     }
 
-    /// Calls the daemon at `address`.
+    /// Calls the daemon at `address` (IP address and port) with the default timeout.
     pub async fn call(&self, address: &str, req: PeerRequest) -> Result<PeerReply, PeerError> {
         self.call_within(address, req, self.timeout).await
     }
 
-    /// Calls the daemon at `address` and waits for its reply no longer than `limit`.
+    /// Calls the daemon at `address` and waits for its reply for at most `limit`, which includes opening a
+    /// connection.
     pub async fn call_within(
         &self,
         address: &str,
@@ -86,7 +86,7 @@
             Err(_) => Err(PeerError::unanswered("timeout")),
         };
         if outcome.is_err() {
-            self.open.borrow_mut().swap_remove(address);
+            self.connections.borrow_mut().swap_remove(address);
         }
         outcome
     }
@@ -110,12 +110,12 @@
     }
 
     async fn stub(&self, address: &str) -> Result<Stub, PeerError> {
-        if let Some(stub) = self.open.borrow().get(address) {
+        if let Some(stub) = self.connections.borrow().get(address) {
             return Ok(stub.clone());
         }
         let target: SocketAddr = address
             .parse()
-            .map_err(|_| PeerError::unsent(format!("`{address}` is no IP number and port")))?;
+            .map_err(|_| PeerError::unsent(format!("`{address}` is not an IP address and port")))?;
         let mut connect = tarpc::serde_transport::tcp::connect(target, Bincode::default);
         connect.config_mut().max_frame_length(MAX_FRAME_BYTES);
         let transport = connect.await.map_err(PeerError::unsent)?;
@@ -123,7 +123,7 @@
         actix_rt::spawn(async move {
             let _ = new.dispatch.await;
         });
-        self.open
+        self.connections
             .borrow_mut()
             .insert(address.to_owned(), new.client.clone());
         Ok(new.client)
