--- a/src/lapisdrum/policy/dispatch/pressure/learned.rs
+++ b/src/lapisdrum/policy/dispatch/interference/estimates.rs
@@ -4,7 +4,7 @@
 //! Without it, pairs are measured again on serving tasks in the first ten seconds after each takeover, and each of
 //! several shards has to measure every pair itself.
 
-use super::{Evidence, Image, Pressure};
+use super::{Evidence, Image, InterferenceModel};
 use crate::core::time::Millis;
 
 /// Maximum number of pairs in one row or reply, which keeps it below 60 KB. Pairs with the most evidence go first.
@@ -13,19 +13,20 @@
 const MILLI: f64 = 1_000.0;
 
 data! {
-    /// Measured interference of one pair; images are indexes into [`Learned`]'s list.
-    pub struct LearnedPair {
+    /// Measured interference of one pair; images are indexes into [`InterferenceEstimates`]'s list.
+    pub struct PairEstimate {
         victim: u16,
-        presser: u16,
+        #[serde(rename = "presser")]
+        aggressor: u16,
         mean_milli: u32,
         precision_milli: u32,
     }
 
     /// The interference model of one owner, without the evidence that it received from others.
     #[derive(Default)]
-    pub struct Learned {
+    pub struct InterferenceEstimates {
         images: Vec<String>,
-        pairs: Vec<LearnedPair>,
+        pairs: Vec<PairEstimate>,
         idle_tails_us: Vec<Option<u32>>,
         /// Period of the serving loads.
         period_ms: Option<u32>,
@@ -36,7 +37,7 @@
     (value * MILLI).round() as u32
 }
 
-impl LearnedPair {
+impl PairEstimate {
     pub(super) fn evidence(&self) -> Evidence {
         let precision = f64::from(self.precision_milli) / MILLI;
         Evidence {
@@ -46,16 +47,16 @@
     }
 }
 
-impl Learned {
+impl InterferenceEstimates {
     /// Returns the evidence of pairs that this owner measured at or after `since`, with all idle tails.
-    pub fn since(model: &Pressure, since: Millis) -> Self {
-        let mut pairs: Vec<LearnedPair> = model
+    pub fn since(model: &InterferenceModel, since: Millis) -> Self {
+        let mut pairs: Vec<PairEstimate> = model
             .own_pairs()
             .filter(|(_, _, pair)| pair.measured_at >= since)
             .filter_map(|(victim, aggressor, pair)| {
-                Some(LearnedPair {
+                Some(PairEstimate {
                     victim: u16::try_from(victim).ok()?,
-                    presser: u16::try_from(aggressor).ok()?,
+                    aggressor: u16::try_from(aggressor).ok()?,
                     mean_milli: to_milli(pair.own.mean()?),
                     precision_milli: to_milli(pair.own.precision),
                 })
@@ -77,12 +78,12 @@
     }
 
     /// Returns the pairs by the image numbers of `model`; pairs with an invalid image index are skipped.
-    pub(super) fn pairs_in(&self, model: &mut Pressure) -> Vec<(Image, Image, Evidence)> {
+    pub(super) fn pairs_in(&self, model: &mut InterferenceModel) -> Vec<(Image, Image, Evidence)> {
         let images: Vec<Image> = self.images.iter().map(|name| model.image(name)).collect();
         let image = |number: u16| images.get(usize::from(number)).copied();
         let pairs = self.pairs.iter();
         pairs
-            .filter_map(|pair| Some((image(pair.victim)?, image(pair.presser)?, pair.evidence())))
+            .filter_map(|pair| Some((image(pair.victim)?, image(pair.aggressor)?, pair.evidence())))
             .collect()
     }
 
@@ -92,7 +93,7 @@
     }
 
     /// Returns the idle tails by image, in milliseconds.
-    pub(super) fn idle_tails_in(&self, model: &mut Pressure) -> Vec<(Image, f64)> {
+    pub(super) fn idle_tails_in(&self, model: &mut InterferenceModel) -> Vec<(Image, f64)> {
         let tails = self.images.iter().zip(&self.idle_tails_us);
         tails
             .filter_map(|(name, tail_us)| Some((model.image(name), f64::from((*tail_us)?) / MILLI)))
@@ -100,8 +101,8 @@
     }
 }
 
-impl From<&Pressure> for Learned {
-    fn from(model: &Pressure) -> Self {
+impl From<&InterferenceModel> for InterferenceEstimates {
+    fn from(model: &InterferenceModel) -> Self {
         Self::since(model, Millis::default())
     }
 }
--- a/src/lapisdrum/policy/dispatch/pressure/load.rs
+++ b/src/lapisdrum/policy/dispatch/interference/load.rs
@@ -2,7 +2,7 @@
 //!
 //! All tasks of a step share their load, so a task without aggressors measures it for the others. A latency tail is
 //! [`TAIL_AGE_S`] old when it is read, and load changes by half within seconds. While no period is known
-//! ([`super::season`]), level and slope are tracked; with one, a mean and a sinusoid around it, which forecast the
+//! ([`super::seasonality`]), level and slope are tracked; with one, a mean and a sinusoid around it, which forecast the
 //! load for the run time of a best-effort task.
 
 use crate::core::time::Millis;
--- a/src/lapisdrum/policy/dispatch/pressure/mod.rs
+++ b/src/lapisdrum/policy/dispatch/interference/mod.rs
@@ -12,20 +12,20 @@
 //! independent). Measurements of a pair are kept as [`evidence`], to which those of other owners are added; the
 //! prior of a pair with little evidence is derived from other pairs ([`profile`]).
 
+pub mod estimates;
 pub mod evidence;
-pub mod learned;
 pub mod load;
 pub mod profile;
-pub mod season;
+pub mod seasonality;
 
 use super::outlook::{self, Path};
 use crate::core::time::Millis;
+use estimates::InterferenceEstimates;
 use evidence::Evidence;
 use indexmap::{IndexMap, IndexSet};
-use learned::Learned;
 pub use load::ServingLoad;
 use profile::{Cell, Profiles};
-use season::Seasonality;
+use seasonality::Seasonality;
 use std::time::Duration;
 
 /// Minimum time between two fits of the profiles.
@@ -70,7 +70,7 @@
 }
 
 scalar! {
-    /// Index of an image in the [`Pressure`] that issued it.
+    /// Index of an image in the [`InterferenceModel`] that issued it.
     pub struct Image(pub u32);
 }
 
@@ -82,7 +82,7 @@
 
 /// A best-effort task that interferes with serving tasks on its host.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Presser {
+pub struct Aggressor {
     /// The image that it runs.
     pub image: Image,
     /// Processors that it uses, as a fraction of the host's.
@@ -136,7 +136,7 @@
 
 /// The interference model: estimates for images and for pairs of them.
 #[derive(Clone, Debug, Default)]
-pub struct Pressure {
+pub struct InterferenceModel {
     images: IndexSet<String>,
     /// Indexed by victim, then by aggressor.
     pairs: Vec<Vec<Pair>>,
@@ -149,36 +149,36 @@
     idle_tails_ms: Vec<Option<f64>>,
 }
 
-impl Pressure {
+impl InterferenceModel {
     /// Restores the model that a previous owner stored. Its evidence counts half, as some time has passed.
-    pub fn resumed(learned: &Learned) -> Self {
+    pub fn resumed(estimates: &InterferenceEstimates) -> Self {
         let mut resumed = Self::default();
-        for (victim, aggressor, mut evidence) in learned.pairs_in(&mut resumed) {
+        for (victim, aggressor, mut evidence) in estimates.pairs_in(&mut resumed) {
             evidence.scale(0.5);
             resumed.pair_mut(victim, aggressor).own = evidence;
         }
-        resumed.adopt_period_and_tails(learned);
+        resumed.adopt_period_and_tails(estimates);
         resumed
     }
 
     /// Adds the evidence that another owner measured, replacing its earlier evidence of the same pairs.
-    pub fn adopt(&mut self, origin: Origin, learned: &Learned) {
-        for (victim, aggressor, evidence) in learned.pairs_in(self) {
+    pub fn adopt(&mut self, origin: Origin, estimates: &InterferenceEstimates) {
+        for (victim, aggressor, evidence) in estimates.pairs_in(self) {
             let before = self.received.insert((origin, victim, aggressor), evidence);
             let before = before.unwrap_or_default();
             let pair = self.pair_mut(victim, aggressor);
             pair.others.precision += evidence.precision - before.precision;
             pair.others.weighted_sum += evidence.weighted_sum - before.weighted_sum;
         }
-        self.adopt_period_and_tails(learned);
+        self.adopt_period_and_tails(estimates);
     }
 
     /// Adopts the period and the idle tails; a period found by this owner and idle tails that it has take precedence.
-    fn adopt_period_and_tails(&mut self, learned: &Learned) {
-        if let Some(period_s) = learned.period_s() {
+    fn adopt_period_and_tails(&mut self, estimates: &InterferenceEstimates) {
+        if let Some(period_s) = estimates.period_s() {
             self.seasonality.adopt(period_s);
         }
-        for (image, tail_ms) in learned.idle_tails_in(self) {
+        for (image, tail_ms) in estimates.idle_tails_in(self) {
             self.idle_tail_mut(image).get_or_insert(tail_ms);
         }
     }
@@ -206,11 +206,13 @@
     pub fn expected_utilisation(
         &self,
         victim: &Victim,
-        aggressors: &[Presser],
+        aggressors: &[Aggressor],
         now: Millis,
         ahead: Duration,
     ) -> f64 {
-        let interferences = aggressors.iter().map(|a| self.press(victim.image, a));
+        let interferences = aggressors
+            .iter()
+            .map(|a| self.interference(victim.image, a));
         victim.load.forecast(now, ahead) + interferences.sum::<f64>()
     }
 
@@ -220,12 +222,12 @@
     }
 
     /// Returns the utilisation that an aggressor is expected to add.
-    pub fn press(&self, victim: Image, aggressor: &Presser) -> f64 {
+    pub fn interference(&self, victim: Image, aggressor: &Aggressor) -> f64 {
         self.estimate(victim, aggressor.image).mean * aggressor.share
     }
 
-    /// Returns the variance of [`Self::press`] that is due to limited evidence of the pair.
-    pub fn press_variance(&self, victim: Image, aggressor: &Presser) -> f64 {
+    /// Returns the variance of [`Self::interference`] that is due to limited evidence of the pair.
+    pub fn interference_variance(&self, victim: Image, aggressor: &Aggressor) -> f64 {
         self.estimate(victim, aggressor.image).variance * aggressor.share * aggressor.share
     }
 
@@ -235,7 +237,7 @@
     pub fn note(
         &mut self,
         victim: &mut Victim,
-        aggressors: &[Presser],
+        aggressors: &[Aggressor],
         tails_ms: &[f64],
         now: Millis,
     ) -> Option<f64> {
@@ -284,7 +286,9 @@
             pair.own.note(aggressor.share, measured, others_variance);
             pair.measured_at = now;
         }
-        let interference = aggressors.iter().map(|a| self.press(victim.image, a));
+        let interference = aggressors
+            .iter()
+            .map(|a| self.interference(victim.image, a));
         Some(utilisation - victim.load.level() - interference.sum::<f64>())
     }
 
--- a/src/lapisdrum/policy/dispatch/mod.rs
+++ b/src/lapisdrum/policy/dispatch/mod.rs
@@ -4,16 +4,16 @@
 //! that are two thirds full before any burst. Unless steps are ordered by whether they can still be on time, a
 //! burst of batch work makes every job behind it late, urgent ones included. Unless best-effort tasks are kept
 //! apart from tasks that serve users, the latency tails of the latter exceed their targets within a second.
-//! [`order`] ranks steps by the durations that [`forecast`] estimates, [`place`] chooses workers, [`pressure`]
+//! [`order`] ranks steps by the durations that [`forecast`] estimates, [`place`] chooses workers, [`interference`]
 //! models the interference between tasks and [`relief`] decides which best-effort tasks are throttled or
 //! stopped. All are pure.
 
 pub mod forecast;
+pub mod interference;
 pub mod order;
 pub mod outlook;
 pub mod overload;
 pub mod place;
-pub mod pressure;
 pub mod relief;
 pub mod room;
 pub mod short_work;
--- a/src/lapisdrum/policy/dispatch/place.rs
+++ b/src/lapisdrum/policy/dispatch/place.rs
@@ -4,7 +4,7 @@
 //! do too, and must keep the latency tail of their users under a target. *Best-effort* tasks reserve memory and run
 //! on idle processors. A best-effort task slows the serving tasks beside it by amounts that differ by image and
 //! change within seconds, and its effect is measured half a second late. So a best-effort task is placed only where
-//! every serving task is expected to stay clear of its target with it ([`super::pressure`]), and first where the
+//! every serving task is expected to stay clear of its target with it ([`super::interference`]), and first where the
 //! most headroom remains.
 //!
 //! Reserving and serving tasks go to the fullest host that still fits, so that wide tasks find free capacity.
@@ -13,8 +13,8 @@
 //! host with five images tolerates almost none of them, and a host with one tolerates half.
 
 use super::{
+    interference::{Aggressor, Image, InterferenceModel, Victim},
     outlook::{self, Outlook},
-    pressure::{Image, Presser, Pressure, Victim},
 };
 use crate::core::size::Size;
 use std::time::Duration;
@@ -120,9 +120,9 @@
 
 impl Strained {
     /// A newly placed serving task, without measurements.
-    fn unmeasured(victim: Victim, millicores: u64, pressure: &Pressure) -> Self {
+    fn unmeasured(victim: Victim, millicores: u64, model: &InterferenceModel) -> Self {
         let load = victim.load.level();
-        let limit = pressure.limit(&victim);
+        let limit = model.limit(&victim);
         Self {
             victim,
             millicores,
@@ -138,9 +138,14 @@
     }
 
     /// The utilisation forecast with one more aggressor, which runs for the first `moments` forecast points.
-    fn forecast_with(&self, aggressor: &Presser, moments: usize, pressure: &Pressure) -> Outlook {
-        let interference = pressure.press(self.victim.image, aggressor);
-        let variance = pressure.press_variance(self.victim.image, aggressor);
+    fn forecast_with(
+        &self,
+        aggressor: &Aggressor,
+        moments: usize,
+        model: &InterferenceModel,
+    ) -> Outlook {
+        let interference = model.interference(self.victim.image, aggressor);
+        let variance = model.interference_variance(self.victim.image, aggressor);
         let mut outlook = self.outlook;
         outlook.add(interference, variance, moments);
         outlook
@@ -172,31 +177,31 @@
         self.serving.iter().map(|s| s.millicores).sum()
     }
 
-    fn aggressor(&self, need: &Need) -> Option<Presser> {
-        Some(Presser {
+    fn aggressor(&self, need: &Need) -> Option<Aggressor> {
+        Some(Aggressor {
             image: need.image?,
             share: need.size.millicores as f64 / self.capacity.millicores.max(1) as f64,
         })
     }
 
     /// Whether a serving task is expected to miss its target, or to miss it by more, because of the task.
-    fn is_overloaded_by(&self, need: &Need, pressure: &Pressure) -> bool {
+    fn is_overloaded_by(&self, need: &Need, model: &InterferenceModel) -> bool {
         let Some(aggressor) = self.aggressor(need) else {
             return false;
         };
         let moments = outlook::moments_within(need.duration);
         self.serving.iter().any(|s| {
-            let forecast = s.forecast_with(&aggressor, moments, pressure);
+            let forecast = s.forecast_with(&aggressor, moments, model);
             forecast.overload() > s.outlook.overload()
         })
     }
 
     /// The highest interference that the task is expected to cause to a serving task.
-    fn max_interference(&self, need: &Need, pressure: &Pressure) -> f64 {
+    fn max_interference(&self, need: &Need, model: &InterferenceModel) -> f64 {
         let Some(aggressor) = self.aggressor(need) else {
             return 0.0;
         };
-        let interference = |s: &Strained| pressure.press(s.victim.image, &aggressor);
+        let interference = |s: &Strained| model.interference(s.victim.image, &aggressor);
         self.serving.iter().map(interference).fold(0.0, f64::max)
     }
 
@@ -207,12 +212,12 @@
     }
 
     /// Accounts for the task as placed on this host.
-    pub fn take(&mut self, need: &Need, pressure: &Pressure) {
+    pub fn take(&mut self, need: &Need, model: &InterferenceModel) {
         self.reserved = self.reserved.plus(&reserved_by(&need.size, need.load));
         match need.load {
             Load::Reserving => {}
             Load::Serving => {
-                let placed = |victim| Strained::unmeasured(victim, need.size.millicores, pressure);
+                let placed = |victim| Strained::unmeasured(victim, need.size.millicores, model);
                 self.serving.extend(need.victim.map(placed));
             }
             Load::BestEffort => {
@@ -220,7 +225,7 @@
                 if let Some(aggressor) = self.aggressor(need) {
                     let moments = outlook::moments_within(need.duration);
                     for s in &mut self.serving {
-                        s.outlook = s.forecast_with(&aggressor, moments, pressure);
+                        s.outlook = s.forecast_with(&aggressor, moments, model);
                     }
                 }
             }
@@ -264,12 +269,12 @@
 }
 
 /// Whether the host can take the task; does not compare pools.
-pub fn admits(need: &Need, host: &Host, pressure: &Pressure) -> bool {
-    unfit(need, host, pressure).is_none()
+pub fn admits(need: &Need, host: &Host, model: &InterferenceModel) -> bool {
+    unfit(need, host, model).is_none()
 }
 
 /// Returns why the host refuses the task; none if it admits it. Does not compare pools.
-pub fn unfit(need: &Need, host: &Host, pressure: &Pressure) -> Option<Unfit> {
+pub fn unfit(need: &Need, host: &Host, model: &InterferenceModel) -> Option<Unfit> {
     let has = |label: &str| host.labels.iter().any(|have| have == label);
     let (wanted, free) = (reserved_by(&need.size, need.load), host.free());
     let is_kept = match host.kept {
@@ -294,11 +299,11 @@
     }
     match need.load {
         Load::Reserving | Load::Serving => None,
-        Load::BestEffort => unfit_best_effort(need, host, pressure),
+        Load::BestEffort => unfit_best_effort(need, host, model),
     }
 }
 
-fn unfit_best_effort(need: &Need, host: &Host, pressure: &Pressure) -> Option<Unfit> {
+fn unfit_best_effort(need: &Need, host: &Host, model: &InterferenceModel) -> Option<Unfit> {
     if !host.is_open_for_best_effort {
         return Some(Unfit::Closed);
     }
@@ -306,7 +311,7 @@
         return Some(Unfit::Busy);
     }
     // A best-effort task waits rather than cost serving tasks anything.
-    let causes_overload = host.is_overloaded_by(need, pressure);
+    let causes_overload = host.is_overloaded_by(need, model);
     causes_overload.then_some(Unfit::Pressure)
 }
 
@@ -328,7 +333,7 @@
 /// Factor that converts headroom, a fraction, to an integer sort key.
 const HEADROOM_SCALE: f64 = 1e6;
 
-fn fit(need: &Need, host: &Host, pressure: &Pressure) -> Fit {
+fn fit(need: &Need, host: &Host, model: &InterferenceModel) -> Fit {
     let unused = host.unused_millicores();
     let spare = match need.load {
         Load::BestEffort => ((1.0 - host.headroom()).max(0.0) * HEADROOM_SCALE) as u64,
@@ -341,7 +346,7 @@
         is_far: need.data_rack.is_some() && need.data_rack != host.rack,
         lacks_idle_cores: unused < need.size.millicores,
         other_image_tasks: other_image_tasks(need, host),
-        interference: (host.max_interference(need, pressure) / INTERFERENCE_STEP) as u64,
+        interference: (host.max_interference(need, model) / INTERFERENCE_STEP) as u64,
         spare,
     }
 }
@@ -393,10 +398,9 @@
 }
 
 /// Returns the index in `hosts` of the preferred host for a task; none when no host of its pool admits it.
-pub fn choose(need: &Need, hosts: &[Host], pressure: &Pressure) -> Option<usize> {
+pub fn choose(need: &Need, hosts: &[Host], model: &InterferenceModel) -> Option<usize> {
     let admitted = hosts.iter().enumerate();
-    let admitted =
-        admitted.filter(|(_, host)| host.pool == need.pool && admits(need, host, pressure));
-    let best = admitted.min_by_key(|(_, host)| fit(need, host, pressure));
+    let admitted = admitted.filter(|(_, host)| host.pool == need.pool && admits(need, host, model));
+    let best = admitted.min_by_key(|(_, host)| fit(need, host, model));
     best.map(|(at, _)| at)
 }
--- a/src/lapisdrum/policy/dispatch/relief.rs
+++ b/src/lapisdrum/policy/dispatch/relief.rs
@@ -11,8 +11,8 @@
 //! first. Raising the limit of a throttled task is weighed in the same way.
 
 use super::{
+    interference::{Aggressor, Image, InterferenceModel, Victim},
     outlook::{self, MOMENTS, Outlook, Path},
-    pressure::{Image, Presser, Pressure, Victim},
     terms::Terms,
 };
 use crate::core::time::Millis;
@@ -66,7 +66,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Sight<'a> {
     /// The interference model.
-    pub pressure: &'a Pressure,
+    pub model: &'a InterferenceModel,
     /// The time of the decision.
     pub now: Millis,
     /// How long stops and restores take in this deployment.
@@ -93,7 +93,7 @@
 impl Sight<'_> {
     /// The forecast utilisation without aggressors, corrected by the measured residual.
     fn load_path(&self, s: &Serving) -> Path {
-        let load = self.pressure.load_path(&s.victim, self.now);
+        let load = self.model.load_path(&s.victim, self.now);
         load.map(|load| load + s.residual)
     }
 }
@@ -120,9 +120,9 @@
         }
     }
 
-    fn aggressor(&self) -> Option<Presser> {
+    fn aggressor(&self) -> Option<Aggressor> {
         let is_working = !self.is_stopping && self.pace > 0;
-        is_working.then(|| Presser {
+        is_working.then(|| Aggressor {
             image: self.image,
             share: self.share * f64::from(self.pace) / 100.0,
         })
@@ -178,13 +178,13 @@
     fn forecasts(&self, leftover: &[BestEffort]) -> Vec<Outlook> {
         let all = self.serving.iter().zip(self.loads);
         let all = all.map(|(s, load)| {
-            let limit = self.sight.pressure.limit(&s.victim);
+            let limit = self.sight.model.limit(&s.victim);
             let mut outlook = Outlook::unpressed(s.tasks, limit, *load);
             for l in leftover {
                 let Some(aggressor) = l.aggressor() else {
                     continue;
                 };
-                let interference = self.sight.pressure.press(s.victim.image, &aggressor);
+                let interference = self.sight.model.interference(s.victim.image, &aggressor);
                 // No variance is added: `residual` already holds how far running tasks deviate from the model.
                 outlook.add_known(interference, outlook::moments_within(l.left_at_cpu_limit()));
             }
--- a/src/lapisdrum/policy/dispatch/room.rs
+++ b/src/lapisdrum/policy/dispatch/room.rs
@@ -4,8 +4,8 @@
 //! other tasks. These values distinguish the causes.
 
 use super::{
+    interference::InterferenceModel,
     place::{self, Host, Need, Unfit, reserved_by},
-    pressure::Pressure,
 };
 use crate::core::size::Size;
 use indexmap::IndexMap;
@@ -67,13 +67,13 @@
 
 impl Shortage {
     /// Returns why these hosts refuse the task; none if no host of its pool does.
-    pub fn of(need: &Need, hosts: &[Host], pressure: &Pressure) -> Option<Self> {
+    pub fn of(need: &Need, hosts: &[Host], model: &InterferenceModel) -> Option<Self> {
         let wanted = reserved_by(&need.size, need.load);
         let mut refusals: IndexMap<Unfit, usize> = IndexMap::new();
         let mut free_millicores = 0;
         for host in hosts.iter().filter(|host| host.pool == need.pool) {
             free_millicores += host.free().millicores;
-            if let Some(why) = place::unfit(need, host, pressure) {
+            if let Some(why) = place::unfit(need, host, model) {
                 *refusals.entry(why).or_default() += 1;
             }
         }
--- a/src/lapisdrum/sched/job.rs
+++ b/src/lapisdrum/sched/job.rs
@@ -3,7 +3,7 @@
 //! The interfaces to callers convert a [`RawJob`] to a [`JobSpec`] by `TryFrom`; later code relies on that and doesn't
 //! validate again. All these types are persisted, so fields are only ever added, with a default.
 
-use crate::{core::size::Size, policy::dispatch::pressure::StepKey};
+use crate::{core::size::Size, policy::dispatch::interference::StepKey};
 use std::{fmt, str::FromStr};
 
 /// Maximum number of steps of a job; a larger graph would not fit in one journal row.
--- a/src/lapisdrum/sched/owner/dispatch.rs
+++ b/src/lapisdrum/sched/owner/dispatch.rs
@@ -13,9 +13,9 @@
     core::time::Millis,
     policy::dispatch::{
         forecast::Forecast,
+        interference::Victim,
         order::{Rank, Standing},
         place::{Host, Load, Need, choose, keep_for, reserved_by},
-        pressure::Victim,
         room::{Room, Shortage},
         short_work::Class,
     },
@@ -289,7 +289,7 @@
 
 fn need_of<'a>(owner: &Owner, job: &'a Job, spec: &'a Step, step: &StepId) -> Need<'a> {
     let name = spec.image.as_ref();
-    let image = name.map(|name| owner.pressure.borrow_mut().image(name));
+    let image = name.map(|name| owner.model.borrow_mut().image(name));
     Need {
         pool: &job.terms.pool,
         size: spec.size,
@@ -322,7 +322,7 @@
     let job = &ledger.jobs[&waiting.step.job];
     let spec = &job.spec.steps[usize::from(waiting.step.step)];
     let need = need_of(owner, job, spec, &waiting.step);
-    let pressure = owner.pressure.borrow();
+    let model = owner.model.borrow();
     let len_before = placed.len();
     count_step(job, &waiting.step, spec, hosts);
     let is_gang = spec.gang != Gang::No;
@@ -341,16 +341,16 @@
             continue;
         }
         mark_avoided(owner, &task, hosts);
-        let Some(at) = choose(&need, hosts, &pressure) else {
+        let Some(at) = choose(&need, hosts, &model) else {
             let unplaced = &waiting.tasks[nth..];
             let interrupted = interrupted(job, &waiting.step, spec, unplaced);
             keep_hosts(&need, interrupted, hosts);
             if is_reason_due {
-                why = Shortage::of(&need, hosts, &pressure);
+                why = Shortage::of(&need, hosts, &model);
             }
             break;
         };
-        hosts[at].take(&need, &pressure);
+        hosts[at].take(&need, &model);
         hosts[at].of_step += 1;
         may_take = may_take.map(|left| left.saturating_sub(wanted));
         let run = RunId {
--- a/src/lapisdrum/sched/owner/learned.rs
+++ b/src/lapisdrum/sched/owner/learned.rs
@@ -10,7 +10,7 @@
 use super::Owner;
 use crate::{
     core::time::Millis,
-    policy::dispatch::pressure::{Pressure, learned::Learned},
+    policy::dispatch::interference::{InterferenceModel, estimates::InterferenceEstimates},
     sched::{
         Cx,
         edge::{RowKey, Txn},
@@ -22,9 +22,9 @@
 use std::{rc::Rc, time::Duration};
 
 /// Store table of the row with the estimates.
-const LEARNED_TABLE: &str = "learned";
+const ESTIMATES_TABLE: &str = "learned";
 /// Key of that row in the shard's partition.
-const PRESSURE_KEY: &str = "pressure";
+const MODEL_KEY: &str = "pressure";
 /// Time between two writes; estimates newer than the last write are lost with an owner that crashes.
 const WRITE_INTERVAL: Duration = Duration::from_millis(2_500);
 /// Maximum size of the row; the store's limit is 64 KiB. Four hundred pairs take 40 KiB.
@@ -48,7 +48,7 @@
         /// Time up to which the update is complete; sent with the next call.
         pub upto: ReceivedVersions,
         /// Estimates that are new or changed since the last update.
-        pub learned: Learned,
+        pub learned: InterferenceEstimates,
     }
 }
 
@@ -68,7 +68,7 @@
         token: owner.token(),
         at: cx.clock.now(),
     };
-    let learned = Learned::since(&owner.pressure.borrow(), since.unwrap_or_default());
+    let learned = InterferenceEstimates::since(&owner.model.borrow(), since.unwrap_or_default());
     Some(LearnedUpdate { upto, learned })
 }
 
@@ -88,7 +88,7 @@
         };
         received.insert(shard, update.upto);
         owner
-            .pressure
+            .model
             .borrow_mut()
             .adopt(u32::from(shard.0), &update.learned);
         log::debug!(shard:% = owner.handle.partition, from:% = shard.partition(), pairs = update.learned.pairs(); "interference estimates received");
@@ -105,14 +105,15 @@
 pub async fn load_estimates(cx: &Cx, owner: &Owner) {
     let rows = cx
         .store
-        .rows(LEARNED_TABLE, &owner.handle.partition, PRESSURE_KEY)
+        .rows(ESTIMATES_TABLE, &owner.handle.partition, MODEL_KEY)
         .await;
     let row = rows.ok().and_then(|rows| rows.into_iter().next());
-    let learned = row.and_then(|row| serde_json::from_slice::<Learned>(&row.value).ok());
-    match learned {
-        Some(learned) => {
-            let resumed = Pressure::resumed(&learned);
-            *owner.pressure.borrow_mut() = resumed;
+    let estimates =
+        row.and_then(|row| serde_json::from_slice::<InterferenceEstimates>(&row.value).ok());
+    match estimates {
+        Some(estimates) => {
+            let resumed = InterferenceModel::resumed(&estimates);
+            *owner.model.borrow_mut() = resumed;
             log::info!(shard:% = owner.handle.partition; "interference estimates loaded");
         }
         None => log::info!(shard:% = owner.handle.partition; "no interference estimates to load"),
@@ -128,8 +129,8 @@
         if !owner.journal.is_store_fast() {
             continue;
         }
-        let learned = Learned::from(&*owner.pressure.borrow());
-        let value = serde_json::to_vec(&learned).unwrap_or_default();
+        let estimates = InterferenceEstimates::from(&*owner.model.borrow());
+        let value = serde_json::to_vec(&estimates).unwrap_or_default();
         if value != written && value.len() <= MAX_ROW_BYTES {
             write(&cx, &owner, &value).await;
             written = value;
@@ -139,9 +140,9 @@
 
 async fn write(cx: &Cx, owner: &Owner, value: &[u8]) {
     let row = RowKey {
-        table: LEARNED_TABLE,
+        table: ESTIMATES_TABLE,
         partition: owner.handle.partition.clone(),
-        key: PRESSURE_KEY.to_owned(),
+        key: MODEL_KEY.to_owned(),
     };
     let txn = Txn {
         expect: vec![owner.fence()],
--- a/src/lapisdrum/sched/owner/mod.rs
+++ b/src/lapisdrum/sched/owner/mod.rs
@@ -36,8 +36,8 @@
     daemon::supervisor,
     policy::dispatch::{
         forecast::Forecast,
+        interference::{InterferenceModel, ServingLoad},
         place::Unfit,
-        pressure::{Pressure, ServingLoad},
         short_work::ShortWork,
     },
 };
@@ -106,7 +106,7 @@
     /// Workers on which a task has failed; other workers are tried first.
     pub failed_on: RefCell<IndexMap<TaskId, Vec<String>>>,
     /// Interference model: starts from the previous owner's estimates, if they can be read.
-    pub pressure: RefCell<Pressure>,
+    pub model: RefCell<InterferenceModel>,
     /// Load estimates of serving steps.
     pub loads: RefCell<IndexMap<StepId, ServingLoad>>,
     /// Duration estimates of jobs; each owner starts without any.
@@ -160,7 +160,7 @@
             accepting: RefCell::default(),
             ending: RefCell::default(),
             failed_on: RefCell::default(),
-            pressure: RefCell::default(),
+            model: RefCell::default(),
             loads: RefCell::default(),
             forecast: RefCell::default(),
             started_at: RefCell::default(),
--- a/src/lapisdrum/sched/owner/runs.rs
+++ b/src/lapisdrum/sched/owner/runs.rs
@@ -7,7 +7,7 @@
         time::{Millis, millis},
     },
     daemon::supervisor,
-    policy::dispatch::{place::Load, pressure::Image, short_work::Class},
+    policy::dispatch::{interference::Image, place::Load, short_work::Class},
     sched::{
         Cx,
         edge::{OrderOutcome, Refusal, StartOrder},
@@ -100,7 +100,7 @@
         };
         let now = cx.clock.now();
         let image = step.image.as_ref();
-        let image = image.map(|name| self.pressure.borrow_mut().image(name));
+        let image = image.map(|name| self.model.borrow_mut().image(name));
         let record = RunRecord {
             on: on.clone(),
             size: step.size,
--- a/src/lapisdrum/sched/owner/session.rs
+++ b/src/lapisdrum/sched/owner/session.rs
@@ -6,9 +6,9 @@
         time::{Millis, WorkerMillis, millis},
     },
     policy::dispatch::{
+        interference::Aggressor,
         overload::Overload,
         place::{Load, reserved_by},
-        pressure::Presser,
     },
     sched::{edge::WorkerReport, event::RunId, job::StepId, resolution::LeaseBound},
 };
@@ -44,7 +44,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Departed {
     /// The interference that it caused.
-    pub presser: Presser,
+    pub aggressor: Aggressor,
     /// When it ended.
     pub at: Millis,
 }
--- a/src/lapisdrum/sched/owner/strain.rs
+++ b/src/lapisdrum/sched/owner/strain.rs
@@ -10,9 +10,9 @@
     core::time::Millis,
     daemon::supervisor,
     policy::dispatch::{
+        interference::{Aggressor, Victim},
         outlook::{self, Outlook},
         place::{Load, Strained},
-        pressure::{Presser, Victim},
         relief::{self, Action, BestEffort, Serving, Sight},
     },
     sched::{
@@ -64,9 +64,9 @@
         return;
     }
     let actions = {
-        let pressure = owner.pressure.borrow();
+        let model = owner.model.borrow();
         let sight = Sight {
-            pressure: &pressure,
+            model: &model,
             now,
             terms: &cx.cfg.work,
         };
@@ -90,9 +90,9 @@
 fn note_tails(owner: &Owner, worker: &str, response: &PollResponse, now: Millis) {
     let beside = visible_aggressors(owner, worker, now);
     let mut runs = owner.runs.borrow_mut();
-    let mut pressure = owner.pressure.borrow_mut();
-    if pressure.refit_if_due(now) {
-        log::info!(shard:% = owner.handle.partition, period_s:? = pressure.period_s(); "period of serving loads");
+    let mut model = owner.model.borrow_mut();
+    if model.refit_if_due(now) {
+        log::info!(shard:% = owner.handle.partition, period_s:? = model.period_s(); "period of serving loads");
     }
     let mut by_step: IndexMap<StepId, Tails> = IndexMap::new();
     for listed in &response.running {
@@ -115,7 +115,7 @@
         session.remove_residuals(|step| by_step.contains_key(step))
     });
     for (step, mut tails) in by_step.into_iter().filter(|(_, tails)| tails.is_new) {
-        let residual = pressure.note(&mut tails.victim, &beside, &tails.all_ms, now);
+        let residual = model.note(&mut tails.victim, &beside, &tails.all_ms, now);
         if let Some(residual) = residual {
             owner.session(worker, |session| session.note_residual(step, residual));
         }
@@ -156,7 +156,7 @@
 }
 
 /// Aggressors on a host, including ended ones, each weighted by how far tail latency reflects it at `now`.
-fn visible_aggressors(owner: &Owner, worker: &str, now: Millis) -> Vec<Presser> {
+fn visible_aggressors(owner: &Owner, worker: &str, now: Millis) -> Vec<Aggressor> {
     let capacity = capacity_of(owner, worker);
     let mut sessions = owner.sessions.borrow_mut();
     let Some(session) = sessions.get_mut(worker) else {
@@ -165,11 +165,11 @@
     session
         .departed
         .retain(|d| now.since(d.at) < EFFECT_FULL_AFTER);
-    let departed = session.departed.iter().map(|departed| Presser {
-        share: departed.presser.share * (1.0 - shown(departed.at, now)),
-        ..departed.presser
+    let departed = session.departed.iter().map(|departed| Aggressor {
+        share: departed.aggressor.share * (1.0 - shown(departed.at, now)),
+        ..departed.aggressor
     });
-    let mut beside: Vec<Presser> = departed.collect();
+    let mut beside: Vec<Aggressor> = departed.collect();
     let runs = owner.runs.borrow();
     let here = session.runs.iter().filter_map(|run| runs.get(run));
     beside.extend(here.filter_map(|record| record.visible_aggressor(capacity, now)));
@@ -229,15 +229,15 @@
     }
 
     /// The run as an aggressor on a host with this capacity, if it is best-effort and its start was sent.
-    pub fn presser(&self, millicores: u64) -> Option<Presser> {
+    pub fn aggressor(&self, millicores: u64) -> Option<Aggressor> {
         self.aggressor_at(millicores, self.pace)
     }
 
-    fn aggressor_at(&self, millicores: u64, pace: u32) -> Option<Presser> {
+    fn aggressor_at(&self, millicores: u64, pace: u32) -> Option<Aggressor> {
         let image = self.image.filter(|_| self.load == Load::BestEffort)?;
         let is_there = !matches!(self.known.order, Order::NotSent);
         let used = self.unthrottled_millicores() as f64 * f64::from(pace) / 100.0;
-        is_there.then(|| Presser {
+        is_there.then(|| Aggressor {
             image,
             share: used / millicores.max(1) as f64,
         })
@@ -245,13 +245,13 @@
 }
 
 impl RunRecord {
-    /// Like [`RunRecord::presser`], weighted by how far tail latency reflects its start and its last CPU limit.
-    fn visible_aggressor(&self, millicores: u64, now: Millis) -> Option<Presser> {
+    /// Like [`RunRecord::aggressor`], weighted by how far tail latency reflects its start and its last CPU limit.
+    fn visible_aggressor(&self, millicores: u64, now: Millis) -> Option<Aggressor> {
         let at_full = self.aggressor_at(millicores, 100)?;
         let (before, at) = self.paced_from;
         let changed = shown(at, now);
         let pace = f64::from(before) * (1.0 - changed) + f64::from(self.pace) * changed;
-        Some(Presser {
+        Some(Aggressor {
             share: at_full.share * pace / 100.0 * shown(self.since, now),
             ..at_full
         })
@@ -308,25 +308,25 @@
     let Some(session) = sessions.get(worker) else {
         return Vec::new();
     };
-    let pressure = owner.pressure.borrow();
+    let model = owner.model.borrow();
     let here = session
         .runs
         .iter()
         .filter_map(|run| Some((run, runs.get(run)?)));
     let mut serving: IndexMap<StepId, Strained> = IndexMap::new();
-    let mut beside: Vec<(Presser, usize)> = Vec::new();
+    let mut beside: Vec<(Aggressor, usize)> = Vec::new();
     for (run, record) in here {
-        if let Some(presser) = record.planned_aggressor(millicores) {
-            beside.push((presser, outlook::moments_within(record.left(now))));
+        if let Some(aggressor) = record.planned_aggressor(millicores) {
+            beside.push((aggressor, outlook::moments_within(record.left(now))));
         }
         let Some(victim) = owner.victim(run, record) else {
             continue;
         };
         let step = run.task.step_id();
         let like = serving.entry(step).or_insert_with(|| {
-            let load = pressure.load_path(&victim, now);
+            let load = model.load_path(&victim, now);
             let residual = session.residual(&step);
-            let limit = pressure.limit(&victim);
+            let limit = model.limit(&victim);
             Strained {
                 victim,
                 millicores: 0,
@@ -338,19 +338,19 @@
         like.outlook.tasks += 1;
     }
     for like in serving.values_mut() {
-        for (presser, moments) in &beside {
-            let press = pressure.press(like.victim.image, presser);
-            like.outlook.add_known(press, *moments);
+        for (aggressor, moments) in &beside {
+            let interference = model.interference(like.victim.image, aggressor);
+            like.outlook.add_known(interference, *moments);
         }
     }
     serving.into_values().collect()
 }
 
 impl RunRecord {
-    /// Like [`RunRecord::presser`] for a run that is not throttled, also before its start is sent.
-    fn planned_aggressor(&self, millicores: u64) -> Option<Presser> {
+    /// Like [`RunRecord::aggressor`] for a run that is not throttled, also before its start is sent.
+    fn planned_aggressor(&self, millicores: u64) -> Option<Aggressor> {
         let image = self.image.filter(|_| self.load == Load::BestEffort)?;
-        Some(Presser {
+        Some(Aggressor {
             image,
             share: self.unthrottled_millicores() as f64 / millicores.max(1) as f64,
         })
@@ -386,9 +386,9 @@
 /// Notes a run's end, since tail latency reflects the run for some time after it.
 pub fn note_departure(owner: &Owner, worker: &str, record: &RunRecord, now: Millis) {
     let capacity = capacity_of(owner, worker);
-    if let Some(presser) = record.presser(capacity) {
+    if let Some(aggressor) = record.aggressor(capacity) {
         owner.session(worker, |session| {
-            session.departed.push(Departed { presser, at: now })
+            session.departed.push(Departed { aggressor, at: now })
         });
     }
 }
--- a/tests/testsuite/sched/learning.rs
+++ b/tests/testsuite/sched/learning.rs
@@ -2,8 +2,9 @@
 
 use lapisdrum::{
     core::time::Millis,
-    policy::dispatch::pressure::{
-        Image, Presser, Pressure, ServingLoad, Victim, learned::Learned, season::Seasonality,
+    policy::dispatch::interference::{
+        Aggressor, Image, InterferenceModel, ServingLoad, Victim, estimates::InterferenceEstimates,
+        seasonality::Seasonality,
     },
 };
 use rand::{Rng, SeedableRng, rngs::StdRng};
@@ -12,7 +13,7 @@
 const TARGET_MS: f64 = 50.0;
 const BASE_MS: f64 = 10.0;
 const VICTIMS: usize = 15;
-const PRESSERS: usize = 32;
+const AGGRESSORS: usize = 32;
 
 fn victim(image: Image, step: u64, load: ServingLoad) -> Victim {
     Victim {
@@ -25,52 +26,52 @@
 
 /// Images contend for three things; each best-effort image uses one of them or none, each serving image suffers from
 /// one.
-fn presses(victim: usize, presser: usize) -> bool {
-    presser % 4 == victim % 3
+fn interferes(victim: usize, aggressor: usize) -> bool {
+    aggressor % 4 == victim % 3
 }
 
-fn images(pressure: &mut Pressure) -> (Vec<Image>, Vec<Image>) {
-    let victims = (0..VICTIMS).map(|at| pressure.image(&format!("s{at}")));
+fn images(model: &mut InterferenceModel) -> (Vec<Image>, Vec<Image>) {
+    let victims = (0..VICTIMS).map(|at| model.image(&format!("s{at}")));
     let victims = victims.collect();
-    let pressers = (0..PRESSERS).map(|at| pressure.image(&format!("l{at}")));
-    (victims, pressers.collect())
+    let aggressors = (0..AGGRESSORS).map(|at| model.image(&format!("l{at}")));
+    (victims, aggressors.collect())
 }
 
 /// Shows an owner every pair for which `has_met`.
-fn show(pressure: &mut Pressure, has_met: impl Fn(usize, usize) -> bool, rng: &mut StdRng) {
-    let (victims, pressers) = images(pressure);
+fn show(model: &mut InterferenceModel, has_met: impl Fn(usize, usize) -> bool, rng: &mut StdRng) {
+    let (victims, aggressors) = images(model);
     for round in 0..8_u64 {
         for (v, image) in victims.iter().enumerate() {
-            let met = pressers.iter().enumerate();
-            for (p, presser) in met.filter(|(p, _)| has_met(v, *p)) {
-                let beside = [Presser {
-                    image: *presser,
+            let met = aggressors.iter().enumerate();
+            for (p, aggressor) in met.filter(|(p, _)| has_met(v, *p)) {
+                let beside = [Aggressor {
+                    image: *aggressor,
                     share: 0.15,
                 }];
-                let factor = if presses(v, p) { 1.4 } else { 0.1 };
+                let factor = if interferes(v, p) { 1.4 } else { 0.1 };
                 let strain = 0.45 + factor * 0.15 + rng.random_range(-0.03..0.03);
                 let mut task = victim(*image, 1, ServingLoad::default());
                 let tails = [BASE_MS / (1.0 - strain)];
-                pressure.note(&mut task, &beside, &tails, Millis(round * 500));
+                model.note(&mut task, &beside, &tails, Millis(round * 500));
             }
         }
-        pressure.refit_if_due(Millis(round * 500 + 499));
+        model.refit_if_due(Millis(round * 500 + 499));
     }
 }
 
 /// The part of the pairs for which `counts` that are told rightly: those that press from those that don't.
-fn told_rightly(pressure: &mut Pressure, counts: impl Fn(usize, usize) -> bool) -> f64 {
-    let (victims, pressers) = images(pressure);
+fn told_rightly(model: &mut InterferenceModel, counts: impl Fn(usize, usize) -> bool) -> f64 {
+    let (victims, aggressors) = images(model);
     let (mut right, mut all) = (0, 0);
     for (v, image) in victims.iter().enumerate() {
-        let counted = pressers.iter().enumerate();
-        for (p, presser) in counted.filter(|(p, _)| counts(v, *p)) {
-            let whole = Presser {
-                image: *presser,
+        let counted = aggressors.iter().enumerate();
+        for (p, aggressor) in counted.filter(|(p, _)| counts(v, *p)) {
+            let whole = Aggressor {
+                image: *aggressor,
                 share: 1.0,
             };
-            let told = pressure.press(*image, &whole) > 0.6;
-            right += u32::from(told == presses(v, p));
+            let told = model.interference(*image, &whole) > 0.6;
+            right += u32::from(told == interferes(v, p));
             all += 1;
         }
     }
@@ -82,13 +83,13 @@
 #[test]
 fn pairs_that_never_met_are_told_from_those_that_did() {
     let mut rng = StdRng::seed_from_u64(3);
-    let mut pressure = Pressure::default();
-    let met: Vec<bool> = (0..VICTIMS * PRESSERS)
+    let mut model = InterferenceModel::default();
+    let met: Vec<bool> = (0..VICTIMS * AGGRESSORS)
         .map(|_| rng.random_bool(0.33))
         .collect();
-    let has_met = |v: usize, p: usize| met[v * PRESSERS + p];
-    show(&mut pressure, has_met, &mut rng);
-    let right = told_rightly(&mut pressure, |v, p| !has_met(v, p));
+    let has_met = |v: usize, p: usize| met[v * AGGRESSORS + p];
+    show(&mut model, has_met, &mut rng);
+    let right = told_rightly(&mut model, |v, p| !has_met(v, p));
     assert!(right >= 0.85, "{right} of the pairs that never met");
 }
 
@@ -98,39 +99,42 @@
 fn what_one_owner_learned_another_knows() {
     let mut rng = StdRng::seed_from_u64(4);
     let is_even = |v: usize, p: usize| (v + p).is_multiple_of(2);
-    let (mut one, mut other) = (Pressure::default(), Pressure::default());
+    let (mut one, mut other) = (InterferenceModel::default(), InterferenceModel::default());
     show(&mut one, is_even, &mut rng);
     show(&mut other, |v, p| !is_even(v, p), &mut rng);
-    one.adopt(2, &Learned::from(&other));
+    one.adopt(2, &InterferenceEstimates::from(&other));
     one.refit_if_due(Millis(5_000));
     let right = told_rightly(&mut one, |v, p| !is_even(v, p));
     assert!(right >= 0.95, "{right} of the pairs that the other saw");
-    let (victims, pressers) = images(&mut one);
-    let presser = Presser {
-        image: pressers[1],
+    let (victims, aggressors) = images(&mut one);
+    let aggressor = Aggressor {
+        image: aggressors[1],
         share: 1.0,
     };
-    let doubt = one.press_variance(victims[0], &presser);
-    one.adopt(2, &Learned::from(&other));
-    let again = one.press_variance(victims[0], &presser);
+    let doubt = one.interference_variance(victims[0], &aggressor);
+    one.adopt(2, &InterferenceEstimates::from(&other));
+    let again = one.interference_variance(victims[0], &aggressor);
     assert!((doubt - again).abs() < 1e-9, "{doubt} {again}");
 }
 
 /// Only what is new is told again: an answer stays small however much is known.
 #[test]
 fn what_was_told_is_not_told_again() {
-    let mut pressure = Pressure::default();
-    show(&mut pressure, |_, _| true, &mut StdRng::seed_from_u64(5));
-    let all = Learned::since(&pressure, Millis(0));
-    assert_eq!(all.pairs(), VICTIMS * PRESSERS);
-    let (victims, pressers) = images(&mut pressure);
-    let beside = [Presser {
-        image: pressers[3],
+    let mut model = InterferenceModel::default();
+    show(&mut model, |_, _| true, &mut StdRng::seed_from_u64(5));
+    let all = InterferenceEstimates::since(&model, Millis(0));
+    assert_eq!(all.pairs(), VICTIMS * AGGRESSORS);
+    let (victims, aggressors) = images(&mut model);
+    let beside = [Aggressor {
+        image: aggressors[3],
         share: 0.2,
     }];
     let mut task = victim(victims[2], 1, ServingLoad::default());
-    pressure.note(&mut task, &beside, &[30.0], Millis(9_000));
-    assert_eq!(Learned::since(&pressure, Millis(8_000)).pairs(), 1);
+    model.note(&mut task, &beside, &[30.0], Millis(9_000));
+    assert_eq!(
+        InterferenceEstimates::since(&model, Millis(8_000)).pairs(),
+        1
+    );
 }
 
 fn wave(step: u64, at_s: f64, period_s: f64) -> f64 {
@@ -143,8 +147,8 @@
 fn a_load_that_swings_is_told_ahead() {
     let mut rng = StdRng::seed_from_u64(6);
     for period_s in [9.0, 14.0, 20.0] {
-        let mut pressure = Pressure::default();
-        let image = pressure.image("s");
+        let mut model = InterferenceModel::default();
+        let image = model.image("s");
         let mut tasks: Vec<Victim> = (0..6)
             .map(|step| victim(image, step, ServingLoad::default()))
             .collect();
@@ -153,16 +157,16 @@
             let (now, at_s) = (Millis(round * 250), round as f64 * 0.25);
             for task in &mut tasks {
                 let load = wave(task.step.0, at_s - 0.15, period_s) + rng.random_range(-0.02..0.02);
-                pressure.note(task, &[], &[BASE_MS / (1.0 - load)], now);
-                let ahead = pressure.expected_utilisation(task, &[], now, Duration::from_secs(2));
+                model.note(task, &[], &[BASE_MS / (1.0 - load)], now);
+                let ahead = model.expected_utilisation(task, &[], now, Duration::from_secs(2));
                 if at_s > 1.6 * period_s {
                     wrong += (ahead - wave(task.step.0, at_s + 2.0, period_s)).abs();
                     told += 1;
                 }
             }
-            pressure.refit_if_due(now);
+            model.refit_if_due(now);
         }
-        let found = pressure.period_s().expect("a period");
+        let found = model.period_s().expect("a period");
         assert!(
             (found / period_s - 1.0).abs() < 0.06,
             "{found} of {period_s}"
@@ -176,16 +180,16 @@
 #[test]
 fn a_load_that_only_scatters_has_no_period() {
     let mut rng = StdRng::seed_from_u64(8);
-    let mut season = Seasonality::default();
+    let mut seasonality = Seasonality::default();
     for round in 0..160_u64 {
         for step in 0..6_u64 {
-            season.note(
+            seasonality.note(
                 step,
                 0.45 + rng.random_range(-0.1..0.1),
                 Millis(round * 250),
             );
         }
-        season.search_if_due(Millis(round * 250));
-        assert_eq!(season.period_s(), None);
+        seasonality.search_if_due(Millis(round * 250));
+        assert_eq!(seasonality.period_s(), None);
     }
 }
--- a/tests/testsuite/sched/room.rs
+++ b/tests/testsuite/sched/room.rs
@@ -3,8 +3,8 @@
 use lapisdrum::{
     core::size::Size,
     policy::dispatch::{
+        interference::InterferenceModel,
         place::{Host, Load, Need, Unfit},
-        pressure::Pressure,
         room::{Room, Shortage},
     },
 };
@@ -55,11 +55,11 @@
 /// Guards against lines that read alike whether hosts are full or what is free lies in pieces.
 #[test]
 fn free_room_in_pieces_is_told_from_full_hosts() {
-    let pressure = Pressure::default();
+    let model = InterferenceModel::default();
     let need = need(cores(3));
     let in_pieces = vec![host(8); 6];
     let full = [vec![host(10); 5], vec![host(8)]].concat();
-    let shortage = |hosts: &[Host]| Shortage::of(&need, hosts, &pressure).expect("hosts");
+    let shortage = |hosts: &[Host]| Shortage::of(&need, hosts, &model).expect("hosts");
     assert_eq!(shortage(&in_pieces).fitting_in_sum, 4);
     assert_eq!(shortage(&full).fitting_in_sum, 0);
     let widest = |hosts: &[Host]| Room::of(hosts).widest_free_millicores;
@@ -76,8 +76,11 @@
     labelled.of_step = 1;
     small.max_per_worker = Some(1);
     let hosts = [host(2), labelled, host(2)];
-    let shortage = Shortage::of(&small, &hosts, &Pressure::default()).expect("hosts");
+    let shortage = Shortage::of(&small, &hosts, &InterferenceModel::default()).expect("hosts");
     assert_eq!(shortage.main(), Some(Unfit::Memory));
     assert_eq!(shortage.refusals_text().to_string(), "Memory:2 StepLimit:1");
-    assert_eq!(Shortage::of(&small, &[], &Pressure::default()), None);
+    assert_eq!(
+        Shortage::of(&small, &[], &InterferenceModel::default()),
+        None
+    );
 }
--- a/tests/testsuite/sched/strain.rs
+++ b/tests/testsuite/sched/strain.rs
@@ -3,10 +3,12 @@
 use lapisdrum::{
     core::{size::Size, time::Millis},
     policy::dispatch::{
+        interference::{
+            self, Aggressor, Image, InterferenceModel, Victim, estimates::InterferenceEstimates,
+        },
         outlook::{MOMENTS, Outlook},
         overload::Overload,
         place::{Host, Kept, Load, Need, Strained, choose, keep_for},
-        pressure::{self, Image, Presser, Pressure, Victim, learned::Learned},
         relief::{self, Action, BestEffort, Serving, Sight},
         terms::Terms,
     },
@@ -22,7 +24,7 @@
         image,
         step: (1, 0, 0),
         target_ms: TARGET_MS,
-        load: pressure::ServingLoad::default(),
+        load: interference::ServingLoad::default(),
     }
 }
 
@@ -37,63 +39,64 @@
 #[test]
 fn the_image_that_presses_is_found_out() {
     let mut rng = StdRng::seed_from_u64(7);
-    let mut pressure = Pressure::default();
-    let (serving, quiet, loud) = (
-        pressure.image("s"),
-        pressure.image("q"),
-        pressure.image("l"),
-    );
-    let (mut alone, mut pressed) = (victim(serving), victim(serving));
+    let mut model = InterferenceModel::default();
+    let (serving, quiet, loud) = (model.image("s"), model.image("q"), model.image("l"));
+    let (mut alone, mut with_aggressor) = (victim(serving), victim(serving));
     let mut worst: f64 = 0.0;
     for round in 0..100_u64 {
         let now = Millis(round * 100);
         let load = 0.45 + 0.225 * (round as f64 / 10.0 * 0.45).sin();
-        pressure.note(&mut alone, &[], &[tail(load, &mut rng)], now);
-        pressed.load = alone.load;
+        model.note(&mut alone, &[], &[tail(load, &mut rng)], now);
+        with_aggressor.load = alone.load;
         let image = if round % 20 < 10 { quiet } else { loud };
         let share = 0.12;
         let added = if image == loud { 1.2 * share } else { 0.0 };
-        let beside = [Presser { image, share }];
-        pressure.note(&mut pressed, &beside, &[tail(load + added, &mut rng)], now);
-        alone.load = pressed.load;
+        let beside = [Aggressor { image, share }];
+        model.note(
+            &mut with_aggressor,
+            &beside,
+            &[tail(load + added, &mut rng)],
+            now,
+        );
+        alone.load = with_aggressor.load;
         if round > 30 {
-            let expected = pressure.expected_utilisation(&alone, &[], now, Duration::ZERO);
+            let expected = model.expected_utilisation(&alone, &[], now, Duration::ZERO);
             worst = worst.max((expected - load).abs());
         }
     }
-    let press = |image| pressure.press(serving, &Presser { image, share: 1.0 });
-    assert!(press(quiet) < 0.3, "{}", press(quiet));
-    assert!(press(loud) > 0.7, "{}", press(loud));
+    let interference = |image| model.interference(serving, &Aggressor { image, share: 1.0 });
+    assert!(interference(quiet) < 0.3, "{}", interference(quiet));
+    assert!(interference(loud) > 0.7, "{}", interference(loud));
     assert!(worst < 0.12, "the load is told wrong by {worst}");
 }
 
 /// What one owner has learned, the next one knows; it counts for half there, since some time has passed.
 #[test]
 fn a_successor_knows_what_was_learned() {
-    let mut pressure = Pressure::default();
-    let (serving, loud) = (pressure.image("s"), pressure.image("l"));
-    let beside = [Presser {
+    let mut model = InterferenceModel::default();
+    let (serving, loud) = (model.image("s"), model.image("l"));
+    let beside = [Aggressor {
         image: loud,
         share: 0.3,
     }];
     let mut task = victim(serving);
     for round in 0..40_u64 {
-        pressure.note(&mut task, &beside, &[60.0], Millis(round * 200));
+        model.note(&mut task, &beside, &[60.0], Millis(round * 200));
     }
-    let learned = Learned::from(&pressure);
-    let text = serde_json::to_string(&learned).expect("a text form");
+    let estimates = InterferenceEstimates::from(&model);
+    let text = serde_json::to_string(&estimates).expect("a text form");
     let read = serde_json::from_str(&text).expect("it is read back");
-    let resumed = Pressure::resumed(&read);
-    let pair = |p: &Pressure| {
-        let told = serde_json::to_value(Learned::from(p)).expect("a text form");
+    let resumed = InterferenceModel::resumed(&read);
+    let pair = |p: &InterferenceModel| {
+        let told = serde_json::to_value(InterferenceEstimates::from(p)).expect("a text form");
         let figure = |name: &str| told["pairs"][0][name].as_u64().expect("a figure");
         (figure("mean_milli"), figure("precision_milli"))
     };
-    let ((before, precision), (after, halved)) = (pair(&pressure), pair(&resumed));
+    let ((before, precision), (after, halved)) = (pair(&model), pair(&resumed));
     assert_eq!(before, after);
     assert!(precision.abs_diff(2 * halved) <= 1, "{precision} {halved}");
-    let press = |p: &Pressure| p.press(serving, &beside[0]);
-    assert!((press(&resumed) - press(&pressure)).abs() < 0.02);
+    let interference = |p: &InterferenceModel| p.interference(serving, &beside[0]);
+    assert!((interference(&resumed) - interference(&model)).abs() < 0.02);
 }
 
 fn host<'a>(id: &'a str, victims: &[Victim], strain: f64) -> Host<'a> {
@@ -101,7 +104,11 @@
         victim: *victim,
         millicores: 6_000,
         load: victim.load.level(),
-        outlook: Outlook::unpressed(1, Pressure::default().limit(victim), [strain; MOMENTS]),
+        outlook: Outlook::unpressed(
+            1,
+            InterferenceModel::default().limit(victim),
+            [strain; MOMENTS],
+        ),
     };
     Host {
         id,
@@ -147,54 +154,51 @@
 /// both are near.
 #[test]
 fn left_over_work_stays_off_hosts_near_their_target() {
-    let mut pressure = Pressure::default();
-    let (serving, batch) = (pressure.image("s"), pressure.image("b"));
+    let mut model = InterferenceModel::default();
+    let (serving, batch) = (model.image("s"), model.image("b"));
     let victims = [victim(serving); 4];
     let need = need(Load::BestEffort, Some(batch));
     let hosts = [host("near", &victims, 0.78), host("far", &victims, 0.3)];
-    assert_eq!(choose(&need, &hosts, &pressure), Some(1));
+    assert_eq!(choose(&need, &hosts, &model), Some(1));
     let hosts = [host("near", &victims, 0.78), host("too", &victims, 0.76)];
-    assert_eq!(choose(&need, &hosts, &pressure), None);
+    assert_eq!(choose(&need, &hosts, &model), None);
 }
 
 /// A host whose serving tasks miss their targets for certain, whatever comes. One more best-effort task made the figure no
 /// worse, seemed to be free and was let in; tails stayed over for as long as such tasks came.
 #[test]
 fn left_over_work_stays_off_hosts_that_miss_their_targets_already() {
-    let mut pressure = Pressure::default();
-    let (serving, batch) = (pressure.image("s"), pressure.image("b"));
+    let mut model = InterferenceModel::default();
+    let (serving, batch) = (model.image("s"), model.image("b"));
     let need = need(Load::BestEffort, Some(batch));
     let hosts = [host("over", &[victim(serving); 4], 1.4)];
-    assert_eq!(choose(&need, &hosts, &pressure), None);
+    assert_eq!(choose(&need, &hosts, &model), None);
 }
 
 /// Reserving work takes no notice of best-effort work: its processors are its own.
 #[test]
 fn left_over_work_is_in_nobodys_way() {
-    let pressure = Pressure::default();
+    let model = InterferenceModel::default();
     let mut busy = host("busy", &[], 0.0);
     busy.best_effort_millicores = 32_000;
-    let chosen = choose(&need(Load::Reserving, None), &[busy], &pressure);
+    let chosen = choose(&need(Load::Reserving, None), &[busy], &model);
     assert_eq!(chosen, Some(0));
 }
 
 /// A host is never filled beyond what it has.
 #[test]
 fn nothing_goes_where_it_does_not_fit() {
-    let pressure = Pressure::default();
+    let model = InterferenceModel::default();
     let mut full = host("full", &[], 0.0);
     full.reserved = cores(30);
-    assert_eq!(
-        choose(&need(Load::Reserving, None), &[full], &pressure),
-        None
-    );
+    assert_eq!(choose(&need(Load::Reserving, None), &[full], &model), None);
 }
 
 /// Serving tasks gather by image.
 #[test]
 fn a_serving_task_joins_its_own_image() {
-    let mut pressure = Pressure::default();
-    let (a, b) = (pressure.image("a"), pressure.image("b"));
+    let mut model = InterferenceModel::default();
+    let (a, b) = (model.image("a"), model.image("b"));
     let hosts = [
         host("b", &[victim(b); 4], 0.4),
         host("a", &[victim(a); 2], 0.4),
@@ -203,7 +207,7 @@
         victim: Some(victim(a)),
         ..need(Load::Serving, Some(a))
     };
-    assert_eq!(choose(&need, &hosts, &pressure), Some(1));
+    assert_eq!(choose(&need, &hosts, &model), Some(1));
 }
 
 const TERMS: Terms = Terms {
@@ -213,20 +217,20 @@
 };
 
 /// A serving image, and a best-effort one that presses on it with twice its share of the host.
-fn loud_pair() -> (Pressure, Image, Image) {
-    let mut pressure = Pressure::default();
-    let (serving, loud) = (pressure.image("s"), pressure.image("l"));
-    let beside = [Presser {
+fn loud_pair() -> (InterferenceModel, Image, Image) {
+    let mut model = InterferenceModel::default();
+    let (serving, loud) = (model.image("s"), model.image("l"));
+    let beside = [Aggressor {
         image: loud,
         share: 0.15,
     }];
-    let mut pressed = victim(serving);
+    let mut with_aggressor = victim(serving);
     for round in 0..100_u64 {
         let tails = [BASE_MS / (1.0 - 0.45 - 0.3)];
-        pressure.note(&mut pressed, &beside, &tails, Millis(round * 100));
-        pressed.load = pressure::ServingLoad::default();
+        model.note(&mut with_aggressor, &beside, &tails, Millis(round * 100));
+        with_aggressor.load = interference::ServingLoad::default();
     }
-    (pressure, serving, loud)
+    (model, serving, loud)
 }
 
 /// A best-effort task that has run for two seconds and would go on for ten, with this share of the host.
@@ -242,9 +246,13 @@
     }
 }
 
-fn decide(pressure: &Pressure, serving: Image, leftover: &[BestEffort]) -> Vec<(usize, Action)> {
+fn decide(
+    model: &InterferenceModel,
+    serving: Image,
+    leftover: &[BestEffort],
+) -> Vec<(usize, Action)> {
     let sight = Sight {
-        pressure,
+        model,
         now: Millis(0),
         terms: &TERMS,
     };
@@ -260,41 +268,38 @@
 /// slowed until the tail is clear. A task that presses little is left alone.
 #[test]
 fn a_tail_over_its_target_is_relieved() {
-    let (mut pressure, serving, loud) = loud_pair();
+    let (mut model, serving, loud) = loud_pair();
     let saving = leftover(loud, 0.5);
-    assert_eq!(decide(&pressure, serving, &[saving]), [(0, Action::Stop)]);
+    assert_eq!(decide(&model, serving, &[saving]), [(0, Action::Stop)]);
     let plain = BestEffort {
         is_checkpointing: false,
         ..saving
     };
-    assert_eq!(
-        decide(&pressure, serving, &[plain]),
-        [(0, Action::Pace(20))]
-    );
-    let quiet = pressure.image("q");
+    assert_eq!(decide(&model, serving, &[plain]), [(0, Action::Pace(20))]);
+    let quiet = model.image("q");
     let light = leftover(quiet, 0.05);
-    assert_eq!(decide(&pressure, serving, &[light]), []);
+    assert_eq!(decide(&model, serving, &[light]), []);
 }
 
 /// Of two tasks one presses. Only that one gives way: the other would lose its work for nothing.
 #[test]
 fn what_does_not_press_goes_on() {
-    let (mut pressure, serving, loud) = loud_pair();
-    let quiet = pressure.image("q");
+    let (mut model, serving, loud) = loud_pair();
+    let quiet = model.image("q");
     let tasks = [leftover(quiet, 0.05), leftover(loud, 0.5)];
-    assert_eq!(decide(&pressure, serving, &tasks), [(1, Action::Stop)]);
+    assert_eq!(decide(&model, serving, &tasks), [(1, Action::Stop)]);
 }
 
 /// A task that presses hard is over within 0.3 s, sooner than a stop would take. Stopped, it would begin anew
 /// elsewhere, and its whole step would wait for it; the serving tasks would hardly gain.
 #[test]
 fn a_task_that_is_all_but_done_is_not_stopped() {
-    let (pressure, serving, loud) = loud_pair();
+    let (model, serving, loud) = loud_pair();
     let nearly = BestEffort {
         left: Duration::from_millis(300),
         ..leftover(loud, 0.5)
     };
-    let actions = decide(&pressure, serving, &[nearly]);
+    let actions = decide(&model, serving, &[nearly]);
     assert!(
         actions.iter().all(|(_, action)| *action != Action::Stop),
         "{actions:?}"
@@ -304,17 +309,14 @@
 /// A paced task is let go on as soon as the tails bear it at full pace.
 #[test]
 fn a_paced_task_is_raised_again() {
-    let mut pressure = Pressure::default();
-    let (serving, batch) = (pressure.image("s"), pressure.image("b"));
+    let mut model = InterferenceModel::default();
+    let (serving, batch) = (model.image("s"), model.image("b"));
     let paced = BestEffort {
         pace: 40,
         is_checkpointing: false,
         ..leftover(batch, 0.05)
     };
-    assert_eq!(
-        decide(&pressure, serving, &[paced]),
-        [(0, Action::Pace(100))]
-    );
+    assert_eq!(decide(&model, serving, &[paced]), [(0, Action::Pace(100))]);
 }
 
 /// A tail is over its target while one best-effort task ends and the next one comes, with a moment without any and with
@@ -356,16 +358,16 @@
 /// them; at their peak, when it would slow everything down, it does not.
 #[test]
 fn room_for_leftover_work_follows_the_serving_load() {
-    let mut pressure = Pressure::default();
-    let (serving, render) = (pressure.image("s"), pressure.image("r"));
+    let mut model = InterferenceModel::default();
+    let (serving, render) = (model.image("s"), model.image("r"));
     // A pair that hardly disturbs, so that processors alone decide.
     let mut known = victim(serving);
     for round in 0..200_u64 {
-        let beside = [Presser {
+        let beside = [Aggressor {
             image: render,
             share: 0.5,
         }];
-        pressure.note(
+        model.note(
             &mut known,
             &beside,
             &[BASE_MS / (1.0 - 0.45)],
@@ -382,15 +384,15 @@
         memory_mb: 1,
         ..cores(12)
     };
-    assert_eq!(choose(&render, &[idle], &pressure), Some(0));
-    assert_eq!(choose(&render, &[busy], &pressure), None);
+    assert_eq!(choose(&render, &[idle], &model), Some(0));
+    assert_eq!(choose(&render, &[busy], &model), None);
 }
 
 /// Guards against a host that is kept free in vain: what long-running tasks leave of it is never enough.
 #[test]
 fn a_host_is_kept_where_the_task_will_fit() {
-    let mut pressure = Pressure::default();
-    let serving = pressure.image("s");
+    let mut model = InterferenceModel::default();
+    let serving = model.image("s");
     let with = |id, streams: usize, free: u64| {
         let mut host = host(id, &vec![victim(serving); streams], 0.3);
         host.reserved.millicores = (32 - free) * 1_000;
@@ -413,8 +415,8 @@
 /// them the stream is placed as soon as that host has eight cores; best-effort work goes on there.
 #[test]
 fn smaller_tasks_do_not_pass_a_livestream_for_ever() {
-    let mut pressure = Pressure::default();
-    let serving = pressure.image("s");
+    let mut model = InterferenceModel::default();
+    let serving = model.image("s");
     let full = |id, free: u64| {
         let mut host = host(id, &[victim(serving); 4], 0.3);
         host.reserved.millicores = (32 - free) * 1_000;
@@ -435,26 +437,26 @@
         ..need(Load::BestEffort, None)
     };
     let mut hosts = [full("a", 3), full("b", 6), full("c", 2)];
-    assert_eq!(choose(&stream, &hosts, &pressure), None);
+    assert_eq!(choose(&stream, &hosts, &model), None);
     keep_for(&stream, &mut hosts);
     assert_eq!(hosts[1].kept, Some(Kept::Processors));
-    assert_eq!(choose(&map, &hosts[1..2], &pressure), None);
+    assert_eq!(choose(&map, &hosts[1..2], &model), None);
     let small_stream = Need {
         size: cores(4),
         ..stream
     };
     assert_eq!(
-        choose(&small_stream, &hosts[1..2], &pressure),
+        choose(&small_stream, &hosts[1..2], &model),
         Some(0),
         "a smaller stream doesn't wait for a larger one"
     );
-    assert_eq!(choose(&map, &hosts[..1], &pressure), Some(0));
-    assert_eq!(choose(&render, &hosts[1..2], &pressure), Some(0));
+    assert_eq!(choose(&map, &hosts[..1], &model), Some(0));
+    assert_eq!(choose(&render, &hosts[1..2], &model), Some(0));
     keep_for(&stream, &mut hosts);
     let kept = hosts.iter().filter(|host| host.kept.is_some()).count();
     assert_eq!(kept, 1, "one of sixteen hosts at most");
     let freed = [full("b", 8)];
-    assert_eq!(choose(&stream, &freed, &pressure), Some(0));
+    assert_eq!(choose(&stream, &freed, &model), Some(0));
     let mut short = [full("d", 9)];
     short[0].reserved.memory_mb = 31_000;
     keep_for(&stream, &mut short);
