--- a/src/lapisdrum/policy/dispatch/interference/mod.rs
+++ b/src/lapisdrum/policy/dispatch/interference/mod.rs
@@ -18,7 +18,7 @@
 pub mod profile;
 pub mod seasonality;
 
-use super::outlook::{self, Path};
+use super::utilisation::{self, Series};
 use crate::core::time::Millis;
 use estimates::InterferenceEstimates;
 use evidence::Evidence;
@@ -217,8 +217,8 @@
     }
 
     /// Returns the forecast load of a victim at each forecast point.
-    pub fn load_path(&self, victim: &Victim, now: Millis) -> Path {
-        std::array::from_fn(|at| victim.load.forecast(now, outlook::point_offset(at)))
+    pub fn load_series(&self, victim: &Victim, now: Millis) -> Series {
+        std::array::from_fn(|at| victim.load.forecast(now, utilisation::point_offset(at)))
     }
 
     /// Returns the utilisation that an aggressor is expected to add.
--- a/src/lapisdrum/policy/dispatch/mod.rs
+++ b/src/lapisdrum/policy/dispatch/mod.rs
@@ -11,10 +11,10 @@
 pub mod forecast;
 pub mod interference;
 pub mod order;
-pub mod outlook;
 pub mod overload;
 pub mod place;
 pub mod relief;
 pub mod room;
 pub mod short_work;
 pub mod terms;
+pub mod utilisation;
--- a/src/lapisdrum/policy/dispatch/place.rs
+++ b/src/lapisdrum/policy/dispatch/place.rs
@@ -14,7 +14,7 @@
 
 use super::{
     interference::{Aggressor, Image, InterferenceModel, Victim},
-    outlook::{self, Outlook},
+    utilisation::{self, UtilisationForecast},
 };
 use crate::core::size::Size;
 use std::time::Duration;
@@ -73,7 +73,7 @@
     /// Their expected load, as a fraction of `millicores`.
     pub load: f64,
     /// Their utilisation forecast with everything that runs beside them.
-    pub outlook: Outlook,
+    pub forecast: UtilisationForecast,
 }
 
 /// A worker that may take tasks.
@@ -127,7 +127,11 @@
             victim,
             millicores,
             load,
-            outlook: Outlook::unpressed(1, limit, [load; outlook::MOMENTS]),
+            forecast: UtilisationForecast::without_aggressors(
+                1,
+                limit,
+                [load; utilisation::POINTS],
+            ),
         }
     }
 
@@ -137,18 +141,18 @@
         (self.millicores as f64 * (1.0 - used)) as u64
     }
 
-    /// The utilisation forecast with one more aggressor, which runs for the first `moments` forecast points.
+    /// The utilisation forecast with one more aggressor, which runs for the first `points` forecast points.
     fn forecast_with(
         &self,
         aggressor: &Aggressor,
-        moments: usize,
+        points: usize,
         model: &InterferenceModel,
-    ) -> Outlook {
+    ) -> UtilisationForecast {
         let interference = model.interference(self.victim.image, aggressor);
         let variance = model.interference_variance(self.victim.image, aggressor);
-        let mut outlook = self.outlook;
-        outlook.add(interference, variance, moments);
-        outlook
+        let mut forecast = self.forecast;
+        forecast.add_estimated(interference, variance, points);
+        forecast
     }
 }
 
@@ -189,10 +193,10 @@
         let Some(aggressor) = self.aggressor(need) else {
             return false;
         };
-        let moments = outlook::moments_within(need.duration);
+        let points = utilisation::points_within(need.duration);
         self.serving.iter().any(|s| {
-            let forecast = s.forecast_with(&aggressor, moments, model);
-            forecast.overload() > s.outlook.overload()
+            let forecast = s.forecast_with(&aggressor, points, model);
+            forecast.overload() > s.forecast.overload()
         })
     }
 
@@ -207,7 +211,7 @@
 
     /// The lowest margin between a serving task's utilisation limit and its worst forecast; 1 without serving tasks.
     fn headroom(&self) -> f64 {
-        let headroom = |s: &Strained| s.outlook.limit - s.outlook.worst();
+        let headroom = |s: &Strained| s.forecast.limit - s.forecast.worst();
         self.serving.iter().map(headroom).fold(1.0, f64::min)
     }
 
@@ -223,9 +227,9 @@
             Load::BestEffort => {
                 self.best_effort_millicores += need.size.millicores;
                 if let Some(aggressor) = self.aggressor(need) {
-                    let moments = outlook::moments_within(need.duration);
+                    let points = utilisation::points_within(need.duration);
                     for s in &mut self.serving {
-                        s.outlook = s.forecast_with(&aggressor, moments, model);
+                        s.forecast = s.forecast_with(&aggressor, points, model);
                     }
                 }
             }
@@ -357,7 +361,7 @@
         return 0;
     };
     let others = host.serving.iter().filter(|s| s.victim.image != own);
-    others.map(|s| s.outlook.tasks as usize).sum()
+    others.map(|s| s.forecast.tasks as usize).sum()
 }
 
 /// Keeps a host free for a task that found none; false when none can be kept.
--- a/src/lapisdrum/policy/dispatch/relief.rs
+++ b/src/lapisdrum/policy/dispatch/relief.rs
@@ -7,13 +7,13 @@
 //!
 //! So each change is weighed by its cost: for a stop, the time until the task runs again elsewhere and the progress
 //! that it had not saved; for a lower CPU limit, the work not done meanwhile; for no change, the serving tasks'
-//! missed targets until the best-effort task ends by itself ([`super::outlook`]). The change that gains most is made
+//! missed targets until the best-effort task ends by itself ([`super::utilisation`]). The change that gains most is made
 //! first. Raising the limit of a throttled task is weighed in the same way.
 
 use super::{
     interference::{Aggressor, Image, InterferenceModel, Victim},
-    outlook::{self, MOMENTS, Outlook, Path},
     terms::Terms,
+    utilisation::{self, POINTS, Series, UtilisationForecast},
 };
 use crate::core::time::Millis;
 use std::time::Duration;
@@ -75,7 +75,7 @@
 
 /// Returns the changes to make on a host, at most one for each best-effort task, by its index in `leftover`.
 pub fn decide(sight: &Sight, serving: &[Serving], leftover: &[BestEffort]) -> Vec<(usize, Action)> {
-    let loads: Vec<Path> = serving.iter().map(|s| sight.load_path(s)).collect();
+    let loads: Vec<Series> = serving.iter().map(|s| sight.load_series(s)).collect();
     let host = Host {
         sight,
         serving,
@@ -92,8 +92,8 @@
 
 impl Sight<'_> {
     /// The forecast utilisation without aggressors, corrected by the measured residual.
-    fn load_path(&self, s: &Serving) -> Path {
-        let load = self.model.load_path(&s.victim, self.now);
+    fn load_series(&self, s: &Serving) -> Series {
+        let load = self.model.load_series(&s.victim, self.now);
         load.map(|load| load + s.residual)
     }
 }
@@ -140,7 +140,7 @@
 struct Host<'a> {
     sight: &'a Sight<'a>,
     serving: &'a [Serving],
-    loads: &'a [Path],
+    loads: &'a [Series],
 }
 
 impl Host<'_> {
@@ -152,7 +152,7 @@
         changed: &[(usize, Action)],
     ) -> Option<(usize, Action)> {
         let forecasts = self.forecasts(leftover);
-        let before: f64 = forecasts.iter().map(Outlook::cost).sum();
+        let before: f64 = forecasts.iter().map(UtilisationForecast::cost).sum();
         let missed_for = missed_for(&forecasts);
         let open = leftover.iter().enumerate();
         let open = open
@@ -175,26 +175,32 @@
         best.map(|(at, action, _)| (at, action))
     }
 
-    fn forecasts(&self, leftover: &[BestEffort]) -> Vec<Outlook> {
+    fn forecasts(&self, leftover: &[BestEffort]) -> Vec<UtilisationForecast> {
         let all = self.serving.iter().zip(self.loads);
         let all = all.map(|(s, load)| {
             let limit = self.sight.model.limit(&s.victim);
-            let mut outlook = Outlook::unpressed(s.tasks, limit, *load);
+            let mut forecast = UtilisationForecast::without_aggressors(s.tasks, limit, *load);
             for l in leftover {
                 let Some(aggressor) = l.aggressor() else {
                     continue;
                 };
                 let interference = self.sight.model.interference(s.victim.image, &aggressor);
                 // No variance is added: `residual` already holds how far running tasks deviate from the model.
-                outlook.add_known(interference, outlook::moments_within(l.left_at_cpu_limit()));
+                forecast.add_certain(
+                    interference,
+                    utilisation::points_within(l.left_at_cpu_limit()),
+                );
             }
-            outlook
+            forecast
         });
         all.collect()
     }
 
     fn cost(&self, leftover: &[BestEffort]) -> f64 {
-        self.forecasts(leftover).iter().map(Outlook::cost).sum()
+        self.forecasts(leftover)
+            .iter()
+            .map(UtilisationForecast::cost)
+            .sum()
     }
 
     fn cost_without(&self, leftover: &[BestEffort], at: usize) -> f64 {
@@ -218,7 +224,7 @@
                 f64::from(l.pace - pace) / 100.0 * left.min(missed_for)
             }
             Action::Pace(pace) => {
-                let within = outlook::seconds(MOMENTS);
+                let within = utilisation::seconds(POINTS);
                 -f64::from(pace - l.pace) / 100.0 * left.min(within)
             }
         }
@@ -226,8 +232,8 @@
 }
 
 /// The time until the last forecast point at which a target is missed, in seconds; at least one point.
-fn missed_for(forecasts: &[Outlook]) -> f64 {
-    let is_missed = |at: &usize| forecasts.iter().any(|o| o.strain[*at] > o.limit);
-    let last = (0..MOMENTS).rev().find(is_missed);
-    outlook::seconds(last.map_or(1, |at| at + 1))
+fn missed_for(forecasts: &[UtilisationForecast]) -> f64 {
+    let is_missed = |at: &usize| forecasts.iter().any(|o| o.utilisation[*at] > o.limit);
+    let last = (0..POINTS).rev().find(is_missed);
+    utilisation::seconds(last.map_or(1, |at| at + 1))
 }
--- a/src/lapisdrum/policy/dispatch/outlook.rs
+++ b/src/lapisdrum/policy/dispatch/utilisation.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 /// The number of forecast points.
-pub const MOMENTS: usize = 6;
+pub const POINTS: usize = 6;
 /// Time until the first forecast point: the effect of a decision shows by then.
 const FIRST_POINT_AFTER: Duration = Duration::from_millis(200);
 /// Time between two forecast points, and the time that each of them covers.
@@ -24,7 +24,7 @@
 const INTERFERENCE_DEVIATION: f64 = 0.35;
 
 /// A value for each forecast point.
-pub type Path = [f64; MOMENTS];
+pub type Series = [f64; POINTS];
 
 /// Returns the time from now to a forecast point.
 pub fn point_offset(at: usize) -> Duration {
@@ -32,8 +32,8 @@
 }
 
 /// Returns the number of forecast points before this time has passed.
-pub fn moments_within(left: Duration) -> usize {
-    (0..MOMENTS)
+pub fn points_within(left: Duration) -> usize {
+    (0..POINTS)
         .take_while(|at| point_offset(*at) < left)
         .count()
 }
@@ -45,46 +45,46 @@
 
 /// The utilisation forecast of the serving tasks of one step on a host.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Outlook {
+pub struct UtilisationForecast {
     /// The number of tasks.
     pub tasks: u32,
     /// The utilisation at which their latency tail reaches its target.
     pub limit: f64,
     /// The expected utilisation at each forecast point.
-    pub strain: Path,
-    /// The variance of `strain`, the same for all points.
+    pub utilisation: Series,
+    /// The variance of `utilisation`, the same for all points.
     pub variance: f64,
 }
 
-impl Outlook {
+impl UtilisationForecast {
     /// Creates a forecast from the load alone, without aggressors.
-    pub fn unpressed(tasks: u32, limit: f64, load: Path) -> Self {
+    pub fn without_aggressors(tasks: u32, limit: f64, load: Series) -> Self {
         Self {
             tasks,
             limit,
-            strain: load,
+            utilisation: load,
             variance: MIN_VARIANCE,
         }
     }
 
     /// Adds an aggressor's interference to the first `points` forecast points. `variance` is that of its estimate; the
     /// scatter between tasks of one image comes on top.
-    pub fn add(&mut self, interference: f64, variance: f64, points: usize) {
-        self.add_known(interference, points);
+    pub fn add_estimated(&mut self, interference: f64, variance: f64, points: usize) {
+        self.add_certain(interference, points);
         let scatter = INTERFERENCE_DEVIATION * interference;
         self.variance += variance + scatter * scatter;
     }
 
     /// Adds an aggressor's interference to the first `points` forecast points, without any variance.
-    pub fn add_known(&mut self, interference: f64, points: usize) {
-        for strain in &mut self.strain[..points] {
-            *strain += interference;
+    pub fn add_certain(&mut self, interference: f64, points: usize) {
+        for utilisation in &mut self.utilisation[..points] {
+            *utilisation += interference;
         }
     }
 
     /// Returns the highest utilisation of all points.
     pub fn worst(&self) -> f64 {
-        self.strain.iter().copied().fold(0.0, f64::max)
+        self.utilisation.iter().copied().fold(0.0, f64::max)
     }
 
     /// Returns the cost of missed targets over all points, in seconds of a best-effort task.
@@ -108,8 +108,8 @@
     /// For each point, the utilisation in excess of the level from which a target may be missed.
     fn excess(&self) -> impl Iterator<Item = f64> {
         let threshold = self.limit - self.margin();
-        self.strain
+        self.utilisation
             .iter()
-            .map(move |strain| (strain - threshold).max(0.0))
+            .map(move |utilisation| (utilisation - threshold).max(0.0))
     }
 }
--- a/src/lapisdrum/sched/owner/strain.rs
+++ b/src/lapisdrum/sched/owner/strain.rs
@@ -11,9 +11,9 @@
     daemon::supervisor,
     policy::dispatch::{
         interference::{Aggressor, Victim},
-        outlook::{self, Outlook},
         place::{Load, Strained},
         relief::{self, Action, BestEffort, Serving, Sight},
+        utilisation::{self, UtilisationForecast},
     },
     sched::{
         Cx,
@@ -317,30 +317,34 @@
     let mut beside: Vec<(Aggressor, usize)> = Vec::new();
     for (run, record) in here {
         if let Some(aggressor) = record.planned_aggressor(millicores) {
-            beside.push((aggressor, outlook::moments_within(record.left(now))));
+            beside.push((aggressor, utilisation::points_within(record.left(now))));
         }
         let Some(victim) = owner.victim(run, record) else {
             continue;
         };
         let step = run.task.step_id();
         let like = serving.entry(step).or_insert_with(|| {
-            let load = model.load_path(&victim, now);
+            let load = model.load_series(&victim, now);
             let residual = session.residual(&step);
             let limit = model.limit(&victim);
             Strained {
                 victim,
                 millicores: 0,
                 load: load[..LOAD_POINTS].iter().copied().fold(0.0, f64::max),
-                outlook: Outlook::unpressed(0, limit, load.map(|load| load + residual)),
+                forecast: UtilisationForecast::without_aggressors(
+                    0,
+                    limit,
+                    load.map(|load| load + residual),
+                ),
             }
         });
         like.millicores += record.size.millicores;
-        like.outlook.tasks += 1;
+        like.forecast.tasks += 1;
     }
     for like in serving.values_mut() {
-        for (aggressor, moments) in &beside {
+        for (aggressor, points) in &beside {
             let interference = model.interference(like.victim.image, aggressor);
-            like.outlook.add_known(interference, *moments);
+            like.forecast.add_certain(interference, *points);
         }
     }
     serving.into_values().collect()
--- a/tests/testsuite/sched/learning.rs
+++ b/tests/testsuite/sched/learning.rs
@@ -49,9 +49,9 @@
                     share: 0.15,
                 }];
                 let factor = if interferes(v, p) { 1.4 } else { 0.1 };
-                let strain = 0.45 + factor * 0.15 + rng.random_range(-0.03..0.03);
+                let utilisation = 0.45 + factor * 0.15 + rng.random_range(-0.03..0.03);
                 let mut task = victim(*image, 1, ServingLoad::default());
-                let tails = [BASE_MS / (1.0 - strain)];
+                let tails = [BASE_MS / (1.0 - utilisation)];
                 model.note(&mut task, &beside, &tails, Millis(round * 500));
             }
         }
--- a/tests/testsuite/sched/strain.rs
+++ b/tests/testsuite/sched/strain.rs
@@ -6,11 +6,11 @@
         interference::{
             self, Aggressor, Image, InterferenceModel, Victim, estimates::InterferenceEstimates,
         },
-        outlook::{MOMENTS, Outlook},
         overload::Overload,
         place::{Host, Kept, Load, Need, Strained, choose, keep_for},
         relief::{self, Action, BestEffort, Serving, Sight},
         terms::Terms,
+        utilisation::{POINTS, UtilisationForecast},
     },
 };
 use rand::{Rng, SeedableRng, rngs::StdRng};
@@ -29,9 +29,9 @@
 }
 
 /// The tail of a task at this strain, as a worker would report it.
-fn tail(strain: f64, rng: &mut StdRng) -> f64 {
+fn tail(utilisation: f64, rng: &mut StdRng) -> f64 {
     let scatter = 1.0 + rng.random_range(-0.1..0.1);
-    (BASE_MS / (1.0 - strain.min(0.98)) * scatter).round()
+    (BASE_MS / (1.0 - utilisation.min(0.98)) * scatter).round()
 }
 
 /// A serving load that swings by half in seven seconds, and two best-effort images of which one presses.
@@ -99,15 +99,15 @@
     assert!((interference(&resumed) - interference(&model)).abs() < 0.02);
 }
 
-fn host<'a>(id: &'a str, victims: &[Victim], strain: f64) -> Host<'a> {
+fn host<'a>(id: &'a str, victims: &[Victim], utilisation: f64) -> Host<'a> {
     let strained = |victim: &Victim| Strained {
         victim: *victim,
         millicores: 6_000,
         load: victim.load.level(),
-        outlook: Outlook::unpressed(
+        forecast: UtilisationForecast::without_aggressors(
             1,
             InterferenceModel::default().limit(victim),
-            [strain; MOMENTS],
+            [utilisation; POINTS],
         ),
     };
     Host {
