--- a/src/lapisdrum/policy/dispatch/forecast.rs
+++ b/src/lapisdrum/policy/dispatch/duration.rs
@@ -17,11 +17,11 @@
 
 /// Ratio of the measured duration of jobs to the estimate of their critical path, by queue.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Forecast {
+pub struct DurationEstimates {
     factors: IndexMap<String, f64>,
 }
 
-impl Forecast {
+impl DurationEstimates {
     /// Updates a queue's factor with a job: estimated critical path, and time from its first start to its end, in ms.
     pub fn note(&mut self, queue: &str, chain_ms: u64, took_ms: u64) {
         if chain_ms == 0 {
--- a/src/lapisdrum/policy/dispatch/relief.rs
+++ b/src/lapisdrum/policy/dispatch/mitigation.rs
@@ -12,7 +12,7 @@
 
 use super::{
     interference::{Aggressor, Image, InterferenceModel, Victim},
-    terms::Terms,
+    timings::Timings,
     utilisation::{self, POINTS, Series, UtilisationForecast},
 };
 use crate::core::time::Millis;
@@ -42,7 +42,7 @@
     /// Processors that it may use without a CPU limit, as a fraction of the host's.
     pub share: f64,
     /// Its CPU limit, in percent of what it asks for.
-    pub pace: u32,
+    pub cpu_limit_percent: u32,
     /// Whether its progress is saved when it is stopped.
     pub is_checkpointing: bool,
     /// Whether it is being stopped.
@@ -57,31 +57,35 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Set its CPU limit, in percent of what it asks for.
-    Pace(u32),
+    LimitCpu(u32),
     /// Stop it, so that it continues on another host.
     Stop,
 }
 
 /// The inputs of a decision that all hosts share.
 #[derive(Clone, Copy, Debug)]
-pub struct Sight<'a> {
+pub struct DecisionInputs<'a> {
     /// The interference model.
     pub model: &'a InterferenceModel,
     /// The time of the decision.
     pub now: Millis,
     /// How long stops and restores take in this deployment.
-    pub terms: &'a Terms,
+    pub timings: &'a Timings,
 }
 
-/// Returns the changes to make on a host, at most one for each best-effort task, by its index in `leftover`.
-pub fn decide(sight: &Sight, serving: &[Serving], leftover: &[BestEffort]) -> Vec<(usize, Action)> {
-    let loads: Vec<Series> = serving.iter().map(|s| sight.load_series(s)).collect();
+/// Returns the changes to make on a host, at most one for each best-effort task, by its index in `best_effort`.
+pub fn decide(
+    inputs: &DecisionInputs,
+    serving: &[Serving],
+    best_effort: &[BestEffort],
+) -> Vec<(usize, Action)> {
+    let loads: Vec<Series> = serving.iter().map(|s| inputs.load_series(s)).collect();
     let host = Host {
-        sight,
+        inputs,
         serving,
         loads: &loads,
     };
-    let mut after: Vec<BestEffort> = leftover.to_vec();
+    let mut after: Vec<BestEffort> = best_effort.to_vec();
     let mut actions = Vec::new();
     while let Some((at, action)) = host.best_change(&after, &actions) {
         after[at].apply(action);
@@ -90,7 +94,7 @@
     actions
 }
 
-impl Sight<'_> {
+impl DecisionInputs<'_> {
     /// The forecast utilisation without aggressors, corrected by the measured residual.
     fn load_series(&self, s: &Serving) -> Series {
         let load = self.model.load_series(&s.victim, self.now);
@@ -101,7 +105,7 @@
 impl BestEffort {
     fn apply(&mut self, action: Action) {
         match action {
-            Action::Pace(pace) => self.pace = pace,
+            Action::LimitCpu(cpu_limit_percent) => self.cpu_limit_percent = cpu_limit_percent,
             Action::Stop => self.is_stopping = true,
         }
     }
@@ -114,31 +118,33 @@
 
     /// Its estimated remaining run time at its CPU limit.
     fn left_at_cpu_limit(&self) -> Duration {
-        match self.pace {
+        match self.cpu_limit_percent {
             0 => Duration::MAX,
-            pace => self.left * 100 / pace,
+            cpu_limit_percent => self.left * 100 / cpu_limit_percent,
         }
     }
 
     fn aggressor(&self) -> Option<Aggressor> {
-        let is_working = !self.is_stopping && self.pace > 0;
+        let is_working = !self.is_stopping && self.cpu_limit_percent > 0;
         is_working.then(|| Aggressor {
             image: self.image,
-            share: self.share * f64::from(self.pace) / 100.0,
+            share: self.share * f64::from(self.cpu_limit_percent) / 100.0,
         })
     }
 
     /// The changes that can be made to it.
     fn choices(&self) -> impl Iterator<Item = Action> {
-        let pace = self.pace;
-        let paces = CPU_LIMITS_PERCENT.into_iter().filter(move |p| *p != pace);
-        paces.map(Action::Pace).chain([Action::Stop])
+        let cpu_limit_percent = self.cpu_limit_percent;
+        let limits = CPU_LIMITS_PERCENT
+            .into_iter()
+            .filter(move |p| *p != cpu_limit_percent);
+        limits.map(Action::LimitCpu).chain([Action::Stop])
     }
 }
 
 /// A host, with the forecast of each entry of `serving` without aggressors in `loads`.
 struct Host<'a> {
-    sight: &'a Sight<'a>,
+    inputs: &'a DecisionInputs<'a>,
     serving: &'a [Serving],
     loads: &'a [Series],
 }
@@ -148,25 +154,25 @@
     /// [`MIN_GAIN_SECONDS`].
     fn best_change(
         &self,
-        leftover: &[BestEffort],
+        best_effort: &[BestEffort],
         changed: &[(usize, Action)],
     ) -> Option<(usize, Action)> {
-        let forecasts = self.forecasts(leftover);
+        let forecasts = self.forecasts(best_effort);
         let before: f64 = forecasts.iter().map(UtilisationForecast::cost).sum();
         let missed_for = missed_for(&forecasts);
-        let open = leftover.iter().enumerate();
+        let open = best_effort.iter().enumerate();
         let open = open
             .filter(|(at, l)| !l.is_stopping && changed.iter().all(|(changed, _)| changed != at));
         let mut best: Option<(usize, Action, f64)> = None;
         for (at, l) in open {
-            let most = before - self.cost_without(leftover, at);
+            let most = before - self.cost_without(best_effort, at);
             for action in l.choices() {
                 let own = self.cost_of(l, action, missed_for);
                 let is_too_little = most - own < MIN_GAIN_SECONDS;
                 if is_too_little {
                     continue;
                 }
-                let gain = before - self.cost_with(leftover, at, action) - own;
+                let gain = before - self.cost_with(best_effort, at, action) - own;
                 if gain >= MIN_GAIN_SECONDS && best.is_none_or(|(.., most)| gain > most) {
                     best = Some((at, action, gain));
                 }
@@ -175,16 +181,16 @@
         best.map(|(at, action, _)| (at, action))
     }
 
-    fn forecasts(&self, leftover: &[BestEffort]) -> Vec<UtilisationForecast> {
+    fn forecasts(&self, best_effort: &[BestEffort]) -> Vec<UtilisationForecast> {
         let all = self.serving.iter().zip(self.loads);
         let all = all.map(|(s, load)| {
-            let limit = self.sight.model.limit(&s.victim);
+            let limit = self.inputs.model.limit(&s.victim);
             let mut forecast = UtilisationForecast::without_aggressors(s.tasks, limit, *load);
-            for l in leftover {
+            for l in best_effort {
                 let Some(aggressor) = l.aggressor() else {
                     continue;
                 };
-                let interference = self.sight.model.interference(s.victim.image, &aggressor);
+                let interference = self.inputs.model.interference(s.victim.image, &aggressor);
                 // No variance is added: `residual` already holds how far running tasks deviate from the model.
                 forecast.add_certain(
                     interference,
@@ -196,19 +202,19 @@
         all.collect()
     }
 
-    fn cost(&self, leftover: &[BestEffort]) -> f64 {
-        self.forecasts(leftover)
+    fn cost(&self, best_effort: &[BestEffort]) -> f64 {
+        self.forecasts(best_effort)
             .iter()
             .map(UtilisationForecast::cost)
             .sum()
     }
 
-    fn cost_without(&self, leftover: &[BestEffort], at: usize) -> f64 {
-        self.cost_with(leftover, at, Action::Stop)
+    fn cost_without(&self, best_effort: &[BestEffort], at: usize) -> f64 {
+        self.cost_with(best_effort, at, Action::Stop)
     }
 
-    fn cost_with(&self, leftover: &[BestEffort], at: usize, action: Action) -> f64 {
-        let mut after = leftover.to_vec();
+    fn cost_with(&self, best_effort: &[BestEffort], at: usize, action: Action) -> f64 {
+        let mut after = best_effort.to_vec();
         after[at] = after[at].with(action);
         self.cost(&after)
     }
@@ -216,16 +222,16 @@
     /// The cost of a change to the task itself, in seconds; negative if it raises the CPU limit.
     fn cost_of(&self, l: &BestEffort, action: Action, missed_for: f64) -> f64 {
         let left = l.left.as_secs_f64();
-        let restart = self.sight.terms.restart_takes().as_secs_f64();
+        let restart = self.inputs.timings.restart_takes().as_secs_f64();
         match action {
             Action::Stop if l.is_checkpointing => restart,
             Action::Stop => restart + l.ran.as_secs_f64(),
-            Action::Pace(pace) if pace < l.pace => {
-                f64::from(l.pace - pace) / 100.0 * left.min(missed_for)
+            Action::LimitCpu(cpu_limit_percent) if cpu_limit_percent < l.cpu_limit_percent => {
+                f64::from(l.cpu_limit_percent - cpu_limit_percent) / 100.0 * left.min(missed_for)
             }
-            Action::Pace(pace) => {
+            Action::LimitCpu(cpu_limit_percent) => {
                 let within = utilisation::seconds(POINTS);
-                -f64::from(pace - l.pace) / 100.0 * left.min(within)
+                -f64::from(cpu_limit_percent - l.cpu_limit_percent) / 100.0 * left.min(within)
             }
         }
     }
--- a/src/lapisdrum/policy/dispatch/mod.rs
+++ b/src/lapisdrum/policy/dispatch/mod.rs
@@ -4,17 +4,17 @@
 //! that are two thirds full before any burst. Unless steps are ordered by whether they can still be on time, a
 //! burst of batch work makes every job behind it late, urgent ones included. Unless best-effort tasks are kept
 //! apart from tasks that serve users, the latency tails of the latter exceed their targets within a second.
-//! [`order`] ranks steps by the durations that [`forecast`] estimates, [`place`] chooses workers, [`interference`]
-//! models the interference between tasks and [`relief`] decides which best-effort tasks are throttled or
+//! [`order`] ranks steps by the durations that [`duration`] estimates, [`place`] chooses workers, [`interference`]
+//! models the interference between tasks and [`mitigation`] decides which best-effort tasks are throttled or
 //! stopped. All are pure.
 
-pub mod forecast;
+pub mod duration;
 pub mod interference;
+pub mod mitigation;
 pub mod order;
 pub mod overload;
 pub mod place;
-pub mod relief;
 pub mod room;
 pub mod short_work;
-pub mod terms;
+pub mod timings;
 pub mod utilisation;
--- a/src/lapisdrum/policy/dispatch/order.rs
+++ b/src/lapisdrum/policy/dispatch/order.rs
@@ -24,7 +24,7 @@
 
 /// The inputs of a step's rank.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Standing {
+pub struct RankInputs {
     /// Priority of the class; 0 is served first.
     pub priority: u32,
     /// Whether it runs until it is cancelled; its value grows with the time that it is up.
@@ -75,7 +75,7 @@
     oldest: Reverse<u64>,
 }
 
-impl Standing {
+impl RankInputs {
     /// Whether the job can meet its objective if the step starts now.
     pub fn feasibility(&self) -> Feasibility {
         let completion_age_ms = self.age_ms + self.chain_ms;
--- a/src/lapisdrum/policy/dispatch/place.rs
+++ b/src/lapisdrum/policy/dispatch/place.rs
@@ -65,7 +65,7 @@
 
 /// The serving tasks of one step on a host, with their utilisation forecast.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Strained {
+pub struct ServingGroup {
     /// Their image, step, latency target and load.
     pub victim: Victim,
     /// Processors that they reserve, in thousandths of a core.
@@ -94,7 +94,7 @@
     /// Processors that its best-effort tasks ask for, in thousandths of a core.
     pub best_effort_millicores: u64,
     /// Its serving tasks, one entry per step or newly placed task.
-    pub serving: Vec<Strained>,
+    pub serving: Vec<ServingGroup>,
     /// Whether it currently accepts best-effort tasks.
     pub is_open_for_best_effort: bool,
     /// The number of its tasks that belong to the step that is being placed.
@@ -118,7 +118,7 @@
     All,
 }
 
-impl Strained {
+impl ServingGroup {
     /// A newly placed serving task, without measurements.
     fn unmeasured(victim: Victim, millicores: u64, model: &InterferenceModel) -> Self {
         let load = victim.load.level();
@@ -164,14 +164,14 @@
 
     /// Processors expected to be idle, in thousandths of a core.
     pub fn unused_millicores(&self) -> u64 {
-        let idle = self.serving.iter().map(Strained::idle_millicores);
+        let idle = self.serving.iter().map(ServingGroup::idle_millicores);
         let used = self.reserved.millicores.saturating_sub(idle.sum());
         let used = used + self.best_effort_millicores;
         self.capacity.millicores.saturating_sub(used)
     }
 
     /// Processors that its serving tasks don't reserve, in thousandths of a core.
-    pub fn unserving_millicores(&self) -> u64 {
+    pub fn not_serving_millicores(&self) -> u64 {
         let serving = self.serving_millicores();
         self.capacity.millicores.saturating_sub(serving)
     }
@@ -205,13 +205,13 @@
         let Some(aggressor) = self.aggressor(need) else {
             return 0.0;
         };
-        let interference = |s: &Strained| model.interference(s.victim.image, &aggressor);
+        let interference = |s: &ServingGroup| model.interference(s.victim.image, &aggressor);
         self.serving.iter().map(interference).fold(0.0, f64::max)
     }
 
     /// The lowest margin between a serving task's utilisation limit and its worst forecast; 1 without serving tasks.
     fn headroom(&self) -> f64 {
-        let headroom = |s: &Strained| s.forecast.limit - s.forecast.worst();
+        let headroom = |s: &ServingGroup| s.forecast.limit - s.forecast.worst();
         self.serving.iter().map(headroom).fold(1.0, f64::min)
     }
 
@@ -221,7 +221,7 @@
         match need.load {
             Load::Reserving => {}
             Load::Serving => {
-                let placed = |victim| Strained::unmeasured(victim, need.size.millicores, model);
+                let placed = |victim| ServingGroup::unmeasured(victim, need.size.millicores, model);
                 self.serving.extend(need.victim.map(placed));
             }
             Load::BestEffort => {
@@ -384,7 +384,7 @@
             && !host.is_suspect
             && !host.is_avoided
             && reserved_by(&need.size, need.load).fits(&host.capacity)
-            && host.kept_millicores + need.size.millicores <= host.unserving_millicores()
+            && host.kept_millicores + need.size.millicores <= host.not_serving_millicores()
             && need.required_label.is_none_or(has)
             && need.max_per_worker.is_none_or(|most| host.of_step < most)
     };
--- a/src/lapisdrum/policy/dispatch/terms.rs
+++ b/src/lapisdrum/policy/dispatch/timings.rs
@@ -13,7 +13,7 @@
 
 /// Timings of a deployment, as its settings give them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Terms {
+pub struct Timings {
     /// Maximum time that a stop takes.
     pub stop_takes: Duration,
     /// Time that a task takes to resume from its saved progress.
@@ -22,7 +22,7 @@
     pub overload_borne: Duration,
 }
 
-impl Terms {
+impl Timings {
     /// Returns the expected time from a stop order until the task runs again on another host.
     pub fn restart_takes(&self) -> Duration {
         self.stop_takes / 2 + self.restore_takes + PLACEMENT_TIME
--- a/src/lapisdrum/sched/front.rs
+++ b/src/lapisdrum/sched/front.rs
@@ -10,7 +10,7 @@
     job::{JobId, JobSpec},
     owner::{
         delegate::{GuestTasks, TaskNeed},
-        learned::{LearnedUpdate, ReceivedVersions},
+        estimates::{LearnedUpdate, ReceivedVersions},
     },
     peer::{
         self, AdoptReply, CancelReply, JobState, OwnerReply, OwnerRequest, ShowReply, SubmitReply,
--- a/src/lapisdrum/sched/mod.rs
+++ b/src/lapisdrum/sched/mod.rs
@@ -29,7 +29,7 @@
 
 use crate::{
     core::time::{Clock, Millis},
-    policy::{dispatch::terms::Terms, polling::Pace},
+    policy::{dispatch::timings::Timings, polling::Pace},
 };
 use edge::{CallError, Catalogue, Directory, Store, Workers};
 use indexmap::IndexMap;
@@ -64,7 +64,7 @@
     /// Limits on the leases of workers.
     pub leases: LeaseLimits,
     /// Durations of stops and restores, and how long a task may exceed its latency target.
-    pub work: Terms,
+    pub work: Timings,
     /// Longest time from the acknowledgement of an evacuation until it must be in force.
     pub evacuated_within: Duration,
     /// CPU available to the process, in cores; may be a fraction.
--- a/src/lapisdrum/sched/owner/delegate.rs
+++ b/src/lapisdrum/sched/owner/delegate.rs
@@ -344,7 +344,7 @@
 /// serving tasks reserve count as taken.
 fn capacity_on(host: &Host, size: &Size) -> u64 {
     let room = Size {
-        millicores: host.unserving_millicores(),
+        millicores: host.not_serving_millicores(),
         ..host.free()
     };
     size.count_in(&room)
--- a/src/lapisdrum/sched/owner/dispatch.rs
+++ b/src/lapisdrum/sched/owner/dispatch.rs
@@ -4,17 +4,16 @@
 use super::{
     Owner,
     backlog::{self, WaitingStep},
-    headroom,
+    headroom, interference,
     runs::{self, load_of},
     session::Session,
-    strain,
 };
 use crate::{
     core::time::Millis,
     policy::dispatch::{
-        forecast::Forecast,
+        duration::DurationEstimates,
         interference::Victim,
-        order::{Rank, Standing},
+        order::{Rank, RankInputs},
         place::{Host, Load, Need, choose, keep_for, reserved_by},
         room::{Room, Shortage},
         short_work::Class,
@@ -167,7 +166,7 @@
 fn collect(cx: &Cx, owner: &Owner) -> Vec<StartableStep> {
     let now_unix_ms = cx.unix_ms();
     let ledger = owner.ledger.borrow();
-    let (active, forecast) = (owner.active.borrow(), owner.forecast.borrow());
+    let (active, durations) = (owner.active.borrow(), owner.durations.borrow());
     let mut waiting = Vec::new();
     for id in active.iter() {
         // A job must have no effect before its acceptance is durable.
@@ -175,7 +174,7 @@
             continue;
         }
         if let Some(job) = ledger.jobs.get(id) {
-            collect_job(*id, job, &forecast, now_unix_ms, &mut waiting);
+            collect_job(*id, job, &durations, now_unix_ms, &mut waiting);
         }
     }
     waiting
@@ -184,7 +183,7 @@
 fn collect_job(
     id: JobId,
     job: &Job,
-    forecast: &Forecast,
+    durations: &DurationEstimates,
     now_unix_ms: u64,
     waiting: &mut Vec<StartableStep>,
 ) {
@@ -209,24 +208,24 @@
             if tasks.is_empty() || !job.may_start(occurrence, at) {
                 continue;
             }
-            let standing = Standing {
+            let inputs = RankInputs {
                 priority: job.terms.priority,
                 is_long_running: spec.is_long_running,
                 is_interrupted: interrupted(job, &step, spec, &tasks) > 0,
                 age_ms: now_unix_ms.saturating_sub(due),
                 objective_ms: job.terms.objective_ms(chain_ms),
-                chain_ms: forecast.expected_ms(&job.terms.queue, chains[at]),
+                chain_ms: durations.expected_ms(&job.terms.queue, chains[at]),
                 is_in_progress: job.occurrences.contains_key(&occurrence),
             };
             let millicores = spec.size.millicores * tasks.len() as u64;
             let class = headroom::short_class(&job.terms, spec);
             waiting.push(StartableStep {
-                rank: standing.rank(),
+                rank: inputs.rank(),
                 step,
                 tasks,
                 load: load_of(spec),
                 short: class.map(|class| (class, millicores)),
-                age_ms: standing.age_ms,
+                age_ms: inputs.age_ms,
             });
         }
     }
@@ -267,7 +266,7 @@
             capacity: report.capacity,
             reserved: session.tally.reserved,
             best_effort_millicores: session.tally.best_effort_millicores,
-            serving: strain::serving_tasks(
+            serving: interference::serving_groups(
                 owner,
                 &report.incarnation.worker,
                 report.capacity.millicores,
@@ -298,7 +297,7 @@
         data_rack: spec.data_rack.as_deref(),
         max_per_worker: spec.max_per_worker,
         image,
-        duration: strain::expected_duration(spec.estimate_ms),
+        duration: interference::expected_duration(spec.estimate_ms),
         victim: image
             .zip(spec.latency_target_ms)
             .map(|(image, target_ms)| Victim {
--- a/src/lapisdrum/sched/owner/strain.rs
+++ b/src/lapisdrum/sched/owner/interference.rs
@@ -11,8 +11,8 @@
     daemon::supervisor,
     policy::dispatch::{
         interference::{Aggressor, Victim},
-        place::{Load, Strained},
-        relief::{self, Action, BestEffort, Serving, Sight},
+        mitigation::{self, Action, BestEffort, DecisionInputs, Serving},
+        place::{Load, ServingGroup},
         utilisation::{self, UtilisationForecast},
     },
     sched::{
@@ -55,22 +55,22 @@
 ) {
     note_tails(owner, worker, response, now);
     let over_for = note_overload(owner, worker, now);
-    let (runs, leftover, serving) = on_host(owner, worker, now);
-    if leftover.is_empty() || serving.is_empty() {
+    let (runs, best_effort, serving) = on_host(owner, worker, now);
+    if best_effort.is_empty() || serving.is_empty() {
         return;
     }
     if over_for.is_some_and(|over| over >= cx.cfg.work.longest_over()) {
-        clear(cx, owner, worker, &runs, &leftover, now);
+        clear(cx, owner, worker, &runs, &best_effort, now);
         return;
     }
     let actions = {
         let model = owner.model.borrow();
-        let sight = Sight {
+        let inputs = DecisionInputs {
             model: &model,
             now,
-            terms: &cx.cfg.work,
+            timings: &cx.cfg.work,
         };
-        relief::decide(&sight, &serving, &leftover)
+        mitigation::decide(&inputs, &serving, &best_effort)
     };
     for (at, action) in actions {
         act(cx, owner, worker, runs[at], action, now);
@@ -200,7 +200,8 @@
     /// Notes the processors that a best-effort task uses, once it has run unthrottled long enough. Tasks use two thirds
     /// or more of what they ask for, and interfere by what they use.
     fn note_use(&mut self, millicores: u64, now: Millis) {
-        let is_settled = self.pace == 100 && now.since(self.since) >= EFFECT_FULL_AFTER;
+        let is_settled =
+            self.cpu_limit_percent == 100 && now.since(self.since) >= EFFECT_FULL_AFTER;
         if self.load == Load::BestEffort && is_settled && millicores > 0 {
             self.used_millicores = Some(millicores);
         }
@@ -230,13 +231,13 @@
 
     /// The run as an aggressor on a host with this capacity, if it is best-effort and its start was sent.
     pub fn aggressor(&self, millicores: u64) -> Option<Aggressor> {
-        self.aggressor_at(millicores, self.pace)
+        self.aggressor_at(millicores, self.cpu_limit_percent)
     }
 
-    fn aggressor_at(&self, millicores: u64, pace: u32) -> Option<Aggressor> {
+    fn aggressor_at(&self, millicores: u64, cpu_limit_percent: u32) -> Option<Aggressor> {
         let image = self.image.filter(|_| self.load == Load::BestEffort)?;
         let is_there = !matches!(self.known.order, Order::NotSent);
-        let used = self.unthrottled_millicores() as f64 * f64::from(pace) / 100.0;
+        let used = self.unthrottled_millicores() as f64 * f64::from(cpu_limit_percent) / 100.0;
         is_there.then(|| Aggressor {
             image,
             share: used / millicores.max(1) as f64,
@@ -248,11 +249,12 @@
     /// Like [`RunRecord::aggressor`], weighted by how far tail latency reflects its start and its last CPU limit.
     fn visible_aggressor(&self, millicores: u64, now: Millis) -> Option<Aggressor> {
         let at_full = self.aggressor_at(millicores, 100)?;
-        let (before, at) = self.paced_from;
+        let (before, at) = self.previous_cpu_limit;
         let changed = shown(at, now);
-        let pace = f64::from(before) * (1.0 - changed) + f64::from(self.pace) * changed;
+        let cpu_limit_percent =
+            f64::from(before) * (1.0 - changed) + f64::from(self.cpu_limit_percent) * changed;
         Some(Aggressor {
-            share: at_full.share * pace / 100.0 * shown(self.since, now),
+            share: at_full.share * cpu_limit_percent / 100.0 * shown(self.since, now),
             ..at_full
         })
     }
@@ -269,7 +271,7 @@
     let Some(session) = sessions.get(worker) else {
         return Default::default();
     };
-    let (mut ids, mut leftover) = (Vec::new(), Vec::new());
+    let (mut ids, mut best_effort) = (Vec::new(), Vec::new());
     let mut serving: IndexMap<StepId, Serving> = IndexMap::new();
     for (run, record) in session
         .runs
@@ -278,32 +280,37 @@
     {
         if let Some(victim) = owner.victim(run, record) {
             let step = run.task.step_id();
-            let like = serving.entry(step).or_insert_with(|| Serving {
+            let group = serving.entry(step).or_insert_with(|| Serving {
                 victim,
                 tasks: 0,
                 residual: session.residual(&step),
             });
-            like.tasks += 1;
+            group.tasks += 1;
         }
         let Some(image) = record.image.filter(|_| record.load == Load::BestEffort) else {
             continue;
         };
         ids.push(*run);
-        leftover.push(BestEffort {
+        best_effort.push(BestEffort {
             image,
             share: record.unthrottled_millicores() as f64 / capacity.max(1) as f64,
-            pace: record.pace,
+            cpu_limit_percent: record.cpu_limit_percent,
             is_checkpointing: record.is_checkpointing,
             is_stopping: record.known.stop != Stop::No,
             ran: now.since(record.since),
             left: record.left(now),
         });
     }
-    (ids, leftover, serving.into_values().collect())
+    (ids, best_effort, serving.into_values().collect())
 }
 
 /// Serving tasks on a host, by step, with their utilisation forecast, for the placement of further tasks.
-pub fn serving_tasks(owner: &Owner, worker: &str, millicores: u64, now: Millis) -> Vec<Strained> {
+pub fn serving_groups(
+    owner: &Owner,
+    worker: &str,
+    millicores: u64,
+    now: Millis,
+) -> Vec<ServingGroup> {
     let (sessions, runs) = (owner.sessions.borrow(), owner.runs.borrow());
     let Some(session) = sessions.get(worker) else {
         return Vec::new();
@@ -313,7 +320,7 @@
         .runs
         .iter()
         .filter_map(|run| Some((run, runs.get(run)?)));
-    let mut serving: IndexMap<StepId, Strained> = IndexMap::new();
+    let mut serving: IndexMap<StepId, ServingGroup> = IndexMap::new();
     let mut beside: Vec<(Aggressor, usize)> = Vec::new();
     for (run, record) in here {
         if let Some(aggressor) = record.planned_aggressor(millicores) {
@@ -323,11 +330,11 @@
             continue;
         };
         let step = run.task.step_id();
-        let like = serving.entry(step).or_insert_with(|| {
+        let group = serving.entry(step).or_insert_with(|| {
             let load = model.load_series(&victim, now);
             let residual = session.residual(&step);
             let limit = model.limit(&victim);
-            Strained {
+            ServingGroup {
                 victim,
                 millicores: 0,
                 load: load[..LOAD_POINTS].iter().copied().fold(0.0, f64::max),
@@ -338,13 +345,13 @@
                 ),
             }
         });
-        like.millicores += record.size.millicores;
-        like.forecast.tasks += 1;
+        group.millicores += record.size.millicores;
+        group.forecast.tasks += 1;
     }
-    for like in serving.values_mut() {
+    for group in serving.values_mut() {
         for (aggressor, points) in &beside {
-            let interference = model.interference(like.victim.image, aggressor);
-            like.forecast.add_certain(interference, *points);
+            let interference = model.interference(group.victim.image, aggressor);
+            group.forecast.add_certain(interference, *points);
         }
     }
     serving.into_values().collect()
@@ -367,16 +374,16 @@
             close(owner, worker, now + CLOSED_AFTER_MITIGATION);
             runs::order_stop(cx, owner, run, "interferes with a serving task");
         }
-        Action::Pace(percent) => {
+        Action::LimitCpu(percent) => {
             let before = owner
                 .runs
                 .borrow()
                 .get(&run)
-                .map_or(100, |record| record.pace);
+                .map_or(100, |record| record.cpu_limit_percent);
             if percent < before {
                 close(owner, worker, now + CLOSED_AFTER_MITIGATION);
             }
-            pace(cx, owner, worker, run, percent);
+            set_cpu_limit(cx, owner, worker, run, percent);
         }
     }
 }
@@ -397,10 +404,10 @@
     }
 }
 
-fn pace(cx: &Cx, owner: &Rc<Owner>, worker: &str, run: RunId, percent: u32) {
+fn set_cpu_limit(cx: &Cx, owner: &Rc<Owner>, worker: &str, run: RunId, percent: u32) {
     let before = owner.runs.borrow_mut().get_mut(&run).map(|record| {
-        record.paced_from = (record.pace, cx.clock.now());
-        std::mem::replace(&mut record.pace, percent)
+        record.previous_cpu_limit = (record.cpu_limit_percent, cx.clock.now());
+        std::mem::replace(&mut record.cpu_limit_percent, percent)
     });
     let (Some(address), Some(before)) = (owner.address_of(worker), before) else {
         return;
@@ -418,7 +425,7 @@
         if !matches!(end, OrderOutcome::Done(_))
             && let Some(record) = owner.runs.borrow_mut().get_mut(&run)
         {
-            record.pace = before;
+            record.cpu_limit_percent = before;
         }
     });
 }
@@ -429,12 +436,12 @@
     owner: &Rc<Owner>,
     worker: &str,
     runs: &[RunId],
-    leftover: &[BestEffort],
+    best_effort: &[BestEffort],
     now: Millis,
 ) {
-    log::warn!(worker, leftover = leftover.len(); "tail latency stays over its target; stopping best-effort tasks of the host");
+    log::warn!(worker, leftover = best_effort.len(); "tail latency stays over its target; stopping best-effort tasks of the host");
     close(owner, worker, now + CLOSED_AFTER_CLEARING);
-    for (run, left) in runs.iter().zip(leftover) {
+    for (run, left) in runs.iter().zip(best_effort) {
         if !left.is_stopping {
             act(cx, owner, worker, *run, Action::Stop, now);
         }
--- a/src/lapisdrum/sched/owner/mod.rs
+++ b/src/lapisdrum/sched/owner/mod.rs
@@ -11,14 +11,14 @@
 pub mod delegate;
 pub mod directory;
 pub mod dispatch;
+pub mod estimates;
 pub mod headroom;
+pub mod interference;
 pub mod jobs;
-pub mod learned;
 pub mod poll;
 pub mod previous_owner;
 pub mod runs;
 pub mod session;
-pub mod strain;
 pub mod upkeep;
 
 use super::{
@@ -35,7 +35,7 @@
     core::time::{Millis, millis},
     daemon::supervisor,
     policy::dispatch::{
-        forecast::Forecast,
+        duration::DurationEstimates,
         interference::{InterferenceModel, ServingLoad},
         place::Unfit,
         short_work::ShortWork,
@@ -110,7 +110,7 @@
     /// Load estimates of serving steps.
     pub loads: RefCell<IndexMap<StepId, ServingLoad>>,
     /// Duration estimates of jobs; each owner starts without any.
-    pub forecast: RefCell<Forecast>,
+    pub durations: RefCell<DurationEstimates>,
     /// When the first task of each active job was placed, for jobs that this owner started.
     pub started_at: RefCell<IndexMap<JobId, Millis>>,
     /// Why steps wait, and when that was last determined.
@@ -162,7 +162,7 @@
             failed_on: RefCell::default(),
             model: RefCell::default(),
             loads: RefCell::default(),
-            forecast: RefCell::default(),
+            durations: RefCell::default(),
             started_at: RefCell::default(),
             wait_reasons: RefCell::default(),
             short_work: RefCell::default(),
@@ -305,8 +305,8 @@
         if let (Some(job), Some(started_at)) = (job, started_at) {
             let took_ms = millis(cx.clock.now().since(started_at));
             let chain_ms = job.spec.longest_chain_ms();
-            let mut forecast = self.forecast.borrow_mut();
-            forecast.note(&job.terms.queue, chain_ms, took_ms);
+            let mut durations = self.durations.borrow_mut();
+            durations.note(&job.terms.queue, chain_ms, took_ms);
         }
     }
 
@@ -337,7 +337,7 @@
 
 async fn recover(cx: &Cx, owner: &Rc<Owner>) -> bool {
     while owner.is_serving() {
-        let learned = learned::load_estimates(cx, owner);
+        let learned = estimates::load_estimates(cx, owner);
         match futures::join!(owner.journal.recover(cx), learned).0 {
             Ok(ledger) => {
                 adopt(cx, owner, ledger);
@@ -413,11 +413,11 @@
         ),
         (
             "learned",
-            learned::store_estimates(Rc::clone(cx), Rc::clone(owner)).boxed_local(),
+            estimates::store_estimates(Rc::clone(cx), Rc::clone(owner)).boxed_local(),
         ),
         (
             "learned-by-others",
-            learned::receive_updates(Rc::clone(cx), Rc::clone(owner)).boxed_local(),
+            estimates::receive_updates(Rc::clone(cx), Rc::clone(owner)).boxed_local(),
         ),
     ];
     for (name, component) in components {
--- a/src/lapisdrum/sched/owner/poll.rs
+++ b/src/lapisdrum/sched/owner/poll.rs
@@ -6,9 +6,8 @@
 //! before its tasks can be started elsewhere.
 
 use super::{
-    Owner,
+    Owner, interference,
     runs::{self, RunRecord, note_lease_call, stop_unknown},
-    strain,
 };
 use crate::{
     core::time::{Millis, WorkerMillis},
@@ -208,7 +207,7 @@
     let acked = note_ends(cx, owner, worker, &incarnation, &response.ended, now);
     if incarnation.is_newest {
         note_running(cx, owner, worker, &incarnation, sent_at, &response, now);
-        strain::note_poll_response(cx, owner, worker, &response, now);
+        interference::note_poll_response(cx, owner, worker, &response, now);
     }
     if let Some(acked) = acked {
         // On a time-out the next poll lists the same ends again, and they are skipped.
@@ -302,7 +301,7 @@
         }
         let record = is_known.then(|| owner.remove_run(&end.run)).flatten();
         if let Some(record) = &record {
-            strain::note_departure(owner, worker, record, now);
+            interference::note_departure(owner, worker, record, now);
         }
         note_outcome(cx, owner, worker, end, record, now);
         events.push(Event::Ended {
--- a/src/lapisdrum/sched/owner/runs.rs
+++ b/src/lapisdrum/sched/owner/runs.rs
@@ -57,9 +57,9 @@
     /// Processors that a best-effort task last used while not throttled, in thousandths of a core.
     pub used_millicores: Option<u64>,
     /// CPU limit, in percent of the processors that it asks for.
-    pub pace: u32,
+    pub cpu_limit_percent: u32,
     /// CPU limit before the last change, and the time of that change.
-    pub paced_from: (u32, Millis),
+    pub previous_cpu_limit: (u32, Millis),
 }
 
 /// Kind of load of a step's tasks.
@@ -117,8 +117,8 @@
             target_ms: step.latency_target_ms,
             tail_ms: 0.0,
             used_millicores: None,
-            pace: 100,
-            paced_from: (100, now),
+            cpu_limit_percent: 100,
+            previous_cpu_limit: (100, now),
         };
         let mut sessions = self.sessions.borrow_mut();
         let session = sessions
--- a/src/lapisdrum/sched/owner/upkeep.rs
+++ b/src/lapisdrum/sched/owner/upkeep.rs
@@ -62,7 +62,8 @@
     let runs = owner.runs.borrow();
     let stalled = runs.iter().filter(|(_, record)| {
         let unchanged_for = record.progress.map(|(_, since)| now.since(since));
-        let is_judged = !record.is_long_running && record.pace >= MIN_JUDGED_CPU_LIMIT_PERCENT;
+        let is_judged =
+            !record.is_long_running && record.cpu_limit_percent >= MIN_JUDGED_CPU_LIMIT_PERCENT;
         is_judged
             && record.known.stop == Stop::No
             && unchanged_for.is_some_and(|duration| duration >= STALLED_AFTER)
--- a/src/lapisdrum/sched/peer.rs
+++ b/src/lapisdrum/sched/peer.rs
@@ -7,8 +7,8 @@
     lease::Holder,
     owner::{
         delegate::{self, GuestTasks, TaskNeed},
+        estimates::{self, LearnedUpdate, ReceivedVersions},
         jobs,
-        learned::{self, LearnedUpdate, ReceivedVersions},
     },
 };
 use actix_rt::net::TcpListener;
@@ -205,7 +205,7 @@
         (OwnerRequest::Room(..), None) => OwnerReply::Room(None),
         (OwnerRequest::Adopt(_), None) => OwnerReply::Adopted(AdoptReply::NotOwner),
         (OwnerRequest::Learned(upto), Some(owner)) => {
-            OwnerReply::Learned(learned::updates_since(cx, &owner, upto))
+            OwnerReply::Learned(estimates::updates_since(cx, &owner, upto))
         }
         (OwnerRequest::Load, Some(owner)) => OwnerReply::Load(owner.long_running_load(cx)),
         (
--- a/tests/testsuite/sched/strain.rs
+++ b/tests/testsuite/sched/interference.rs
@@ -6,10 +6,10 @@
         interference::{
             self, Aggressor, Image, InterferenceModel, Victim, estimates::InterferenceEstimates,
         },
+        mitigation::{self, Action, BestEffort, DecisionInputs, Serving},
         overload::Overload,
-        place::{Host, Kept, Load, Need, Strained, choose, keep_for},
-        relief::{self, Action, BestEffort, Serving, Sight},
-        terms::Terms,
+        place::{Host, Kept, Load, Need, ServingGroup, choose, keep_for},
+        timings::Timings,
         utilisation::{POINTS, UtilisationForecast},
     },
 };
@@ -100,7 +100,7 @@
 }
 
 fn host<'a>(id: &'a str, victims: &[Victim], utilisation: f64) -> Host<'a> {
-    let strained = |victim: &Victim| Strained {
+    let serving_group = |victim: &Victim| ServingGroup {
         victim: *victim,
         millicores: 6_000,
         load: victim.load.level(),
@@ -118,7 +118,7 @@
         capacity: cores(32),
         reserved: cores(6 * victims.len() as u64),
         best_effort_millicores: 0,
-        serving: victims.iter().map(strained).collect(),
+        serving: victims.iter().map(serving_group).collect(),
         is_open_for_best_effort: true,
         of_step: 0,
         is_suspect: false,
@@ -210,7 +210,7 @@
     assert_eq!(choose(&need, &hosts, &model), Some(1));
 }
 
-const TERMS: Terms = Terms {
+const TIMINGS: Timings = Timings {
     stop_takes: Duration::from_millis(900),
     restore_takes: Duration::from_millis(600),
     overload_borne: Duration::from_secs(4),
@@ -234,11 +234,11 @@
 }
 
 /// A best-effort task that has run for two seconds and would go on for ten, with this share of the host.
-fn leftover(image: Image, share: f64) -> BestEffort {
+fn best_effort(image: Image, share: f64) -> BestEffort {
     BestEffort {
         image,
         share,
-        pace: 100,
+        cpu_limit_percent: 100,
         is_checkpointing: true,
         is_stopping: false,
         ran: Duration::from_secs(2),
@@ -249,19 +249,19 @@
 fn decide(
     model: &InterferenceModel,
     serving: Image,
-    leftover: &[BestEffort],
+    best_effort: &[BestEffort],
 ) -> Vec<(usize, Action)> {
-    let sight = Sight {
+    let inputs = DecisionInputs {
         model,
         now: Millis(0),
-        terms: &TERMS,
+        timings: &TIMINGS,
     };
     let serving = [Serving {
         victim: victim(serving),
         tasks: 4,
         residual: 0.0,
     }];
-    relief::decide(&sight, &serving, leftover)
+    mitigation::decide(&inputs, &serving, best_effort)
 }
 
 /// A tail that a best-effort task drives far over its target. What saves its progress is moved away; what doesn't is
@@ -269,15 +269,18 @@
 #[test]
 fn a_tail_over_its_target_is_relieved() {
     let (mut model, serving, loud) = loud_pair();
-    let saving = leftover(loud, 0.5);
+    let saving = best_effort(loud, 0.5);
     assert_eq!(decide(&model, serving, &[saving]), [(0, Action::Stop)]);
     let plain = BestEffort {
         is_checkpointing: false,
         ..saving
     };
-    assert_eq!(decide(&model, serving, &[plain]), [(0, Action::Pace(20))]);
+    assert_eq!(
+        decide(&model, serving, &[plain]),
+        [(0, Action::LimitCpu(20))]
+    );
     let quiet = model.image("q");
-    let light = leftover(quiet, 0.05);
+    let light = best_effort(quiet, 0.05);
     assert_eq!(decide(&model, serving, &[light]), []);
 }
 
@@ -286,7 +289,7 @@
 fn what_does_not_press_goes_on() {
     let (mut model, serving, loud) = loud_pair();
     let quiet = model.image("q");
-    let tasks = [leftover(quiet, 0.05), leftover(loud, 0.5)];
+    let tasks = [best_effort(quiet, 0.05), best_effort(loud, 0.5)];
     assert_eq!(decide(&model, serving, &tasks), [(1, Action::Stop)]);
 }
 
@@ -297,7 +300,7 @@
     let (model, serving, loud) = loud_pair();
     let nearly = BestEffort {
         left: Duration::from_millis(300),
-        ..leftover(loud, 0.5)
+        ..best_effort(loud, 0.5)
     };
     let actions = decide(&model, serving, &[nearly]);
     assert!(
@@ -308,15 +311,18 @@
 
 /// A paced task is let go on as soon as the tails bear it at full pace.
 #[test]
-fn a_paced_task_is_raised_again() {
+fn a_throttled_task_is_raised_again() {
     let mut model = InterferenceModel::default();
     let (serving, batch) = (model.image("s"), model.image("b"));
-    let paced = BestEffort {
-        pace: 40,
+    let throttled = BestEffort {
+        cpu_limit_percent: 40,
         is_checkpointing: false,
-        ..leftover(batch, 0.05)
+        ..best_effort(batch, 0.05)
     };
-    assert_eq!(decide(&model, serving, &[paced]), [(0, Action::Pace(100))]);
+    assert_eq!(
+        decide(&model, serving, &[throttled]),
+        [(0, Action::LimitCpu(100))]
+    );
 }
 
 /// A tail is over its target while one best-effort task ends and the next one comes, with a moment without any and with
@@ -340,16 +346,16 @@
 fn a_host_is_cleared_before_its_overload_has_lasted_too_long() {
     let seen_late = Duration::from_millis(1_800);
     for borne_s in 4..20 {
-        let terms = Terms {
+        let timings = Timings {
             overload_borne: Duration::from_secs(borne_s),
-            ..TERMS
+            ..TIMINGS
         };
-        let down = terms.longest_over() + terms.stop_takes + seen_late;
-        assert!(down <= terms.overload_borne, "{borne_s} s");
+        let down = timings.longest_over() + timings.stop_takes + seen_late;
+        assert!(down <= timings.overload_borne, "{borne_s} s");
     }
-    let short = Terms {
+    let short = Timings {
         overload_borne: Duration::from_millis(500),
-        ..TERMS
+        ..TIMINGS
     };
     assert_eq!(short.longest_over(), Duration::from_secs(1));
 }
--- a/tests/testsuite/sched/mod.rs
+++ b/tests/testsuite/sched/mod.rs
@@ -3,6 +3,7 @@
 mod delegate;
 mod evacuation;
 mod faults;
+mod interference;
 mod journal;
 mod layout;
 mod learning;
@@ -14,7 +15,6 @@
 mod resolution;
 mod room;
 mod short_work;
-mod strain;
 mod takeover;
 pub(crate) mod world;
 
--- a/tests/testsuite/sched/order.rs
+++ b/tests/testsuite/sched/order.rs
@@ -1,13 +1,13 @@
 //! The order of waiting steps, and what queues' jobs are expected to take.
 
 use lapisdrum::policy::dispatch::{
-    forecast::Forecast,
-    order::{Feasibility, Standing},
+    duration::DurationEstimates,
+    order::{Feasibility, RankInputs},
 };
 use std::collections::BTreeSet;
 
-fn standing(age_ms: u64, chain_ms: u64) -> Standing {
-    Standing {
+fn rank_inputs(age_ms: u64, chain_ms: u64) -> RankInputs {
+    RankInputs {
         priority: 1,
         is_long_running: false,
         is_interrupted: false,
@@ -23,17 +23,17 @@
 #[test]
 fn who_can_be_on_time_goes_first() {
     let (on_time, late, hopeless) = (
-        standing(500, 3_000),
-        standing(5_000, 3_000),
-        standing(20_000, 3_000),
+        rank_inputs(500, 3_000),
+        rank_inputs(5_000, 3_000),
+        rank_inputs(20_000, 3_000),
     );
     assert_eq!(on_time.feasibility(), Feasibility::OnTime);
     assert_eq!(late.feasibility(), Feasibility::Late);
     assert_eq!(hopeless.feasibility(), Feasibility::NoValue);
     let mut order = [hopeless, late, on_time];
-    order.sort_by_key(Standing::rank);
+    order.sort_by_key(RankInputs::rank);
     assert_eq!(order, [on_time, late, hopeless]);
-    let urgent = Standing {
+    let urgent = RankInputs {
         priority: 0,
         ..hopeless
     };
@@ -46,17 +46,17 @@
 /// Guards against livestreams that stay down while more urgent short work takes each core that comes free.
 #[test]
 fn interrupted_long_running_tasks_go_before_everything() {
-    let interrupted = Standing {
+    let interrupted = RankInputs {
         priority: 2,
         is_long_running: true,
         is_interrupted: true,
-        ..standing(100, 1_000)
+        ..rank_inputs(100, 1_000)
     };
-    let urgent = Standing {
+    let urgent = RankInputs {
         priority: 0,
-        ..standing(100, 1_000)
+        ..rank_inputs(100, 1_000)
     };
-    let new = Standing {
+    let new = RankInputs {
         is_interrupted: false,
         ..interrupted
     };
@@ -67,13 +67,13 @@
 /// Guards against short tasks that wait behind long-running ones of their class for room that these keep for minutes.
 #[test]
 fn short_tasks_go_before_new_long_running_ones_of_their_class() {
-    let long_running = Standing {
+    let long_running = RankInputs {
         is_long_running: true,
-        ..standing(100, 1_000)
+        ..rank_inputs(100, 1_000)
     };
-    for short in [standing(500, 3_000), standing(20_000, 3_000)] {
+    for short in [rank_inputs(500, 3_000), rank_inputs(20_000, 3_000)] {
         assert!(short.rank() < long_running.rank());
-        let less_urgent = Standing {
+        let less_urgent = RankInputs {
             priority: 2,
             ..short
         };
@@ -84,15 +84,15 @@
 /// Of two jobs with the same prospect, the one that has begun goes first, however little time the other has.
 #[test]
 fn a_job_that_has_begun_goes_before_new_ones() {
-    let begun = Standing {
+    let begun = RankInputs {
         is_in_progress: true,
-        ..standing(100, 1_000)
+        ..rank_inputs(100, 1_000)
     };
-    let new = standing(900, 3_000);
+    let new = rank_inputs(900, 3_000);
     assert!(begun.rank() < new.rank());
-    let too_late = Standing {
+    let too_late = RankInputs {
         is_in_progress: true,
-        ..standing(5_000, 3_000)
+        ..rank_inputs(5_000, 3_000)
     };
     assert!(
         new.rank() < too_late.rank(),
@@ -119,27 +119,31 @@
 }
 
 impl SimJob {
-    fn standing(&self, now_ms: u64, forecast: Option<&Forecast>) -> Option<(usize, Standing)> {
+    fn rank_inputs(
+        &self,
+        now_ms: u64,
+        durations: Option<&DurationEstimates>,
+    ) -> Option<(usize, RankInputs)> {
         let step = usize::from(self.open[0] == 0);
         if self.waiting[step] == 0 {
             return None;
         }
         let chain_ms = TASK_MS * (2 - step as u64);
-        let standing = Standing {
+        let inputs = RankInputs {
             priority: 2,
             is_long_running: false,
             is_interrupted: false,
             age_ms: now_ms - self.arrived_ms,
             objective_ms: 5_000,
-            chain_ms: forecast.map_or(chain_ms, |f| f.expected_ms("renders", chain_ms)),
-            is_in_progress: self.begun_ms.is_some() && forecast.is_some(),
+            chain_ms: durations.map_or(chain_ms, |f| f.expected_ms("renders", chain_ms)),
+            is_in_progress: self.begun_ms.is_some() && durations.is_some(),
         };
-        Some((step, standing))
+        Some((step, inputs))
     }
 }
 
 /// The share of jobs on time when so many arrive a second for a minute.
-fn on_time_share(jobs_a_second: u64, mut forecast: Option<Forecast>) -> f64 {
+fn on_time_share(jobs_a_second: u64, mut durations: Option<DurationEstimates>) -> f64 {
     let mut jobs: Vec<SimJob> = Vec::new();
     let mut running: BTreeSet<(u64, usize, usize, usize)> = BTreeSet::new();
     for now_ms in (0..90_000).step_by(STEP_MS as usize) {
@@ -149,8 +153,8 @@
             if jobs[job].open == [0, 0] {
                 jobs[job].done_ms = Some(now_ms);
                 let begun_ms = jobs[job].begun_ms.expect("it was begun");
-                if let Some(forecast) = &mut forecast {
-                    forecast.note("renders", 2 * TASK_MS, now_ms - begun_ms);
+                if let Some(durations) = &mut durations {
+                    durations.note("renders", 2 * TASK_MS, now_ms - begun_ms);
                 }
             }
         }
@@ -163,12 +167,10 @@
                 done_ms: None,
             });
         }
-        let standings = jobs.iter().enumerate();
-        let standings =
-            standings.filter_map(|(at, job)| Some((at, job.standing(now_ms, forecast.as_ref())?)));
-        let mut ranked: Vec<_> = standings
-            .map(|(at, (step, s))| (s.rank(), at, step))
-            .collect();
+        let inputs = jobs.iter().enumerate();
+        let inputs =
+            inputs.filter_map(|(at, job)| Some((at, job.rank_inputs(now_ms, durations.as_ref())?)));
+        let mut ranked: Vec<_> = inputs.map(|(at, (step, s))| (s.rank(), at, step)).collect();
         ranked.sort();
         for (_, at, step) in ranked {
             while jobs[at].waiting[step] > 0 && running.len() < PLACES {
@@ -193,33 +195,33 @@
 /// for. Without overload all are.
 #[test]
 fn under_overload_jobs_that_have_begun_end_on_time() {
-    let with_forecast = |rate| on_time_share(rate, Some(Forecast::default()));
-    let (by_estimate, by_forecast) = (on_time_share(3, None), with_forecast(3));
+    let with_estimates = |rate| on_time_share(rate, Some(DurationEstimates::default()));
+    let (by_estimate, by_forecast) = (on_time_share(3, None), with_estimates(3));
     assert!(
         by_forecast > 0.45,
         "0.48 can be on time, {by_forecast:.2} are"
     );
     assert!(by_estimate < 0.1, "{by_estimate:.2} by the estimates alone");
-    assert!(with_forecast(1) > 0.99, "without overload all are");
+    assert!(with_estimates(1) > 0.99, "without overload all are");
 }
 
 /// Renders take twice what is estimated. After some twenty of them their queue is expected to; another
 /// queue's jobs, and a single job that stood still for a minute, change little.
 #[test]
 fn a_queue_is_expected_to_take_what_its_jobs_took() {
-    let mut forecast = Forecast::default();
+    let mut durations = DurationEstimates::default();
     for _ in 0..60 {
-        forecast.note("renders", 3_000, 6_000);
+        durations.note("renders", 3_000, 6_000);
     }
     let near = |ms: u64, expected: u64| ms.abs_diff(expected) < expected / 20;
-    assert!(near(forecast.expected_ms("renders", 1_000), 2_000));
+    assert!(near(durations.expected_ms("renders", 1_000), 2_000));
     assert_eq!(
-        forecast.expected_ms("maps", 1_000),
+        durations.expected_ms("maps", 1_000),
         1_500,
         "the first guess"
     );
-    forecast.note("renders", 3_000, 60_000);
-    assert!(near(forecast.expected_ms("renders", 1_000), 2_050));
-    forecast.note("renders", 0, 60_000);
-    assert!(near(forecast.expected_ms("renders", 1_000), 2_050));
+    durations.note("renders", 3_000, 60_000);
+    assert!(near(durations.expected_ms("renders", 1_000), 2_050));
+    durations.note("renders", 0, 60_000);
+    assert!(near(durations.expected_ms("renders", 1_000), 2_050));
 }
--- a/tests/testsuite/sched/world.rs
+++ b/tests/testsuite/sched/world.rs
@@ -13,7 +13,7 @@
 use indexmap::{IndexMap, IndexSet};
 use lapisdrum::{
     core::{size::Size, time::WorkerMillis},
-    policy::dispatch::terms::Terms,
+    policy::dispatch::timings::Timings,
     sched::{
         Cx, Node, NodeSettings,
         edge::{
@@ -325,7 +325,7 @@
             seeds: Vec::new(),
             workers_per_shard: self.workers_per_shard.get(),
             leases: limits(),
-            work: work_terms(),
+            work: work_timings(),
             evacuated_within: EVACUATED_WITHIN,
             cpu_share: 0.25,
             retention: Duration::from_secs(120),
@@ -600,8 +600,8 @@
 }
 
 /// What this world promises of stops, restores and tails.
-fn work_terms() -> Terms {
-    Terms {
+fn work_timings() -> Timings {
+    Timings {
         stop_takes: Duration::from_millis(900),
         restore_takes: Duration::from_millis(600),
         overload_borne: Duration::from_secs(4),
--- a/tests/testsuite/settings/platform.rs
+++ b/tests/testsuite/settings/platform.rs
@@ -33,10 +33,10 @@
 fn what_a_deployment_bears_is_read() {
     let said = "stop_takes_ms = 200\nrestore_takes_ms = 250\noverload_borne_ms = 5000";
     let read = |bounds| PlatformSettings::try_from(settings(bounds).as_str());
-    let terms = read(said).expect("settings").node.work;
-    assert_eq!(terms.stop_takes, Duration::from_millis(200));
-    assert_eq!(terms.restore_takes, Duration::from_millis(250));
-    assert_eq!(terms.longest_over(), Duration::from_millis(3_000));
+    let timings = read(said).expect("settings").node.work;
+    assert_eq!(timings.stop_takes, Duration::from_millis(200));
+    assert_eq!(timings.restore_takes, Duration::from_millis(250));
+    assert_eq!(timings.longest_over(), Duration::from_millis(3_000));
     let usual = read("").expect("settings").node.work;
     assert_eq!(usual.overload_borne, Duration::from_secs(4));
 }
