--- a/crates/lapisdrum-load/src/policy/decide.rs
+++ b/crates/lapisdrum-load/src/policy/decide.rs
@@ -10,10 +10,10 @@
     },
     policy::{
         admission::{Admission, Claim, Share},
-        interference::{Interference, Kind, Neighbour, Report},
-        placement::{self, Resident, Room, Wanted},
+        placement::{self, CandidateHost, RunningKind, TaskToPlace},
         queueing::{Item, Queue},
         routing::{Candidate, End, Routing},
+        slowdown::{Kind, Neighbour, Report, SlowdownModel},
     },
 };
 use rand::{Rng, SeedableRng, rngs::StdRng};
@@ -183,9 +183,9 @@
         memory_mb: 125_000,
         accelerators: 1,
     };
-    let (known, residents) = learned(workers, &mut rng);
-    let rooms: Vec<Room<'_>> = (0..workers)
-        .map(|i| Room {
+    let (known, running_kinds) = learned(workers, &mut rng);
+    let candidates: Vec<CandidateHost<'_>> = (0..workers)
+        .map(|i| CandidateHost {
             worker: &names[i],
             rack: &racks[i],
             capacity,
@@ -193,11 +193,11 @@
                 millicores: rng.random_range(0..16_000),
                 ..capacity
             },
-            residents: &residents[i],
-            same_in_rack: 1,
+            running_kinds: &running_kinds[i],
+            entry_tasks_in_rack: 1,
         })
         .collect();
-    let wanted = Wanted {
+    let to_place = TaskToPlace {
         kind: Kind(0),
         class: Class::Batch,
         size: Size {
@@ -205,12 +205,12 @@
             memory_mb: 1_000,
             accelerators: 0,
         },
-        same_placed: 10,
+        entry_tasks_placed: 10,
     };
     measure("place among rooms", workers, |_| {
         black_box(placement::choose(
-            &rooms,
-            &wanted,
+            &candidates,
+            &to_place,
             &known,
             Millis(1_000),
             &mut rng,
@@ -219,8 +219,8 @@
 }
 
 /// Interference of 40 kinds, each pair reported on, and what runs on each host.
-fn learned(workers: usize, rng: &mut StdRng) -> (Interference, Vec<Vec<Resident>>) {
-    let mut known = Interference::default();
+fn learned(workers: usize, rng: &mut StdRng) -> (SlowdownModel, Vec<Vec<RunningKind>>) {
+    let mut known = SlowdownModel::default();
     for i in 0..40 {
         known.kind(&valid(EntryName::try_from(format!("kind{i}"))));
     }
@@ -237,14 +237,14 @@
             });
         }
     }
-    let resident = |i: u32, rng: &mut StdRng| Resident {
+    let running_kind = |i: u32, rng: &mut StdRng| RunningKind {
         neighbour: Neighbour {
             kind: Kind((rng.random_range(0..5) * KINDS_ON_HOST + i) % 40),
             count: 2,
         },
         class: Class::Batch,
     };
-    let on_host = |rng: &mut StdRng| (0..KINDS_ON_HOST).map(|i| resident(i, rng)).collect();
-    let residents = (0..workers).map(|_| on_host(rng)).collect();
-    (known, residents)
+    let on_host = |rng: &mut StdRng| (0..KINDS_ON_HOST).map(|i| running_kind(i, rng)).collect();
+    let running_kinds = (0..workers).map(|_| on_host(rng)).collect();
+    (known, running_kinds)
 }
--- a/crates/lapisdrum-load/src/policy/tasks.rs
+++ b/crates/lapisdrum-load/src/policy/tasks.rs
@@ -14,9 +14,9 @@
         time::Millis,
     },
     policy::{
-        eviction::{Distress, EvictionMemory, Step, Tenant},
-        interference::{History, Interference, Kind, Neighbour, Report},
-        placement::{self, Resident, Room, Wanted},
+        eviction::{Distress, EvictionMemory, HostTask, MitigationStep},
+        placement::{self, CandidateHost, RunningKind, TaskToPlace},
+        slowdown::{History, Kind, Neighbour, Report, SlowdownModel},
     },
 };
 use rand::{Rng, SeedableRng, rngs::StdRng};
@@ -127,7 +127,7 @@
     rack: Rack,
     service: Option<Kind>,
     tasks: Vec<Task>,
-    residents: Vec<Resident>,
+    running_kinds: Vec<RunningKind>,
     history: History,
     distress: Distress,
     /// Slowdowns of the last seconds: of the service, and of each task's kind.
@@ -141,7 +141,7 @@
     sizes: Vec<Size>,
     hosts: Vec<Host>,
     waiting: VecDeque<Task>,
-    known: Interference,
+    known: SlowdownModel,
     memory: EvictionMemory,
     result: TaskResult,
     rng: StdRng,
@@ -161,7 +161,7 @@
 impl Trial {
     fn new(inputs: TaskTrial, decisions: TaskDecisions) -> Self {
         let mut rng = StdRng::seed_from_u64(inputs.seed);
-        let mut known = Interference::default();
+        let mut known = SlowdownModel::default();
         let kinds = SERVICES + BATCH_KINDS;
         for i in 0..kinds {
             known.kind(&valid(EntryName::try_from(format!("kind{i}"))));
@@ -263,21 +263,21 @@
 
     fn choose(&mut self, task: &Task, now: Millis) -> Option<usize> {
         let mut indexes = Vec::new();
-        let mut rooms = Vec::new();
+        let mut candidates = Vec::new();
         for (index, host) in self.hosts.iter().enumerate() {
             let open = !host.distress.is_on() || !self.decisions.relieves;
             if open && self.memory.may_place(&task.id, &host.worker, now) {
                 indexes.push(index);
-                rooms.push(host.room(self.inputs.room));
+                candidates.push(host.candidate(self.inputs.room));
             }
         }
-        let wanted = Wanted {
+        let to_place = TaskToPlace {
             kind: task.kind,
             class: Class::Batch,
             size: task.size,
-            same_placed: 0,
+            entry_tasks_placed: 0,
         };
-        let chosen = placement::choose(&rooms, &wanted, &self.known, now, &mut self.rng)?;
+        let chosen = placement::choose(&candidates, &to_place, &self.known, now, &mut self.rng)?;
         Some(indexes[chosen])
     }
 
@@ -354,10 +354,10 @@
     fn relieve(&mut self, index: usize, slowdown: f64, measured_at: Millis, now: Millis) {
         let host = &mut self.hosts[index];
         let service = host.service.unwrap_or(Kind(0));
-        let tenants: Vec<Tenant<'_>> = host
+        let tasks: Vec<HostTask<'_>> = host
             .tasks
             .iter()
-            .map(|task| Tenant {
+            .map(|task| HostTask {
                 job: &task.id,
                 class: Class::Batch,
                 priority: 100,
@@ -367,16 +367,16 @@
             })
             .collect();
         let mut distress = host.distress;
-        let steps = distress.report(slowdown, measured_at, &tenants, &self.memory, now);
+        let steps = distress.report(slowdown, measured_at, &tasks, &self.memory, now);
         host.distress = distress;
         for step in steps {
             match step {
-                Step::Throttle(job) => {
+                MitigationStep::Throttle(job) => {
                     self.result.throttles += 1;
                     self.hosts[index].set_throttled(&job, true, now);
                 }
-                Step::Release(job) => self.hosts[index].set_throttled(&job, false, now),
-                Step::Evict(job) => self.evict(index, &job, now),
+                MitigationStep::Release(job) => self.hosts[index].set_throttled(&job, false, now),
+                MitigationStep::Evict(job) => self.evict(index, &job, now),
             }
         }
     }
@@ -404,35 +404,38 @@
             rack: valid(Rack::try_from(format!("r{}", index / inputs.per_rack))),
             service: (decisions.services && service < SERVICES).then_some(Kind(service)),
             tasks: Vec::new(),
-            residents: Vec::new(),
+            running_kinds: Vec::new(),
             history: History::default(),
             distress: Distress::default(),
             measured: VecDeque::new(),
         }
     }
 
-    fn room(&self, capacity: Size) -> Room<'_> {
+    fn candidate(&self, capacity: Size) -> CandidateHost<'_> {
         let used = self.tasks.iter();
         let used = used.fold(Size::ZERO, |sum, task| sum.plus(&task.size));
-        Room {
+        CandidateHost {
             worker: &self.worker,
             rack: &self.rack,
             capacity,
             free: capacity.minus(&used),
-            residents: &self.residents,
-            same_in_rack: 0,
+            running_kinds: &self.running_kinds,
+            entry_tasks_in_rack: 0,
         }
     }
 
     fn note_residents(&mut self, now: Millis) {
-        self.residents.clear();
+        self.running_kinds.clear();
         let service = self.service.map(|kind| (kind, Class::LatencyCritical));
         let tasks = self.tasks.iter().map(|task| (task.kind, Class::Batch));
         for (kind, class) in service.into_iter().chain(tasks) {
-            let present = self.residents.iter_mut().find(|r| r.neighbour.kind == kind);
+            let present = self
+                .running_kinds
+                .iter_mut()
+                .find(|r| r.neighbour.kind == kind);
             match present {
-                Some(resident) => resident.neighbour.count += 1,
-                None => self.residents.push(Resident {
+                Some(running_kind) => running_kind.neighbour.count += 1,
+                None => self.running_kinds.push(RunningKind {
                     neighbour: Neighbour { kind, count: 1 },
                     class,
                 }),
@@ -442,7 +445,7 @@
             self.history.note_throttled(now);
             return;
         }
-        let neighbours = self.residents.iter().map(|r| r.neighbour).collect();
+        let neighbours = self.running_kinds.iter().map(|r| r.neighbour).collect();
         self.history.note(neighbours, now);
     }
 
--- a/src/lapisdrum/daemon/pressure.rs
+++ b/src/lapisdrum/daemon/pressure.rs
@@ -15,10 +15,10 @@
         time::Millis,
     },
     policy::{
-        eviction::{Distress, EvictionMemory, Step, Tenant},
+        eviction::{Distress, EvictionMemory, HostTask, MitigationStep},
         health::{Health, Standing, Verdict},
-        interference::{History, Interference, Kind, Neighbour, Report},
-        placement::Resident,
+        placement::RunningKind,
+        slowdown::{History, Kind, Neighbour, Report, SlowdownModel},
     },
     timeline::event::Happening,
     worker::{
@@ -42,7 +42,7 @@
 #[derive(Debug, Default)]
 pub struct Pressure {
     /// Estimated slowdown between kinds of work that share a host.
-    pub interference: Interference,
+    pub interference: SlowdownModel,
     /// Failure history of workers and jobs.
     pub health: Health,
     /// Recent evictions for mitigation, which limit further ones.
@@ -132,9 +132,9 @@
 /// Records what runs on a worker from now on, so that a delayed report is matched with the tasks of
 /// its own time.
 pub fn note_history(cx: &Cx, shard: &Shard, worker: &WorkerId) {
-    let neighbours: Vec<Neighbour> = residents(cx, shard, worker)
+    let neighbours: Vec<Neighbour> = running_kinds(cx, shard, worker)
         .into_iter()
-        .map(|resident| resident.neighbour)
+        .map(|running_kind| running_kind.neighbour)
         .collect();
     let placed: IndexSet<JobId> = sessions::placements_on(shard, worker)
         .into_iter()
@@ -218,7 +218,7 @@
     worker: &WorkerId,
     usage: &Usage,
     measured_at: Millis,
-) -> Vec<Step> {
+) -> Vec<MitigationStep> {
     let max_slowdown = usage
         .requests
         .iter()
@@ -236,11 +236,11 @@
         entry.map_or((Class::Batch, 0), |entry| (entry.class, entry.priority))
     };
     let ranks: Vec<(Class, u32)> = jobs.iter().map(rank).collect();
-    let tenants: Vec<Tenant<'_>> = jobs
+    let tasks: Vec<HostTask<'_>> = jobs
         .iter()
         .zip(&ranks)
         .zip(&added_slowdowns)
-        .map(|((placed_job, (class, priority)), harm)| Tenant {
+        .map(|((placed_job, (class, priority)), harm)| HostTask {
             job: &placed_job.job,
             class: *class,
             priority: *priority,
@@ -250,7 +250,7 @@
         })
         .collect();
     host.distress
-        .report(max_slowdown, measured_at, &tenants, memory, cx.clock.now())
+        .report(max_slowdown, measured_at, &tasks, memory, cx.clock.now())
 }
 
 /// A job that is placed on a worker.
@@ -301,16 +301,22 @@
     jobs.iter().map(harm).collect()
 }
 
-async fn apply_step(cx: &Cx, shard: &Rc<Shard>, worker: &WorkerId, address: &str, step: Step) {
+async fn apply_step(
+    cx: &Cx,
+    shard: &Rc<Shard>,
+    worker: &WorkerId,
+    address: &str,
+    step: MitigationStep,
+) {
     match step {
-        Step::Throttle(job) => {
+        MitigationStep::Throttle(job) => {
             if set_speed(cx, shard, address, &job, THROTTLED_PERMILLE).await {
                 with_host(shard, worker, |host| host.throttled.insert(job.clone()));
                 note_history(cx, shard, worker);
                 note_throttle(cx, &job, worker, THROTTLED_PERMILLE);
             }
         }
-        Step::Release(job) => {
+        MitigationStep::Release(job) => {
             if set_speed(cx, shard, address, &job, UNTHROTTLED_PERMILLE).await {
                 with_host(shard, worker, |host| host.throttled.swap_remove(&job));
                 note_throttle(cx, &job, worker, UNTHROTTLED_PERMILLE);
@@ -318,12 +324,12 @@
         }
         // If the ledger can't record the stop, the task would stay down until the store is
         // available.
-        Step::Evict(job) if shard.can_write(cx) => {
+        MitigationStep::Evict(job) if shard.can_write(cx) => {
             let now = cx.clock.now();
             shard.pressure.borrow_mut().memory.note(&job, worker, now);
             visits::stop_running(cx, shard, worker, address, &job);
         }
-        Step::Evict(_) => {}
+        MitigationStep::Evict(_) => {}
     }
 }
 
@@ -382,7 +388,7 @@
 }
 
 /// Tasks on a worker, counted by entry.
-pub fn residents(cx: &Cx, shard: &Shard, worker: &WorkerId) -> Vec<Resident> {
+pub fn running_kinds(cx: &Cx, shard: &Shard, worker: &WorkerId) -> Vec<RunningKind> {
     let (state, index) = (shard.state(), shard.journal.index());
     let mut counts = IndexMap::new();
     for job in index.on_worker(worker).filter_map(|id| state.jobs.get(id)) {
@@ -390,7 +396,7 @@
     }
     let catalogue = cx.catalogue.borrow();
     let mut pressure = shard.pressure.borrow_mut();
-    let resident = |(entry, count)| Resident {
+    let running_kind = |(entry, count)| RunningKind {
         neighbour: Neighbour {
             kind: pressure.interference.kind(entry),
             count,
@@ -399,5 +405,5 @@
             .entry(entry)
             .map_or(Class::Batch, |entry| entry.class),
     };
-    counts.into_iter().map(resident).collect()
+    counts.into_iter().map(running_kind).collect()
 }
--- a/src/lapisdrum/daemon/starts.rs
+++ b/src/lapisdrum/daemon/starts.rs
@@ -22,8 +22,8 @@
         size::Size,
     },
     policy::{
-        interference::Kind,
-        placement::{self, Resident, Room, Wanted},
+        placement::{self, CandidateHost, RunningKind, TaskToPlace},
+        slowdown::Kind,
     },
     state::ledger::Event,
     store::wire::Host,
@@ -78,7 +78,7 @@
         return;
     }
     let hosts = open_hosts(cx, shard);
-    let mut rooms: Vec<Room<'_>> = hosts.iter().map(OpenHost::room).collect();
+    let mut candidates: Vec<CandidateHost<'_>> = hosts.iter().map(OpenHost::candidate).collect();
     let mut turns: Vec<Turn> = waiting
         .into_iter()
         .map(|entry| turn(cx, shard, entry))
@@ -86,7 +86,7 @@
     let mut placed = 0;
     while !turns.is_empty() && placed < MAX_JOBS_PER_PASS {
         turns.retain_mut(|turn| {
-            let may_continue = place_next(cx, shard, turn, &mut rooms);
+            let may_continue = place_next(cx, shard, turn, &mut candidates);
             placed += usize::from(may_continue);
             if !may_continue {
                 put_back(shard, turn);
@@ -123,7 +123,12 @@
 }
 
 /// Takes one waiting job of an entry and tries to place it. False when the entry's turn has ended.
-fn place_next(cx: &Cx, shard: &Rc<Shard>, turn: &mut Turn, rooms: &mut [Room<'_>]) -> bool {
+fn place_next(
+    cx: &Cx,
+    shard: &Rc<Shard>,
+    turn: &mut Turn,
+    candidates: &mut [CandidateHost<'_>],
+) -> bool {
     if turn.left == 0 {
         return false;
     }
@@ -140,11 +145,11 @@
     let Some((size, attempts)) = known.map(|known| (known.size, known.attempts)) else {
         return true;
     };
-    let Some(chosen) = choose_room(cx, shard, turn, rooms, (&job, size)) else {
+    let Some(chosen) = choose_host(cx, shard, turn, candidates, (&job, size)) else {
         turn.deferred.push(job);
         return false;
     };
-    let worker = rooms[chosen].worker.clone();
+    let worker = candidates[chosen].worker.clone();
     if shard.session(&worker, |session| session.stopping.contains(&job)) == Some(true) {
         turn.deferred.push(job);
         return true;
@@ -160,38 +165,40 @@
         return false;
     }
     turn.left -= 1;
-    rooms[chosen].free = rooms[chosen].free.minus(&size);
+    candidates[chosen].free = candidates[chosen].free.minus(&size);
     true
 }
 
-fn choose_room(
+fn choose_host(
     cx: &Cx,
     shard: &Shard,
     turn: &Turn,
-    rooms: &[Room<'_>],
+    candidates: &[CandidateHost<'_>],
     (job, size): (&JobId, Size),
 ) -> Option<usize> {
     let (pressure, now) = (shard.pressure.borrow(), cx.clock.now());
     let index = shard.journal.index();
-    let is_open = |room: &Room<'_>| {
-        let is_empty = index.on_worker(room.worker).next().is_none();
-        pressure.may_place(job, turn.class, room.worker, is_empty, now)
+    let is_open = |candidate: &CandidateHost<'_>| {
+        let is_empty = index.on_worker(candidate.worker).next().is_none();
+        pressure.may_place(job, turn.class, candidate.worker, is_empty, now)
     };
-    let mut open: Vec<usize> = (0..rooms.len()).filter(|i| is_open(&rooms[*i])).collect();
-    let has_not_failed = |i: &usize| !pressure.health.has_failed_on(job, rooms[*i].worker);
+    let mut open: Vec<usize> = (0..candidates.len())
+        .filter(|i| is_open(&candidates[*i]))
+        .collect();
+    let has_not_failed = |i: &usize| !pressure.health.has_failed_on(job, candidates[*i].worker);
     // Prefer workers on which the job has not failed; use the others only when there is no choice.
     if open.iter().any(has_not_failed) {
         open.retain(has_not_failed);
     }
-    let wanted = Wanted {
+    let to_place = TaskToPlace {
         kind: turn.kind,
         class: turn.class,
         size,
-        same_placed: turn.placed,
+        entry_tasks_placed: turn.placed,
     };
-    let views: Vec<Room<'_>> = open.iter().map(|i| rooms[*i]).collect();
+    let views: Vec<CandidateHost<'_>> = open.iter().map(|i| candidates[*i]).collect();
     let known = &pressure.interference;
-    let chosen = placement::choose(&views, &wanted, known, now, &mut rand::rng())?;
+    let chosen = placement::choose(&views, &to_place, known, now, &mut rand::rng())?;
     Some(open[chosen])
 }
 
@@ -218,18 +225,18 @@
     rack: Rack,
     capacity: Size,
     free: Size,
-    residents: Vec<Resident>,
+    running_kinds: Vec<RunningKind>,
 }
 
 impl OpenHost {
-    fn room(&self) -> Room<'_> {
-        Room {
+    fn candidate(&self) -> CandidateHost<'_> {
+        CandidateHost {
             worker: &self.worker,
             rack: &self.rack,
             capacity: self.capacity,
             free: self.free,
-            residents: &self.residents,
-            same_in_rack: 0,
+            running_kinds: &self.running_kinds,
+            entry_tasks_in_rack: 0,
         }
     }
 }
@@ -256,7 +263,7 @@
             rack: host.rack.clone(),
             capacity: host.capacity,
             free: host.capacity.minus(&committed.size).minus(&reserved),
-            residents: pressure::residents(cx, shard, &host.worker),
+            running_kinds: pressure::running_kinds(cx, shard, &host.worker),
         }
     };
     hosts.map(open).collect()
--- a/src/lapisdrum/policy/eviction.rs
+++ b/src/lapisdrum/policy/eviction.rs
@@ -7,7 +7,7 @@
 //! evicted task is placed back and evicted again.
 //!
 //! The distress of a host is the worst slowdown of its latency-critical work, in reports that
-//! arrive late. Mitigation starts after two consecutive reports above [`DISTRESS`]; after each step
+//! arrive late. Mitigation starts after two consecutive reports above [`DISTRESS_SLOWDOWN`]; after each step
 //! the host has [`SETTLE_TIME`] to respond before the next. First, as many tasks are throttled as
 //! are expected to end the distress, those with the most harm for their priority first; after that,
 //! one task is evicted at a time. (With one throttle at a time, a wave of six noisy tasks was over
@@ -31,7 +31,7 @@
 
 /// Slowdown of latency-critical work above which mitigation starts, relative to 1 for an
 /// uncontended host. The target is a p99 within twice the uncontended one; this is halfway there.
-pub const DISTRESS: f64 = 1.5;
+pub const DISTRESS_SLOWDOWN: f64 = 1.5;
 /// Slowdown below which the distress of a host ends and batch tasks may be placed there again.
 pub const RECOVERY_SLOWDOWN: f64 = 1.35;
 /// Time after a step before reports count again: usage reports lag by some seconds.
@@ -46,7 +46,7 @@
 const MIN_THROTTLE_HARM: f64 = 0.1;
 /// Least harm of a task worth evicting, relative to the most harmful task on the host.
 const MIN_EVICTION_HARM: f64 = 0.5;
-/// Consecutive reports above [`DISTRESS`] that start a mitigation step.
+/// Consecutive reports above [`DISTRESS_SLOWDOWN`] that start a mitigation step.
 const REPORTS_TO_MITIGATE: u32 = 2;
 /// Consecutive reports that release a throttle. More than start a mitigation step, so that a wave
 /// with short pauses does not cause oscillation.
@@ -54,7 +54,7 @@
 
 /// Thresholds at which a host enters and leaves distress.
 pub const THRESHOLDS: HysteresisConfig = HysteresisConfig {
-    on_above: DISTRESS,
+    on_above: DISTRESS_SLOWDOWN,
     off_below: RECOVERY_SLOWDOWN,
     on_after: REPORTS_TO_MITIGATE,
     off_after: REPORTS_TO_RELEASE,
@@ -63,7 +63,7 @@
 
 /// A task on the host, with what decides whether it is throttled or evicted.
 #[derive(Clone, Copy, Debug)]
-pub struct Tenant<'a> {
+pub struct HostTask<'a> {
     /// Job that the task runs.
     pub job: &'a JobId,
     /// Only tasks of [`Class::Batch`] are throttled or evicted.
@@ -80,7 +80,7 @@
 
 /// A mitigation step on a host.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Step {
+pub enum MitigationStep {
     /// Throttle this job's task.
     Throttle(JobId),
     /// Remove the throttle of this job's task.
@@ -93,7 +93,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Distress {
     switch: Switch,
-    /// Consecutive reports above [`DISTRESS`] since the last step.
+    /// Consecutive reports above [`DISTRESS_SLOWDOWN`] since the last step.
     high_reports: u32,
     /// Consecutive reports that would allow a release since the last step.
     releasable_reports: u32,
@@ -143,34 +143,32 @@
         &mut self,
         slowdown: f64,
         measured_at: Millis,
-        tenants: &[Tenant<'_>],
+        tasks: &[HostTask<'_>],
         memory: &EvictionMemory,
         now: Millis,
-    ) -> Vec<Step> {
+    ) -> Vec<MitigationStep> {
         if !self.is_fresh(measured_at) {
             return Vec::new();
         }
         self.last_measured = Some(measured_at);
         self.switch
             .report(&THRESHOLDS, slowdown, measured_at, measured_at);
-        self.high_reports = if slowdown > DISTRESS {
+        self.high_reports = if slowdown > DISTRESS_SLOWDOWN {
             self.high_reports + 1
         } else {
             0
         };
         let releasable =
-            select_for_release(tenants).filter(|tenant| slowdown + tenant.harm < DISTRESS);
+            select_for_release(tasks).filter(|task| slowdown + task.harm < DISTRESS_SLOWDOWN);
         self.releasable_reports = if releasable.is_some() {
             self.releasable_reports + 1
         } else {
             0
         };
         let steps = match releasable {
-            _ if self.high_reports >= REPORTS_TO_MITIGATE => {
-                mitigate(slowdown, tenants, memory, now)
-            }
-            Some(tenant) if self.releasable_reports >= REPORTS_TO_RELEASE => {
-                vec![Step::Release(tenant.job.clone())]
+            _ if self.high_reports >= REPORTS_TO_MITIGATE => mitigate(slowdown, tasks, memory, now),
+            Some(task) if self.releasable_reports >= REPORTS_TO_RELEASE => {
+                vec![MitigationStep::Release(task.job.clone())]
             }
             _ => Vec::new(),
         };
@@ -197,17 +195,17 @@
 
 fn mitigate(
     slowdown: f64,
-    tenants: &[Tenant<'_>],
+    tasks: &[HostTask<'_>],
     memory: &EvictionMemory,
     now: Millis,
-) -> Vec<Step> {
-    let throttled = plan_throttles(slowdown, tenants);
+) -> Vec<MitigationStep> {
+    let throttled = plan_throttles(slowdown, tasks);
     if !throttled.is_empty() {
         return throttled;
     }
-    let evicted = select_for_eviction(tenants, memory, now);
+    let evicted = select_for_eviction(tasks, memory, now);
     evicted
-        .map(|tenant| Step::Evict(tenant.job.clone()))
+        .map(|task| MitigationStep::Evict(task.job.clone()))
         .into_iter()
         .collect()
 }
@@ -215,25 +213,25 @@
 /// Throttles for the batch tasks with the most harm for their priority, as many as are expected to
 /// end the distress. If none is known to do harm and none is throttled yet, the first is throttled
 /// all the same, and only that one.
-fn plan_throttles(slowdown: f64, tenants: &[Tenant<'_>]) -> Vec<Step> {
+fn plan_throttles(slowdown: f64, tasks: &[HostTask<'_>]) -> Vec<MitigationStep> {
     let min_harm = MIN_THROTTLE_HARM * (slowdown - 1.0);
-    let any_throttled = tenants.iter().any(|t| t.throttled);
-    let candidates = tenants
+    let any_throttled = tasks.iter().any(|t| t.throttled);
+    let candidates = tasks
         .iter()
         .filter(|t| t.class == Class::Batch && !t.throttled);
-    let mut candidates: Vec<&Tenant<'_>> = candidates
+    let mut candidates: Vec<&HostTask<'_>> = candidates
         .filter(|t| t.harm >= min_harm || !any_throttled)
         .collect();
-    let harm_per_priority = |t: &Tenant<'_>| t.harm / f64::from(t.priority.max(1));
+    let harm_per_priority = |t: &HostTask<'_>| t.harm / f64::from(t.priority.max(1));
     candidates.sort_by(|a, b| harm_per_priority(b).total_cmp(&harm_per_priority(a)));
     let mut expected = slowdown;
     let mut steps = Vec::new();
-    for tenant in candidates {
-        if expected <= DISTRESS || (tenant.harm < min_harm && !steps.is_empty()) {
+    for task in candidates {
+        if expected <= DISTRESS_SLOWDOWN || (task.harm < min_harm && !steps.is_empty()) {
             break;
         }
-        expected -= tenant.harm * THROTTLE_EFFECT;
-        steps.push(Step::Throttle(tenant.job.clone()));
+        expected -= task.harm * THROTTLE_EFFECT;
+        steps.push(MitigationStep::Throttle(task.job.clone()));
     }
     steps
 }
@@ -241,11 +239,11 @@
 /// Of the batch tasks that do much of the harm, the one whose eviction costs least: lowest
 /// priority, then least work lost.
 pub fn select_for_eviction<'a>(
-    tenants: &'a [Tenant<'a>],
+    tasks: &'a [HostTask<'a>],
     memory: &EvictionMemory,
     now: Millis,
-) -> Option<&'a Tenant<'a>> {
-    let candidates: Vec<&Tenant<'_>> = tenants
+) -> Option<&'a HostTask<'a>> {
+    let candidates: Vec<&HostTask<'_>> = tasks
         .iter()
         .filter(|t| t.class == Class::Batch && memory.may_evict(t.job, now))
         .collect();
@@ -257,7 +255,7 @@
 }
 
 /// The throttled task that would do least harm at full speed.
-fn select_for_release<'a>(tenants: &'a [Tenant<'a>]) -> Option<&'a Tenant<'a>> {
-    let throttled = tenants.iter().filter(|t| t.throttled);
+fn select_for_release<'a>(tasks: &'a [HostTask<'a>]) -> Option<&'a HostTask<'a>> {
+    let throttled = tasks.iter().filter(|t| t.throttled);
     throttled.min_by(|a, b| a.harm.total_cmp(&b.harm))
 }
--- a/src/lapisdrum/policy/mod.rs
+++ b/src/lapisdrum/policy/mod.rs
@@ -8,7 +8,7 @@
 //! the Retry-After time), [`admission`] again (concurrency limit, when it starts), [`headroom`]
 //! (slots reserved for shorter runs), [`routing`] with [`outliers`] (choice of worker) and
 //! [`retry`] (whether to send again). A task passes [`queueing`], [`placement`] with
-//! [`interference`] and [`health`], then [`eviction`]. [`hysteresis`] limits how often a decision
+//! [`slowdown`] and [`health`], then [`eviction`]. [`hysteresis`] limits how often a decision
 //! changes where its signal lags. Tasks of job graphs are placed by [`dispatch`]; [`polling`]
 //! limits the reads of the shared store.
 
@@ -19,10 +19,10 @@
 pub mod headroom;
 pub mod health;
 pub mod hysteresis;
-pub mod interference;
 pub mod outliers;
 pub mod placement;
 pub mod polling;
 pub mod queueing;
 pub mod retry;
 pub mod routing;
+pub mod slowdown;
--- a/src/lapisdrum/policy/placement.rs
+++ b/src/lapisdrum/policy/placement.rs
@@ -11,12 +11,12 @@
 //!
 //! A task goes only where its declared size fits. Up to [`SAMPLE_SIZE`] of the hosts that fit are
 //! sampled, and the one with the lowest cost is chosen: the estimated interference in both directions
-//! ([`super::interference`]), weighted by class, plus the capacity that stays unused, plus the share
+//! ([`super::slowdown`]), weighted by class, plus the capacity that stays unused, plus the share
 //! of the entry's tasks in the same rack. Sampling bounds the cost of a decision however many workers
 //! there are: the best of 24 is within the best tenth of all hosts in 92 of 100 decisions
 //! (1 - 0.9^24).
 
-use super::interference::{Interference, Kind, Neighbour};
+use super::slowdown::{Kind, Neighbour, SlowdownModel};
 use crate::core::{
     catalogue::Class,
     id::{Rack, WorkerId},
@@ -29,7 +29,7 @@
 pub const SAMPLE_SIZE: usize = 24;
 /// Estimated slowdown of latency-critical work, together with all that runs on the host already, up to
 /// which a batch task may be placed. Above it [`super::eviction`] would remove the task again.
-pub const MAX_SLOWDOWN: f64 = super::eviction::DISTRESS;
+pub const MAX_SLOWDOWN: f64 = super::eviction::DISTRESS_SLOWDOWN;
 /// Uncertainty of an interference estimate from which it rules out no host.
 const MAX_UNCERTAINTY: f64 = 0.5;
 /// Weight of a slowdown of latency-critical work, relative to one of batch work.
@@ -41,7 +41,7 @@
 
 /// Running work of one kind on a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Resident {
+pub struct RunningKind {
     /// The kind, and the number of tasks or requests of it.
     pub neighbour: Neighbour,
     /// Class of the kind, which weights its slowdown.
@@ -50,7 +50,7 @@
 
 /// A host that may take a task: its worker is live, claimed, not leaving and not ejected.
 #[derive(Clone, Copy, Debug)]
-pub struct Room<'a> {
+pub struct CandidateHost<'a> {
     /// Worker that runs on the host.
     pub worker: &'a WorkerId,
     /// Rack of the host.
@@ -60,14 +60,14 @@
     /// Free capacity.
     pub free: Size,
     /// Tasks and latency-critical requests that run on the host, one element per kind.
-    pub residents: &'a [Resident],
+    pub running_kinds: &'a [RunningKind],
     /// Number of tasks in this host's rack of the same entry as the task to place.
-    pub same_in_rack: u32,
+    pub entry_tasks_in_rack: u32,
 }
 
 /// A task to place.
 #[derive(Clone, Copy, Debug)]
-pub struct Wanted {
+pub struct TaskToPlace {
     /// Kind by which interference is estimated.
     pub kind: Kind,
     /// Weights its slowdown; only batch tasks are kept from services that they would slow too far.
@@ -75,24 +75,23 @@
     /// Declared size, which must fit into the free capacity.
     pub size: Size,
     /// Number of placed tasks of the same entry, over all racks.
-    pub same_placed: u32,
+    pub entry_tasks_placed: u32,
 }
 
 /// Chooses a host, by index; `None` when no host fits, or when a batch task would slow the services of
 /// every sampled host too far.
 pub fn choose(
-    rooms: &[Room<'_>],
-    wanted: &Wanted,
-    interference: &Interference,
+    candidates: &[CandidateHost<'_>],
+    task: &TaskToPlace,
+    model: &SlowdownModel,
     now: Millis,
     rng: &mut impl Rng,
 ) -> Option<usize> {
-    let sample = sample_fitting(rooms, &wanted.size, rng);
+    let sample = sample_fitting(candidates, &task.size, rng);
     let allowed = sample.into_iter().filter(|index| {
-        wanted.class != Class::Batch
-            || is_slowdown_acceptable(&rooms[*index], wanted, interference, now)
+        task.class != Class::Batch || is_slowdown_acceptable(&candidates[*index], task, model, now)
     });
-    let costs = allowed.map(|index| (cost(&rooms[index], wanted, interference, now), index));
+    let costs = allowed.map(|index| (cost(&candidates[index], task, model, now), index));
     costs
         .min_by(|(a, _), (b, _)| a.total_cmp(b))
         .map(|(_, index)| index)
@@ -100,8 +99,8 @@
 
 /// Up to [`SAMPLE_SIZE`] hosts that fit, found from a random host on in steps of a random stride. A
 /// stride that is coprime to the number of hosts reaches every host once.
-fn sample_fitting(rooms: &[Room<'_>], size: &Size, rng: &mut impl Rng) -> Vec<usize> {
-    let count = rooms.len();
+fn sample_fitting(candidates: &[CandidateHost<'_>], size: &Size, rng: &mut impl Rng) -> Vec<usize> {
+    let count = candidates.len();
     if count == 0 {
         return Vec::new();
     }
@@ -109,7 +108,7 @@
     let stride = coprime_stride(count, rng);
     (0..count)
         .map(|i| (start + i * stride) % count)
-        .filter(|index| size.fits(&rooms[*index].free))
+        .filter(|index| size.fits(&candidates[*index].free))
         .take(SAMPLE_SIZE)
         .collect()
 }
@@ -125,41 +124,49 @@
 }
 
 /// Cost of placing the task on the host; lower is better.
-pub fn cost(room: &Room<'_>, wanted: &Wanted, interference: &Interference, now: Millis) -> f64 {
-    let interference_cost = interference_cost(room.residents, wanted, interference, now);
-    let unused = unused_fraction(room, &wanted.size);
-    let rack_share = match wanted.same_placed {
+pub fn cost(
+    candidate: &CandidateHost<'_>,
+    task: &TaskToPlace,
+    model: &SlowdownModel,
+    now: Millis,
+) -> f64 {
+    let interference_cost = interference_cost(candidate.running_kinds, task, model, now);
+    let unused = unused_fraction(candidate, &task.size);
+    let rack_share = match task.entry_tasks_placed {
         0 => 0.0,
-        placed => f64::from(room.same_in_rack) / f64::from(placed),
+        placed => f64::from(candidate.entry_tasks_in_rack) / f64::from(placed),
     };
     interference_cost + UNUSED_CAPACITY_COST * unused + SAME_RACK_COST * rack_share
 }
 
 /// Whether the services that the task would slow stay within [`MAX_SLOWDOWN`].
 fn is_slowdown_acceptable(
-    room: &Room<'_>,
-    wanted: &Wanted,
-    interference: &Interference,
+    candidate: &CandidateHost<'_>,
+    task: &TaskToPlace,
+    model: &SlowdownModel,
     now: Millis,
 ) -> bool {
-    let estimated = |service: Kind, kind: Kind| match interference.doubt(service, kind, now) {
-        doubt if doubt < MAX_UNCERTAINTY => interference.added(service, kind, now),
+    let estimated = |service: Kind, kind: Kind| match model.uncertainty(service, kind, now) {
+        uncertainty if uncertainty < MAX_UNCERTAINTY => model.added(service, kind, now),
         _ => 0.0,
     };
     let expected = |service: Kind| {
-        let residents = room.residents.iter().map(|resident| resident.neighbour);
-        let others = residents.filter(|neighbour| neighbour.kind != service);
-        let from_residents: f64 = others
+        let running_kinds = candidate
+            .running_kinds
+            .iter()
+            .map(|running_kind| running_kind.neighbour);
+        let others = running_kinds.filter(|neighbour| neighbour.kind != service);
+        let from_running: f64 = others
             .map(|neighbour| f64::from(neighbour.count) * estimated(service, neighbour.kind))
             .sum();
-        let from_task = estimated(service, wanted.kind);
+        let from_task = estimated(service, task.kind);
         // A service that this task does not slow is no reason to keep it away.
-        (from_task > 0.0).then_some(1.0 + from_residents + from_task)
+        (from_task > 0.0).then_some(1.0 + from_running + from_task)
     };
-    let services = room
-        .residents
+    let services = candidate
+        .running_kinds
         .iter()
-        .filter(|resident| resident.class == Class::LatencyCritical);
+        .filter(|running_kind| running_kind.class == Class::LatencyCritical);
     services
         .filter_map(|service| expected(service.neighbour.kind))
         .all(|slowdown| slowdown <= MAX_SLOWDOWN)
@@ -167,16 +174,16 @@
 
 /// Estimated slowdown that the task would cause and suffer, weighted by class.
 fn interference_cost(
-    residents: &[Resident],
-    wanted: &Wanted,
-    interference: &Interference,
+    running_kinds: &[RunningKind],
+    task: &TaskToPlace,
+    model: &SlowdownModel,
     now: Millis,
 ) -> f64 {
-    let each = residents.iter().map(|resident| {
-        let count = f64::from(resident.neighbour.count);
-        let kind = resident.neighbour.kind;
-        let caused = interference.added(kind, wanted.kind, now) * weight(resident.class);
-        let suffered = interference.added(wanted.kind, kind, now) * weight(wanted.class);
+    let each = running_kinds.iter().map(|running_kind| {
+        let count = f64::from(running_kind.neighbour.count);
+        let kind = running_kind.neighbour.kind;
+        let caused = model.added(kind, task.kind, now) * weight(running_kind.class);
+        let suffered = model.added(task.kind, kind, now) * weight(task.class);
         count * (caused + suffered)
     });
     each.sum()
@@ -192,12 +199,12 @@
 
 /// Fraction of the host's capacity that stays free after placement, in the scarcest dimension that the
 /// task uses. Others are left out: a host without a free accelerator would always look full.
-fn unused_fraction(room: &Room<'_>, size: &Size) -> f64 {
+fn unused_fraction(candidate: &CandidateHost<'_>, size: &Size) -> f64 {
     let fraction = |free: u64, taken: u64, capacity: u64| match taken {
         0 => 1.0,
         taken => free.saturating_sub(taken) as f64 / capacity.max(1) as f64,
     };
-    let (free, capacity) = (&room.free, &room.capacity);
+    let (free, capacity) = (&candidate.free, &candidate.capacity);
     fraction(free.millicores, size.millicores, capacity.millicores)
         .min(fraction(free.memory_mb, size.memory_mb, capacity.memory_mb))
         .min(fraction(
--- a/src/lapisdrum/policy/interference.rs
+++ b/src/lapisdrum/policy/slowdown.rs
@@ -33,7 +33,7 @@
 const MAX_CHANGES: usize = 64;
 
 scalar! {
-    /// A kind of work: the index that [`Interference::kind`] assigned to a catalogue entry.
+    /// A kind of work: the index that [`SlowdownModel::kind`] assigned to a catalogue entry.
     pub struct Kind(pub u32);
 }
 
@@ -68,12 +68,12 @@
 
 /// Estimated slowdowns between kinds of work.
 #[derive(Debug, Default)]
-pub struct Interference {
+pub struct SlowdownModel {
     kinds: IndexSet<EntryName>,
     pairs: IndexMap<(Kind, Kind), Pair, std::hash::BuildHasherDefault<PairHasher>>,
 }
 
-impl Interference {
+impl SlowdownModel {
     /// Kind of a catalogue entry; assigns the next index to a new entry.
     pub fn kind(&mut self, entry: &EntryName) -> Kind {
         let index = match self.kinds.get_index_of(entry) {
@@ -96,7 +96,7 @@
         let uncertainties: Vec<f64> = report
             .beside
             .iter()
-            .map(|n| f64::from(n.count) * self.doubt(report.kind, n.kind, at))
+            .map(|n| f64::from(n.count) * self.uncertainty(report.kind, n.kind, at))
             .collect();
         let total: f64 = report
             .beside
@@ -130,7 +130,7 @@
 
     /// Uncertainty of the estimate that [`Self::added`] returns: 1 without reports, towards 0 with
     /// more.
-    pub fn doubt(&self, kind: Kind, neighbour: Kind, now: Millis) -> f64 {
+    pub fn uncertainty(&self, kind: Kind, neighbour: Kind, now: Millis) -> f64 {
         let reports = self
             .pairs
             .get(&(kind, neighbour))
--- a/tests/testsuite/policy/eviction.rs
+++ b/tests/testsuite/policy/eviction.rs
@@ -4,16 +4,16 @@
 use lapisdrum::{
     core::{catalogue::Class, id::JobId, time::Millis},
     policy::eviction::{
-        Distress, EVICTION_COOLDOWN, EvictionMemory, SAME_WORKER_COOLDOWN, SETTLE_TIME, Step,
-        Tenant, select_for_eviction,
+        Distress, EVICTION_COOLDOWN, EvictionMemory, HostTask, MitigationStep,
+        SAME_WORKER_COOLDOWN, SETTLE_TIME, select_for_eviction,
     },
 };
 use proptest::prelude::*;
 use rand::Rng;
 use std::time::Duration;
 
-fn tenant(job: &JobId) -> Tenant<'_> {
-    Tenant {
+fn host_task(job: &JobId) -> HostTask<'_> {
+    HostTask {
         job,
         class: Class::Batch,
         priority: 100,
@@ -29,30 +29,30 @@
 #[test]
 fn a_task_is_throttled_before_any_is_evicted() {
     let (quiet, noisy) = (job(0), job(1));
-    let mut tenants = [
-        tenant(&quiet),
-        Tenant {
+    let mut tasks = [
+        host_task(&quiet),
+        HostTask {
             harm: 2.5,
-            ..tenant(&noisy)
+            ..host_task(&noisy)
         },
     ];
     let (mut distress, memory) = (Distress::default(), EvictionMemory::default());
-    let mut order: Vec<(Millis, Step)> = Vec::new();
+    let mut order: Vec<(Millis, MitigationStep)> = Vec::new();
     for second in 1..60 {
         let now = Millis(second * 1_000);
         let measured = now.before(Duration::from_secs(3));
-        for step in distress.report(3.0, measured, &tenants, &memory, now) {
-            if let Step::Throttle(job) = &step {
-                for tenant in tenants.iter_mut().filter(|t| t.job == job) {
-                    tenant.throttled = true;
+        for step in distress.report(3.0, measured, &tasks, &memory, now) {
+            if let MitigationStep::Throttle(job) = &step {
+                for host_task in tasks.iter_mut().filter(|t| t.job == job) {
+                    host_task.throttled = true;
                 }
             }
             order.push((now, step));
         }
     }
-    assert_eq!(order[0].1, Step::Throttle(noisy.clone()));
-    assert_eq!(order[1].1, Step::Throttle(quiet.clone()));
-    assert_eq!(order[2].1, Step::Evict(noisy.clone()));
+    assert_eq!(order[0].1, MitigationStep::Throttle(noisy.clone()));
+    assert_eq!(order[1].1, MitigationStep::Throttle(quiet.clone()));
+    assert_eq!(order[2].1, MitigationStep::Evict(noisy.clone()));
     for pair in order.windows(2) {
         assert!(
             pair[1].0.since(pair[0].0) > SETTLE_TIME,
@@ -66,14 +66,14 @@
 #[test]
 fn a_wave_is_throttled_at_once() {
     let jobs: Vec<JobId> = (0..6).map(job).collect();
-    let tenants: Vec<Tenant<'_>> = jobs.iter().map(tenant).collect();
+    let tasks: Vec<HostTask<'_>> = jobs.iter().map(host_task).collect();
     let (mut distress, memory) = (Distress::default(), EvictionMemory::default());
     assert!(
         distress
-            .report(2.5, Millis(1), &tenants, &memory, Millis(5_001))
+            .report(2.5, Millis(1), &tasks, &memory, Millis(5_001))
             .is_empty()
     );
-    let steps = distress.report(2.5, Millis(5_001), &tenants, &memory, Millis(10_001));
+    let steps = distress.report(2.5, Millis(5_001), &tasks, &memory, Millis(10_001));
     assert_eq!(
         steps.len(),
         3,
@@ -86,51 +86,51 @@
 #[test]
 fn a_throttle_is_undone_only_where_there_is_room() {
     let (mild, noisy) = (job(0), job(1));
-    let mut tenants = [
-        Tenant {
+    let mut tasks = [
+        HostTask {
             throttled: true,
             harm: 0.1,
-            ..tenant(&mild)
+            ..host_task(&mild)
         },
-        Tenant {
+        HostTask {
             throttled: true,
             harm: 0.9,
-            ..tenant(&noisy)
+            ..host_task(&noisy)
         },
     ];
     let (mut distress, memory) = (Distress::default(), EvictionMemory::default());
     let mut steps = Vec::new();
     for second in 1..120 {
         let now = Millis(second * 1_000);
-        for step in distress.report(1.3, now, &tenants, &memory, now) {
-            tenants[0].throttled &= step != Step::Release(mild.clone());
+        for step in distress.report(1.3, now, &tasks, &memory, now) {
+            tasks[0].throttled &= step != MitigationStep::Release(mild.clone());
             steps.push(step);
         }
     }
-    assert_eq!(steps, [Step::Release(mild)]);
+    assert_eq!(steps, [MitigationStep::Release(mild)]);
 }
 
 /// The least important goes first; among equals the one that loses least work.
 #[test]
 fn the_cheapest_task_is_evicted() {
     let (a, b, c) = (job(0), job(1), job(2));
-    let tenants = [
-        Tenant {
+    let tasks = [
+        HostTask {
             unsaved: Duration::from_secs(1),
-            ..tenant(&a)
+            ..host_task(&a)
         },
-        Tenant {
+        HostTask {
             priority: 10,
             unsaved: Duration::from_secs(900),
-            ..tenant(&b)
+            ..host_task(&b)
         },
-        Tenant {
+        HostTask {
             priority: 10,
             unsaved: Duration::from_secs(30),
-            ..tenant(&c)
+            ..host_task(&c)
         },
     ];
-    let chosen = select_for_eviction(&tenants, &EvictionMemory::default(), Millis(0));
+    let chosen = select_for_eviction(&tasks, &EvictionMemory::default(), Millis(0));
     assert_eq!(chosen.map(|t| t.job), Some(&c));
 }
 
@@ -138,11 +138,11 @@
 #[test]
 fn only_batch_work_is_moved() {
     let stream = job(0);
-    let tenants = [Tenant {
+    let tasks = [HostTask {
         class: Class::LongRunning,
-        ..tenant(&stream)
+        ..host_task(&stream)
     }];
-    assert!(select_for_eviction(&tenants, &EvictionMemory::default(), Millis(0)).is_none());
+    assert!(select_for_eviction(&tasks, &EvictionMemory::default(), Millis(0)).is_none());
 }
 
 /// An evicted render isn't put back where it came from, and its next host doesn't evict it at once.
@@ -154,9 +154,14 @@
     let soon = Millis(60_000);
     assert!(!memory.may_place(&render, &home, soon));
     assert!(memory.may_place(&render, &worker(1), soon));
-    assert!(select_for_eviction(&[tenant(&render)], &memory, soon).is_none());
+    assert!(select_for_eviction(&[host_task(&render)], &memory, soon).is_none());
     assert!(
-        select_for_eviction(&[tenant(&render)], &memory, Millis(0) + EVICTION_COOLDOWN).is_some()
+        select_for_eviction(
+            &[host_task(&render)],
+            &memory,
+            Millis(0) + EVICTION_COOLDOWN
+        )
+        .is_some()
     );
     assert!(memory.may_place(&render, &home, Millis(0) + SAME_WORKER_COOLDOWN));
 }
@@ -176,12 +181,12 @@
             let now = Millis(20_000 + second * 1_000);
             let lag = Duration::from_millis(rng.random_range(0..8_000));
             let slowdown = rng.random_range(0.9..2.5);
-            let tenants: Vec<Tenant<'_>> = jobs
+            let tasks: Vec<HostTask<'_>> = jobs
                 .iter()
                 .zip(throttled)
-                .map(|(job, throttled)| Tenant { throttled, ..tenant(job) })
+                .map(|(job, throttled)| HostTask { throttled, ..host_task(job) })
                 .collect();
-            let steps = distress.report(slowdown, now.before(lag), &tenants, &memory, now);
+            let steps = distress.report(slowdown, now.before(lag), &tasks, &memory, now);
             if steps.is_empty() {
                 continue;
             }
@@ -191,11 +196,11 @@
             last_step = Some(now);
             for step in steps {
                 match step {
-                    Step::Throttle(job) | Step::Release(job) => {
+                    MitigationStep::Throttle(job) | MitigationStep::Release(job) => {
                         let index = jobs.iter().position(|j| *j == job).expect("known");
                         throttled[index] = !throttled[index];
                     }
-                    Step::Evict(job) => {
+                    MitigationStep::Evict(job) => {
                         let recent =
                             evicted.iter().any(|(j, at)| {
                                 *j == job && now.since(*at) < EVICTION_COOLDOWN
--- a/tests/testsuite/policy/mod.rs
+++ b/tests/testsuite/policy/mod.rs
@@ -6,13 +6,13 @@
 mod headroom;
 mod health;
 mod hysteresis;
-mod interference;
 mod outliers;
 mod placement;
 mod polling;
 mod queueing;
 mod retry;
 mod routing;
+mod slowdown;
 mod stories;
 
 use lapisdrum::core::id::{EntryName, JobId, OwnerName, WorkerId};
--- a/tests/testsuite/policy/placement.rs
+++ b/tests/testsuite/policy/placement.rs
@@ -9,8 +9,8 @@
         time::Millis,
     },
     policy::{
-        interference::{Interference, Kind, Neighbour, Report},
-        placement::{Resident, Room, Wanted, choose},
+        placement::{CandidateHost, RunningKind, TaskToPlace, choose},
+        slowdown::{Kind, Neighbour, Report, SlowdownModel},
     },
 };
 use proptest::prelude::*;
@@ -35,28 +35,28 @@
         .collect()
 }
 
-fn room<'a>(worker: &'a WorkerId, rack: &'a Rack, free: Size) -> Room<'a> {
-    Room {
+fn candidate<'a>(worker: &'a WorkerId, rack: &'a Rack, free: Size) -> CandidateHost<'a> {
+    CandidateHost {
         worker,
         rack,
         capacity: CAPACITY,
         free,
-        residents: &[],
-        same_in_rack: 0,
+        running_kinds: &[],
+        entry_tasks_in_rack: 0,
     }
 }
 
-fn wanted(size: Size) -> Wanted {
-    Wanted {
+fn to_place(size: Size) -> TaskToPlace {
+    TaskToPlace {
         kind: Kind(0),
         class: Class::Batch,
         size,
-        same_placed: 0,
+        entry_tasks_placed: 0,
     }
 }
 
 /// Ten reports each of how much one `noisy` neighbour slows these kinds, in thousandths.
-fn learn(known: &mut Interference, noisy: Kind, slowed: &[(Kind, u32)]) {
+fn learn(known: &mut SlowdownModel, noisy: Kind, slowed: &[(Kind, u32)]) {
     for i in 0..10 {
         for (kind, slowdown_permille) in slowed {
             known.note(&Report {
@@ -82,17 +82,17 @@
     ) {
         let racks = racks(1);
         let workers: Vec<WorkerId> = (0..frees.len()).map(worker).collect();
-        let rooms: Vec<Room<'_>> = frees
+        let candidates: Vec<CandidateHost<'_>> = frees
             .iter()
             .zip(&workers)
-            .map(|((c, m, a), worker)| room(worker, &racks[0], size(*c, *m, *a)))
+            .map(|((c, m, a), worker)| candidate(worker, &racks[0], size(*c, *m, *a)))
             .collect();
-        let want = wanted(size(want.0, want.1, want.2));
-        let known = Interference::default();
-        let chosen = choose(&rooms, &want, &known, Millis(0), &mut seeded(seed));
-        prop_assert_eq!(chosen.is_some(), rooms.iter().any(|room| want.size.fits(&room.free)));
+        let want = to_place(size(want.0, want.1, want.2));
+        let known = SlowdownModel::default();
+        let chosen = choose(&candidates, &want, &known, Millis(0), &mut seeded(seed));
+        prop_assert_eq!(chosen.is_some(), candidates.iter().any(|candidate| want.size.fits(&candidate.free)));
         if let Some(index) = chosen {
-            prop_assert!(want.size.fits(&rooms[index].free));
+            prop_assert!(want.size.fits(&candidates[index].free));
         }
     }
 }
@@ -101,15 +101,15 @@
 #[test]
 fn small_tasks_leave_room_for_large_ones() {
     let (racks, workers) = (racks(1), [worker(0), worker(1), worker(2)]);
-    let rooms = [
-        room(&workers[0], &racks[0], CAPACITY),
-        room(&workers[1], &racks[0], size(8, 30_000, 0)),
-        room(&workers[2], &racks[0], size(20, 80_000, 1)),
+    let candidates = [
+        candidate(&workers[0], &racks[0], CAPACITY),
+        candidate(&workers[1], &racks[0], size(8, 30_000, 0)),
+        candidate(&workers[2], &racks[0], size(20, 80_000, 1)),
     ];
-    let known = Interference::default();
+    let known = SlowdownModel::default();
     let chosen = choose(
-        &rooms,
-        &wanted(size(1, 1_000, 0)),
+        &candidates,
+        &to_place(size(1, 1_000, 0)),
         &known,
         Millis(0),
         &mut seeded(1),
@@ -121,62 +121,68 @@
 /// measured a render goes to the tighter fit, beside the maps; afterwards it goes beside the checks.
 #[test]
 fn a_noisy_task_is_kept_from_the_service() {
-    let mut known = Interference::default();
+    let mut known = SlowdownModel::default();
     let [map, render, check] = ["map", "render", "check"].map(|name| known.kind(&entry(name)));
-    let resident = |kind| Resident {
+    let running_kind = |kind| RunningKind {
         neighbour: Neighbour { kind, count: 1 },
         class: Class::LatencyCritical,
     };
-    let (maps, checks) = ([resident(map)], [resident(check)]);
+    let (maps, checks) = ([running_kind(map)], [running_kind(check)]);
     let (racks, workers) = (racks(1), [worker(0), worker(1)]);
-    let rooms = [
-        Room {
-            residents: &maps,
-            ..room(&workers[0], &racks[0], size(4, 4_000, 0))
+    let candidates = [
+        CandidateHost {
+            running_kinds: &maps,
+            ..candidate(&workers[0], &racks[0], size(4, 4_000, 0))
         },
-        Room {
-            residents: &checks,
-            ..room(&workers[1], &racks[0], size(30, 100_000, 0))
+        CandidateHost {
+            running_kinds: &checks,
+            ..candidate(&workers[1], &racks[0], size(30, 100_000, 0))
         },
     ];
-    let want = Wanted {
+    let want = TaskToPlace {
         kind: render,
-        ..wanted(size(2, 2_000, 0))
+        ..to_place(size(2, 2_000, 0))
     };
     let now = Millis(50_000);
-    assert_eq!(choose(&rooms, &want, &known, now, &mut seeded(1)), Some(0));
+    assert_eq!(
+        choose(&candidates, &want, &known, now, &mut seeded(1)),
+        Some(0)
+    );
     learn(&mut known, render, &[(map, 3_000), (check, 1_000)]);
-    assert_eq!(choose(&rooms, &want, &known, now, &mut seeded(1)), Some(1));
+    assert_eq!(
+        choose(&candidates, &want, &known, now, &mut seeded(1)),
+        Some(1)
+    );
 }
 
 /// Nothing is known of a task yet. It is tried beside batch work rather than beside a service.
 #[test]
 fn unknown_work_is_not_tried_on_a_service_first() {
-    let mut known = Interference::default();
+    let mut known = SlowdownModel::default();
     let [map, backup, render] = ["map", "backup", "render"].map(|name| known.kind(&entry(name)));
-    let resident = |kind, class| Resident {
+    let running_kind = |kind, class| RunningKind {
         neighbour: Neighbour { kind, count: 1 },
         class,
     };
-    let maps = [resident(map, Class::LatencyCritical)];
-    let backups = [resident(backup, Class::Batch)];
+    let maps = [running_kind(map, Class::LatencyCritical)];
+    let backups = [running_kind(backup, Class::Batch)];
     let (racks, workers) = (racks(1), [worker(0), worker(1)]);
-    let rooms = [
-        Room {
-            residents: &maps,
-            ..room(&workers[0], &racks[0], size(4, 4_000, 0))
+    let candidates = [
+        CandidateHost {
+            running_kinds: &maps,
+            ..candidate(&workers[0], &racks[0], size(4, 4_000, 0))
         },
-        Room {
-            residents: &backups,
-            ..room(&workers[1], &racks[0], size(30, 100_000, 0))
+        CandidateHost {
+            running_kinds: &backups,
+            ..candidate(&workers[1], &racks[0], size(30, 100_000, 0))
         },
     ];
-    let want = Wanted {
+    let want = TaskToPlace {
         kind: render,
-        ..wanted(size(2, 2_000, 0))
+        ..to_place(size(2, 2_000, 0))
     };
     assert_eq!(
-        choose(&rooms, &want, &known, Millis(0), &mut seeded(1)),
+        choose(&candidates, &want, &known, Millis(0), &mut seeded(1)),
         Some(1)
     );
 }
@@ -187,23 +193,23 @@
 fn tasks_of_an_entry_are_spread_over_racks() {
     let (racks, workers) = (racks(4), (0..8).map(worker).collect::<Vec<_>>());
     let mut in_rack = [0_u32; 4];
-    let known = Interference::default();
+    let known = SlowdownModel::default();
     for placed in 0..8 {
-        let rooms: Vec<Room<'_>> = workers
+        let candidates: Vec<CandidateHost<'_>> = workers
             .iter()
             .enumerate()
-            .map(|(i, worker)| Room {
-                same_in_rack: in_rack[i / 2],
-                ..room(worker, &racks[i / 2], CAPACITY)
+            .map(|(i, worker)| CandidateHost {
+                entry_tasks_in_rack: in_rack[i / 2],
+                ..candidate(worker, &racks[i / 2], CAPACITY)
             })
             .collect();
-        let want = Wanted {
+        let want = TaskToPlace {
             class: Class::LongRunning,
-            same_placed: placed,
-            ..wanted(size(1, 1_000, 0))
+            entry_tasks_placed: placed,
+            ..to_place(size(1, 1_000, 0))
         };
         let chosen = choose(
-            &rooms,
+            &candidates,
             &want,
             &known,
             Millis(0),
@@ -218,10 +224,10 @@
 /// there; a livestream, which has to run, is placed all the same.
 #[test]
 fn batch_waits_rather_than_slow_a_service() {
-    let mut known = Interference::default();
+    let mut known = SlowdownModel::default();
     let [map, render] = ["map", "render"].map(|name| known.kind(&entry(name)));
     learn(&mut known, render, &[(map, 3_000)]);
-    let maps = [Resident {
+    let maps = [RunningKind {
         neighbour: Neighbour {
             kind: map,
             count: 1,
@@ -229,22 +235,28 @@
         class: Class::LatencyCritical,
     }];
     let (racks, workers) = (racks(1), [worker(0)]);
-    let rooms = [Room {
-        residents: &maps,
-        ..room(&workers[0], &racks[0], CAPACITY)
+    let candidates = [CandidateHost {
+        running_kinds: &maps,
+        ..candidate(&workers[0], &racks[0], CAPACITY)
     }];
-    let want = |class| Wanted {
+    let want = |class| TaskToPlace {
         kind: render,
         class,
-        ..wanted(size(2, 2_000, 0))
+        ..to_place(size(2, 2_000, 0))
     };
     let now = Millis(50_000);
     assert_eq!(
-        choose(&rooms, &want(Class::Batch), &known, now, &mut seeded(1)),
+        choose(
+            &candidates,
+            &want(Class::Batch),
+            &known,
+            now,
+            &mut seeded(1)
+        ),
         None
     );
     let stream = choose(
-        &rooms,
+        &candidates,
         &want(Class::LongRunning),
         &known,
         now,
@@ -257,28 +269,28 @@
 /// alone: they still go beside the checks while there is room.
 #[test]
 fn a_mildly_noisy_task_goes_where_it_harms_less() {
-    let mut known = Interference::default();
+    let mut known = SlowdownModel::default();
     let [map, render, check] = ["map", "render", "check"].map(|name| known.kind(&entry(name)));
     learn(&mut known, render, &[(map, 1_300), (check, 1_000)]);
-    let resident = |kind| Resident {
+    let running_kind = |kind| RunningKind {
         neighbour: Neighbour { kind, count: 1 },
         class: Class::LatencyCritical,
     };
-    let (maps, checks) = ([resident(map)], [resident(check)]);
+    let (maps, checks) = ([running_kind(map)], [running_kind(check)]);
     let (racks, workers) = (racks(1), [worker(0), worker(1)]);
-    let tight = room(&workers[0], &racks[0], size(4, 4_000, 0));
-    let wide = room(&workers[1], &racks[0], size(30, 100_000, 0));
-    let want = Wanted {
+    let tight = candidate(&workers[0], &racks[0], size(4, 4_000, 0));
+    let wide = candidate(&workers[1], &racks[0], size(30, 100_000, 0));
+    let want = TaskToPlace {
         kind: render,
-        ..wanted(size(2, 2_000, 0))
+        ..to_place(size(2, 2_000, 0))
     };
     let both = [
-        Room {
-            residents: &maps,
+        CandidateHost {
+            running_kinds: &maps,
             ..tight
         },
-        Room {
-            residents: &checks,
+        CandidateHost {
+            running_kinds: &checks,
             ..wide
         },
     ];
--- a/tests/testsuite/policy/interference.rs
+++ b/tests/testsuite/policy/slowdown.rs
@@ -3,8 +3,8 @@
 use super::{entry, seeded};
 use lapisdrum::{
     core::time::Millis,
-    policy::interference::{
-        History, Interference, Kind, Neighbour, PRIOR_SLOWDOWN, REPORT_HALF_LIFE, Report,
+    policy::slowdown::{
+        History, Kind, Neighbour, PRIOR_SLOWDOWN, REPORT_HALF_LIFE, Report, SlowdownModel,
     },
 };
 use rand::Rng;
@@ -18,7 +18,7 @@
 /// once. The one is found out, and the others are not blamed for it.
 #[test]
 fn the_noisy_neighbour_is_found_among_quiet_ones() {
-    let mut known = Interference::default();
+    let mut known = SlowdownModel::default();
     let service = known.kind(&entry("map"));
     let kinds: Vec<Kind> = (0..4)
         .map(|i| known.kind(&entry(&format!("batch{i}"))))
@@ -46,10 +46,10 @@
 
 /// One report makes no certainty, and certainty passes with age.
 #[test]
-fn doubt_falls_with_reports_and_rises_with_age() {
-    let mut known = Interference::default();
+fn uncertainty_falls_with_reports_and_rises_with_age() {
+    let mut known = SlowdownModel::default();
     let (service, batch) = (known.kind(&entry("map")), known.kind(&entry("batch")));
-    assert_eq!(known.doubt(service, batch, Millis(0)), 1.0);
+    assert_eq!(known.uncertainty(service, batch, Millis(0)), 1.0);
     assert_eq!(known.added(service, batch, Millis(0)), PRIOR_SLOWDOWN);
     let report = |at| Report {
         kind: service,
@@ -70,7 +70,7 @@
     assert!((1.5..2.1).contains(&often), "{often}");
     let later = Millis(20_000) + REPORT_HALF_LIFE * 10;
     assert!(known.added(service, batch, later) < 0.2);
-    assert!(known.doubt(service, batch, later) > 0.9);
+    assert!(known.uncertainty(service, batch, later) > 0.9);
 }
 
 /// Usage reports lag by seconds. A report is matched with what ran when it was measured, and one
--- a/tests/testsuite/properties/placement.rs
+++ b/tests/testsuite/properties/placement.rs
@@ -10,8 +10,8 @@
         time::Millis,
     },
     policy::{
-        interference::{Interference, Kind},
-        placement::{self, Room, Wanted},
+        placement::{self, CandidateHost, TaskToPlace},
+        slowdown::{Kind, SlowdownModel},
     },
     state::{
         grants::{self, ByWorker},
@@ -49,27 +49,27 @@
     let workers: Vec<WorkerId> = (0..WORKERS).map(worker).collect();
     let room = |(w, id): (u8, &'_ WorkerId)| (free(state, w), whole(w).size, id.clone());
     let hosts: Vec<_> = (0..WORKERS).zip(&workers).map(room).collect();
-    let rooms: Vec<Room<'_>> = hosts
+    let candidates: Vec<CandidateHost<'_>> = hosts
         .iter()
-        .map(|(free, capacity, id)| Room {
+        .map(|(free, capacity, id)| CandidateHost {
             worker: id,
             rack: &rack,
             capacity: *capacity,
             free: *free,
-            residents: &[],
-            same_in_rack: 0,
+            running_kinds: &[],
+            entry_tasks_in_rack: 0,
         })
         .collect();
-    let wanted = Wanted {
+    let to_place = TaskToPlace {
         kind: Kind(0),
         class: Class::Batch,
         size,
-        same_placed: 0,
+        entry_tasks_placed: 0,
     };
-    let known = Interference::default();
+    let known = SlowdownModel::default();
     let mut rng = StdRng::seed_from_u64(seed);
-    let chosen = placement::choose(&rooms, &wanted, &known, Millis::default(), &mut rng)?;
-    Some(rooms[chosen].worker.clone())
+    let chosen = placement::choose(&candidates, &to_place, &known, Millis::default(), &mut rng)?;
+    Some(candidates[chosen].worker.clone())
 }
 
 /// Places a waiting job where the policy puts it, if it finds a place.
--- a/tests/testsuite/sched/learning.rs
+++ b/tests/testsuite/sched/learning.rs
@@ -111,10 +111,10 @@
         image: aggressors[1],
         share: 1.0,
     };
-    let doubt = one.interference_variance(victims[0], &aggressor);
+    let variance = one.interference_variance(victims[0], &aggressor);
     one.adopt(2, &InterferenceEstimates::from(&other));
     let again = one.interference_variance(victims[0], &aggressor);
-    assert!((doubt - again).abs() < 1e-9, "{doubt} {again}");
+    assert!((variance - again).abs() < 1e-9, "{variance} {again}");
 }
 
 /// Only what is new is told again: an answer stays small however much is known.
