--- a/src/lapisdrum/daemon/pressure.rs
+++ b/src/lapisdrum/daemon/pressure.rs
@@ -16,7 +16,7 @@
     },
     policy::{
         eviction::{Distress, EvictionMemory, HostTask, MitigationStep},
-        health::{Health, Standing, Verdict},
+        health::{Health, Verdict, WorkerState},
         placement::RunningKind,
         slowdown::{History, Kind, Neighbour, Report, SlowdownModel},
     },
@@ -72,11 +72,11 @@
             .hosts
             .get(worker)
             .is_some_and(|host| host.distress.is_on());
-        let is_healthy = match self.health.standing(worker, now) {
-            Standing::Good => true,
-            // A worker on trial gets one task at a time.
-            Standing::Trial => is_empty,
-            Standing::Aside => false,
+        let is_healthy = match self.health.worker_state(worker, now) {
+            WorkerState::Healthy => true,
+            // A worker on probation gets one task at a time.
+            WorkerState::Probation => is_empty,
+            WorkerState::Ejected => false,
         };
         is_healthy
             && !(in_distress && class == Class::Batch)
@@ -125,7 +125,7 @@
     let is_listed = |worker: &WorkerId| members.hosts.contains_key(worker);
     let mut pressure = shard.pressure.borrow_mut();
     pressure.hosts.retain(|worker, _| is_listed(worker));
-    pressure.health.forget(is_listed, now);
+    pressure.health.remove_expired(is_listed, now);
     pressure.memory.forget_old(now);
 }
 
@@ -366,7 +366,7 @@
         .borrow_mut()
         .health
         .failed(worker, job, entry, pool, now);
-    if verdict == Verdict::WorkerAside {
+    if verdict == Verdict::WorkerEjected {
         cx.timeline.record(Happening::WorkerSetAside {
             worker: worker.clone(),
             reason: "it fails the tasks of several jobs".to_owned(),
--- a/src/lapisdrum/policy/drain.rs
+++ b/src/lapisdrum/policy/drain.rs
@@ -91,18 +91,18 @@
 
 /// Spreads the Retry-After times of refused callers.
 #[derive(Clone, Debug, Default)]
-pub struct Returns {
+pub struct RetrySchedule {
     /// Latest return time assigned so far, in microseconds since several callers can be served
     /// within one millisecond.
     last_return_us: f64,
 }
 
-impl Returns {
+impl RetrySchedule {
     /// Retry-After time of a caller that is refused at `now`: not before the present queue has
     /// drained, and one drain interval after the caller refused before it. `wait` is the time to
     /// drain the queue, of which at most half of [`MAX_RETRY_AFTER`] counts; `rate` is in items per
     /// second.
-    pub fn book(
+    pub fn next_retry_after(
         &mut self,
         wait: Duration,
         rate: Option<f64>,
--- a/src/lapisdrum/policy/health.rs
+++ b/src/lapisdrum/policy/health.rs
@@ -35,22 +35,22 @@
 
 /// How many tasks a worker may get.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum WorkerState {
     /// Any number.
-    Good,
+    Healthy,
     /// One at a time, until one succeeds: the worker's ejection has ended.
-    Trial,
+    Probation,
     /// None: the worker is ejected.
-    Aside,
+    Ejected,
 }
 
 /// Result of recording a failure.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
     /// The failure ejects no worker and does not show the job to be at fault.
-    Open,
+    NoChange,
     /// The worker is ejected by this failure.
-    WorkerAside,
+    WorkerEjected,
     /// The job itself is at fault and would fail on other workers too.
     JobAtFault,
 }
@@ -104,27 +104,27 @@
             return Verdict::JobAtFault;
         }
         let record = &self.workers[worker];
-        let on_trial = record.ejected_until.is_some_and(|until| now >= until);
-        let enough = self.attributable_jobs(record) >= MIN_DISTINCT_FAILURES || on_trial;
+        let on_probation = record.ejected_until.is_some_and(|until| now >= until);
+        let enough = self.attributable_jobs(record) >= MIN_DISTINCT_FAILURES || on_probation;
         let is_ejected = record.ejected_until.is_some_and(|until| now < until);
         if !enough || is_ejected || (self.ejected_count(now) + 1) * MIN_WORKERS_PER_EJECTION > pool
         {
-            return Verdict::Open;
+            return Verdict::NoChange;
         }
         self.eject(worker, now);
-        Verdict::WorkerAside
+        Verdict::WorkerEjected
     }
 
     /// How many tasks a worker may get at `now`.
-    pub fn standing(&self, worker: &WorkerId, now: Millis) -> Standing {
+    pub fn worker_state(&self, worker: &WorkerId, now: Millis) -> WorkerState {
         match self
             .workers
             .get(worker)
             .and_then(|record| record.ejected_until)
         {
-            None => Standing::Good,
-            Some(until) if now < until => Standing::Aside,
-            Some(_) => Standing::Trial,
+            None => WorkerState::Healthy,
+            Some(until) if now < until => WorkerState::Ejected,
+            Some(_) => WorkerState::Probation,
         }
     }
 
@@ -144,7 +144,7 @@
 
     /// Removes workers for which `is_known` is false, and jobs whose last failure is too old to
     /// count.
-    pub fn forget(&mut self, is_known: impl Fn(&WorkerId) -> bool, now: Millis) {
+    pub fn remove_expired(&mut self, is_known: impl Fn(&WorkerId) -> bool, now: Millis) {
         self.workers.retain(|worker, _| is_known(worker));
         self.jobs
             .retain(|_, record| now.since(record.last) < FAILURE_RETENTION);
--- a/src/lapisdrum/policy/polling.rs
+++ b/src/lapisdrum/policy/polling.rs
@@ -22,15 +22,15 @@
 
 /// Rate of a process's deferrable reads, relative to the usual rate (1).
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Pace(f64);
+pub struct PollRate(f64);
 
-impl Default for Pace {
+impl Default for PollRate {
     fn default() -> Self {
         Self(1.0)
     }
 }
 
-impl Pace {
+impl PollRate {
     /// Raises the rate after the store answered a call.
     pub fn answered(&mut self) {
         self.0 = (self.0 + RATE_INCREASE).min(1.0);
--- a/src/lapisdrum/policy/queueing/mod.rs
+++ b/src/lapisdrum/policy/queueing/mod.rs
@@ -26,7 +26,7 @@
 mod lane;
 
 use super::{
-    drain::{DrainRate, Returns},
+    drain::{DrainRate, RetrySchedule},
     queueing::lane::FairQueue,
 };
 use crate::core::{
@@ -122,7 +122,7 @@
     next_ticket: u64,
     consecutive_urgent_starts: u32,
     rate: DrainRate,
-    returns: Returns,
+    retry_schedule: RetrySchedule,
 }
 
 #[derive(Debug)]
@@ -160,7 +160,7 @@
             next_ticket: 0,
             consecutive_urgent_starts: 0,
             rate: DrainRate::default(),
-            returns: Returns::default(),
+            retry_schedule: RetrySchedule::default(),
         }
     }
 }
@@ -265,7 +265,8 @@
             .rate
             .time_for(self.len() as f64, now)
             .unwrap_or_default();
-        self.returns.book(wait, self.rate.per_second(now), now, rng)
+        self.retry_schedule
+            .next_retry_after(wait, self.rate.per_second(now), now, rng)
     }
 
     /// Number of waiting items.
@@ -378,7 +379,7 @@
         rng: &mut impl Rng,
     ) -> Refused<T> {
         let rate = self.rate.per_second(now);
-        let retry_after = self.returns.book(wait, rate, now, rng);
+        let retry_after = self.retry_schedule.next_retry_after(wait, rate, now, rng);
         Refused {
             payload,
             reason,
--- a/src/lapisdrum/sched/lease.rs
+++ b/src/lapisdrum/sched/lease.rs
@@ -235,7 +235,7 @@
     let pause = (POLL / shards.len().max(1) as u32).max(MIN_PAUSE);
     for shard in poll_order(&shards, cx.me.incarnation).into_iter().cycle() {
         poll_shard(&cx, &cx.handle(shard)).await;
-        tokio::time::sleep(cx.read_pace.get().pause(pause)).await;
+        tokio::time::sleep(cx.read_rate.get().pause(pause)).await;
     }
     Ok(())
 }
--- a/src/lapisdrum/sched/mod.rs
+++ b/src/lapisdrum/sched/mod.rs
@@ -29,7 +29,7 @@
 
 use crate::{
     core::time::{Clock, Millis},
-    policy::{dispatch::timings::Timings, polling::Pace},
+    policy::{dispatch::timings::Timings, polling::PollRate},
 };
 use edge::{CallError, Catalogue, Directory, Store, Workers};
 use indexmap::IndexMap;
@@ -120,7 +120,7 @@
     /// Whether the last store call succeeded; rate-limited calls are not counted.
     pub store_up: Cell<bool>,
     /// Slows down reads that are not urgent while the store limits the rate of calls.
-    pub read_pace: Cell<Pace>,
+    pub read_rate: Cell<PollRate>,
     /// Set to true when the process shall shut down.
     pub draining: watch::Sender<bool>,
 }
@@ -152,7 +152,7 @@
             layout: RefCell::default(),
             handles: RefCell::default(),
             store_up: Cell::new(true),
-            read_pace: Cell::default(),
+            read_rate: Cell::default(),
             draining: watch::Sender::new(false),
             cfg,
         })
@@ -203,7 +203,7 @@
 
     /// Records the result of a store call, and logs when the store becomes unavailable or available again.
     pub fn note_store(&self, answered: Result<(), &CallError>) {
-        self.note_read_pace(answered);
+        self.note_read_rate(answered);
         match answered {
             Ok(()) => self.reachability.note_store(self.clock.now()),
             Err(e) => {
@@ -223,16 +223,16 @@
         }
     }
 
-    fn note_read_pace(&self, answered: Result<(), &CallError>) {
-        let before = self.read_pace.get();
-        let mut pace = before;
+    fn note_read_rate(&self, answered: Result<(), &CallError>) {
+        let before = self.read_rate.get();
+        let mut rate = before;
         match answered {
-            Ok(()) => pace.answered(),
-            Err(e) if e.is_rate_limited => pace.refused(),
+            Ok(()) => rate.answered(),
+            Err(e) if e.is_rate_limited => rate.refused(),
             Err(_) => {}
         }
-        self.read_pace.set(pace);
-        match (before.is_slowed(), pace.is_slowed()) {
+        self.read_rate.set(rate);
+        match (before.is_slowed(), rate.is_slowed()) {
             (false, true) => log::warn!("store refuses calls beyond its rate; reads slow down"),
             (true, false) => log::info!("reads are back at their pace"),
             _ => {}
--- a/tests/testsuite/policy/drain.rs
+++ b/tests/testsuite/policy/drain.rs
@@ -3,7 +3,7 @@
 use super::seeded;
 use lapisdrum::{
     core::time::Millis,
-    policy::drain::{DrainRate, MAX_RETRY_AFTER, MIN_RETRY_AFTER, Returns},
+    policy::drain::{DrainRate, MAX_RETRY_AFTER, MIN_RETRY_AFTER, RetrySchedule},
 };
 use proptest::prelude::*;
 use std::time::Duration;
@@ -49,10 +49,15 @@
 #[test]
 fn returns_are_spread_over_the_time_that_serving_them_takes() {
     let mut rng = seeded(3);
-    let mut returns = Returns::default();
+    let mut retry_schedule = RetrySchedule::default();
     let mut per_half_second = [0_u32; 62];
     for _ in 0..1_000 {
-        let back = returns.book(Duration::from_millis(300), Some(100.0), Millis(0), &mut rng);
+        let back = retry_schedule.next_retry_after(
+            Duration::from_millis(300),
+            Some(100.0),
+            Millis(0),
+            &mut rng,
+        );
         per_half_second[usize::try_from(back.as_millis() / 500).expect("bounded")] += 1;
     }
     let busiest = per_half_second.iter().max().copied().unwrap_or_default();
@@ -71,10 +76,10 @@
         refusals in 1..200_usize,
     ) {
         let mut rng = seeded(seed);
-        let mut returns = Returns::default();
+        let mut retry_schedule = RetrySchedule::default();
         for i in 0..refusals {
             let now = Millis(i as u64);
-            let back = returns.book(Duration::from_millis(wait_ms), rate, now, &mut rng);
+            let back = retry_schedule.next_retry_after(Duration::from_millis(wait_ms), rate, now, &mut rng);
             prop_assert!(back >= MIN_RETRY_AFTER);
             prop_assert!(back <= MAX_RETRY_AFTER + MAX_RETRY_AFTER / 4);
         }
--- a/tests/testsuite/policy/health.rs
+++ b/tests/testsuite/policy/health.rs
@@ -3,7 +3,9 @@
 use super::{entry, job, seeded, worker};
 use lapisdrum::{
     core::time::Millis,
-    policy::health::{Health, MIN_DISTINCT_FAILURES, MIN_WORKERS_PER_EJECTION, Standing, Verdict},
+    policy::health::{
+        Health, MIN_DISTINCT_FAILURES, MIN_WORKERS_PER_EJECTION, Verdict, WorkerState,
+    },
 };
 use proptest::prelude::*;
 use rand::Rng;
@@ -19,12 +21,18 @@
     let render = entry("render");
     for i in 0..2 {
         let verdict = health.failed(&worker(0), &job(i), &render, POOL, Millis(0));
-        assert_eq!(verdict, Verdict::Open);
+        assert_eq!(verdict, Verdict::NoChange);
     }
     let verdict = health.failed(&worker(0), &job(2), &render, POOL, Millis(0));
-    assert_eq!(verdict, Verdict::WorkerAside);
-    assert_eq!(health.standing(&worker(0), Millis(1)), Standing::Aside);
-    assert_eq!(health.standing(&worker(1), Millis(1)), Standing::Good);
+    assert_eq!(verdict, Verdict::WorkerEjected);
+    assert_eq!(
+        health.worker_state(&worker(0), Millis(1)),
+        WorkerState::Ejected
+    );
+    assert_eq!(
+        health.worker_state(&worker(1), Millis(1)),
+        WorkerState::Healthy
+    );
 }
 
 /// A job that can never run is tried on worker after worker. The job is named at fault, no worker is
@@ -38,7 +46,7 @@
             let verdict = health.failed(&worker(w), &job(i), &broken, POOL, Millis(0));
             let expected = match w + 1 == MIN_DISTINCT_FAILURES {
                 true => Verdict::JobAtFault,
-                false => Verdict::Open,
+                false => Verdict::NoChange,
             };
             assert_eq!(verdict, expected, "job {i} on worker {w}");
         }
@@ -68,19 +76,22 @@
         health.failed(&worker(0), &job(i), &render, POOL, Millis(0));
     }
     let back = Millis(30_000);
-    assert_eq!(health.standing(&worker(0), back), Standing::Trial);
+    assert_eq!(
+        health.worker_state(&worker(0), back),
+        WorkerState::Probation
+    );
     let verdict = health.failed(&worker(0), &job(9), &render, POOL, back);
-    assert_eq!(verdict, Verdict::WorkerAside);
+    assert_eq!(verdict, Verdict::WorkerEjected);
     assert_eq!(
-        health.standing(&worker(0), back + Duration::from_secs(59)),
-        Standing::Aside
+        health.worker_state(&worker(0), back + Duration::from_secs(59)),
+        WorkerState::Ejected
     );
     assert_eq!(
-        health.standing(&worker(0), back + Duration::from_secs(60)),
-        Standing::Trial
+        health.worker_state(&worker(0), back + Duration::from_secs(60)),
+        WorkerState::Probation
     );
     health.succeeded(&worker(0), &job(10), &render);
-    assert_eq!(health.standing(&worker(0), back), Standing::Good);
+    assert_eq!(health.worker_state(&worker(0), back), WorkerState::Healthy);
 }
 
 /// Three broken workers fail the same three jobs one after another. Each is set aside, and no job is
--- a/tests/testsuite/policy/polling.rs
+++ b/tests/testsuite/policy/polling.rs
@@ -1,7 +1,7 @@
 //! Many processes that poll one store of a fixed rate.
 
 use super::seeded;
-use lapisdrum::policy::polling::{Pace, urgent_pause};
+use lapisdrum::policy::polling::{PollRate, urgent_pause};
 use rand::{Rng, rngs::StdRng};
 use std::{cmp::Reverse, collections::BinaryHeap, time::Duration};
 
@@ -62,7 +62,7 @@
 
 fn play(processes: usize, rate: usize, is_adapting: bool, rng: &mut StdRng) -> Seen {
     let mut store = Store::new(rate);
-    let mut paces = vec![Pace::default(); processes];
+    let mut rates = vec![PollRate::default(); processes];
     let mut read_at = vec![SETTLED; processes];
     let mut due = BinaryHeap::new();
     for process in 0..processes {
@@ -79,8 +79,8 @@
         let is_answered = store.answers(at);
         match is_answered {
             _ if !is_adapting => {}
-            true => paces[process].answered(),
-            false => paces[process].refused(),
+            true => rates[process].answered(),
+            false => rates[process].refused(),
         }
         if at >= SETTLED {
             reads += 1;
@@ -93,7 +93,7 @@
             read_at[process] = at;
         }
         let pause = match read {
-            Read::Lease => paces[process].pause(LEASE),
+            Read::Lease => rates[process].pause(LEASE),
             Read::Catalogue if is_adapting => urgent_pause(CATALOGUE, !is_answered, rng),
             Read::Catalogue => CATALOGUE,
         };
@@ -132,14 +132,14 @@
 /// Guards against a process that looks at leases seldom long after the store turned it away for a while.
 #[test]
 fn a_process_that_was_turned_away_is_soon_back_at_its_pace() {
-    let mut pace = Pace::default();
+    let mut rate = PollRate::default();
     for _ in 0..20 {
-        pace.refused();
+        rate.refused();
     }
     let mut passed = Duration::ZERO;
-    while pace.is_slowed() {
-        passed += pace.pause(LEASE);
-        pace.answered();
+    while rate.is_slowed() {
+        passed += rate.pause(LEASE);
+        rate.answered();
     }
     assert!(passed < Duration::from_secs(10), "{passed:?}");
 }
