--- a/crates/lapisdrum-load/src/policy/daemon.rs
+++ b/crates/lapisdrum-load/src/policy/daemon.rs
@@ -8,11 +8,11 @@
 use lapisdrum::{
     core::{id::WorkerId, time::Millis},
     policy::{
-        admission::{self, Admission, Claim, Share},
+        admission::{self, Admission, AdmissionRequest, Share},
         headroom::Headroom,
-        queueing::{Enqueued, Item, Queue, Ticket},
+        queueing::{EnqueueOutcome, Item, Queue, Ticket},
         retry::{Failure, RetryBudget},
-        routing::{Candidate, End, Routing},
+        routing::{Candidate, Routing, SendOutcome},
     },
 };
 use rand::Rng;
@@ -127,15 +127,15 @@
     pub fn new(trial: &Trial, decisions: Decisions, workers: Vec<WorkerId>, index: u32) -> Self {
         let parts = trial.daemons;
         let share = |stream: &Stream| Share {
-            concurrency: admission::part(stream.concurrency, parts, index),
+            concurrency: admission::split_evenly(stream.concurrency, parts, index),
             rate_per_s: None,
-            queue: admission::part(stream.queue, parts, index),
+            queue: admission::split_evenly(stream.queue, parts, index),
         };
         Self {
             decisions,
             shares: trial.streams.iter().map(share).collect(),
             streams: trial.streams.clone(),
-            slots: admission::part(trial.slots, parts, index),
+            slots: admission::split_evenly(trial.slots, parts, index),
             outstanding: vec![0; workers.len()],
             workers,
             flights: IndexMap::new(),
@@ -160,11 +160,11 @@
                 let enqueued = self.queue.enqueue(item, request, now, rng);
                 self.note_demand(request.stream, now);
                 match enqueued {
-                    Enqueued::Waiting { displaced, .. } => displaced
+                    EnqueueOutcome::Waiting { displaced, .. } => displaced
                         .map(|gone| Given::Refused(gone.payload, gone.retry_after))
                         .into_iter()
                         .collect(),
-                    Enqueued::Refused(gone) => {
+                    EnqueueOutcome::Refused(gone) => {
                         vec![Given::Refused(gone.payload, gone.retry_after)]
                     }
                 }
@@ -186,12 +186,13 @@
         }
         let request = self.take_next(now)?;
         let worker = self.choose(now, rng)?;
-        let claim = claim(&self.streams[request.stream], self.shares[request.stream]);
-        let started = self.admission.start(&claim);
+        let admission_request =
+            admission_request(&self.streams[request.stream], self.shares[request.stream]);
+        let started = self.admission.start(&admission_request);
         debug_assert!(started || self.decisions.order != Order::Policy);
         self.note_demand(request.stream, now);
         let entry = &self.streams[request.stream].entry;
-        self.routing.sent(&self.workers[worker], entry, now);
+        self.routing.note_sent(&self.workers[worker], entry, now);
         self.outstanding[worker] += 1;
         let flight = Flight {
             request,
@@ -224,14 +225,14 @@
         self.note_demand(request.stream, now);
         let stream = &self.streams[request.stream];
         let end = if flight.answered {
-            End::Answered
+            SendOutcome::Answered
         } else {
-            End::Failed
+            SendOutcome::Failed
         };
         let worker = &self.workers[flight.worker];
         let pool = self.workers.len();
         self.routing
-            .ended(worker, &stream.entry, flight.sent_at, end, pool, now);
+            .note_outcome(worker, &stream.entry, flight.sent_at, end, pool, now);
         let idempotent = stream.idempotent;
         let budget = &mut self.budgets[request.stream];
         if flight.answered {
@@ -280,7 +281,7 @@
         let (headroom, slots) = (&self.headroom, self.slots * to_u32(self.workers.len()));
         let may_start = |entry: &_, _: &_| {
             let index = streams.iter().position(|stream| stream.entry == *entry);
-            index.is_some_and(|i| admission.has_room(&claim(&streams[i], shares[i])))
+            index.is_some_and(|i| admission.has_room(&admission_request(&streams[i], shares[i])))
                 && headroom.may_start(entry, slots, now)
         };
         let taken: (Ticket, Item, Request) = self.queue.next(now, may_start)?;
@@ -291,7 +292,7 @@
         let Stream { entry, weight, .. } = &self.streams[stream];
         let running = self.admission.running(entry);
         let waiting = self.queue.waiting_of(entry);
-        let run = self.routing.usual_run(entry).unwrap_or_default();
+        let run = self.routing.usual_duration(entry).unwrap_or_default();
         self.headroom
             .note(entry, running, waiting, run, *weight, now);
     }
@@ -316,7 +317,7 @@
         Some(indexes[chosen])
     }
 
-    fn item(&self, request: &Request, bound: u32) -> Item {
+    fn item(&self, request: &Request, max_waiting: u32) -> Item {
         let stream = &self.streams[request.stream];
         Item {
             entry: stream.entry.clone(),
@@ -325,8 +326,11 @@
             caller: request.caller * self.streams.len() as u64 + request.stream as u64,
             class: stream.class,
             weight: stream.weight,
-            bound,
-            run: self.routing.usual_run(&stream.entry).unwrap_or_default(),
+            max_waiting,
+            expected_run: self
+                .routing
+                .usual_duration(&stream.entry)
+                .unwrap_or_default(),
             deadline: Some(request.deadline),
         }
     }
@@ -336,8 +340,8 @@
     u32::try_from(n).unwrap_or(u32::MAX)
 }
 
-fn claim(stream: &Stream, share: Share) -> Claim<'_> {
-    Claim {
+fn admission_request(stream: &Stream, share: Share) -> AdmissionRequest<'_> {
+    AdmissionRequest {
         entry: &stream.entry,
         owner: &stream.owner,
         share,
--- a/crates/lapisdrum-load/src/policy/decide.rs
+++ b/crates/lapisdrum-load/src/policy/decide.rs
@@ -9,10 +9,10 @@
         time::Millis,
     },
     policy::{
-        admission::{Admission, Claim, Share},
+        admission::{Admission, AdmissionRequest, Share},
         placement::{self, CandidateHost, RunningKind, TaskToPlace},
         queueing::{Item, Queue},
-        routing::{Candidate, End, Routing},
+        routing::{Candidate, Routing, SendOutcome},
         slowdown::{Kind, Neighbour, Report, SlowdownModel},
     },
 };
@@ -89,14 +89,14 @@
     measure("admit, start, finish", workers, |i| {
         now += 1;
         let entry = &entries[i as usize % entries.len()];
-        let claim = Claim {
+        let admission_request = AdmissionRequest {
             entry,
             owner: &owner,
             share,
             quota: None,
         };
-        let _ = black_box(admission.let_in(&claim, Millis(now)));
-        if admission.start(&claim) {
+        let _ = black_box(admission.admit(&admission_request, Millis(now)));
+        if admission.start(&admission_request) {
             admission.finish(entry, &owner);
         }
     })
@@ -113,8 +113,8 @@
             caller: rng.random_range(0..CALLERS),
             class: Class::LatencyCritical,
             weight: 100,
-            bound: 100_000,
-            run: Duration::from_millis(20),
+            max_waiting: 100_000,
+            expected_run: Duration::from_millis(20),
             deadline: None,
         }
     };
@@ -139,12 +139,12 @@
     let (names, entry) = (names(workers), valid(EntryName::try_from("map")));
     let mut routing = Routing::default();
     for worker in &names {
-        routing.sent(worker, &entry, Millis(0));
-        routing.ended(
+        routing.note_sent(worker, &entry, Millis(0));
+        routing.note_outcome(
             worker,
             &entry,
             Millis(0),
-            End::Answered,
+            SendOutcome::Answered,
             workers,
             Millis(20),
         );
@@ -159,12 +159,12 @@
         let open: Vec<Candidate<'_>> = open.collect();
         if let Some(chosen) = routing.choose(&open, Millis(now), &mut rng) {
             let worker = &names[chosen];
-            routing.sent(worker, &entry, Millis(now));
-            routing.ended(
+            routing.note_sent(worker, &entry, Millis(now));
+            routing.note_outcome(
                 worker,
                 &entry,
                 Millis(now),
-                End::Answered,
+                SendOutcome::Answered,
                 workers,
                 Millis(now + 20),
             );
--- a/src/lapisdrum/daemon/queue.rs
+++ b/src/lapisdrum/daemon/queue.rs
@@ -14,11 +14,11 @@
         time::Millis,
     },
     policy::{
-        admission::Claim,
+        admission::AdmissionRequest,
         headroom::Headroom,
-        queueing::{Enqueued, Item, Queue, Reason, Refused, Ticket},
+        queueing::{EnqueueOutcome, Item, Queue, RefusalReason, Refused, Ticket},
         retry::RetryBudget,
-        routing::{Candidate, End, Routing},
+        routing::{Candidate, Routing, SendOutcome},
     },
     timeline::event::Happening,
 };
@@ -122,8 +122,8 @@
         }
         cx.floors.borrow_mut().take(&worker, &entry.size);
         let now = cx.clock.now();
-        let sent = &cx.line.routing;
-        sent.borrow_mut().sent(&worker, &entry.name, now);
+        let routing = &cx.line.routing;
+        routing.borrow_mut().note_sent(&worker, &entry.name, now);
         note_demand(cx, &entry.name, entry.priority);
         Some(Self {
             cx: Rc::clone(cx),
@@ -139,11 +139,11 @@
     }
 
     /// Reports the outcome of the send to the routing policy, which may eject the worker.
-    pub fn note_end(&self, end: End) {
+    pub fn note_end(&self, end: SendOutcome) {
         let pool = self.cx.floors.borrow().held.len();
         let now = self.cx.clock.now();
         let mut routing = self.cx.line.routing.borrow_mut();
-        if routing.ended(&self.worker, &self.entry, self.sent_at, end, pool, now) {
+        if routing.note_outcome(&self.worker, &self.entry, self.sent_at, end, pool, now) {
             log::warn!("worker {} is ejected from request routing", self.worker);
             self.cx.timeline.record(Happening::WorkerSetAside {
                 worker: self.worker.clone(),
@@ -211,15 +211,15 @@
     deadline: Millis,
     outcome: oneshot::Sender<WaitOutcome>,
 ) -> Result<Ticket, Refusal> {
-    let run = cx.line.routing.borrow().usual_run(&entry.name);
+    let run = cx.line.routing.borrow().usual_duration(&entry.name);
     let item = Item {
         entry: entry.name.clone(),
         owner: entry.owner.clone(),
         caller,
         class: entry.class,
         weight: entry.priority,
-        bound: shares::of_daemon(cx, entry).share.queue,
-        run: run.unwrap_or_default(),
+        max_waiting: shares::of_daemon(cx, entry).share.queue,
+        expected_run: run.unwrap_or_default(),
         deadline: Some(deadline),
     };
     let waiting = Waiting {
@@ -229,20 +229,20 @@
     let now = cx.clock.now();
     let mut queue = cx.line.queue.borrow_mut();
     match queue.enqueue(item, waiting, now, &mut rand::rng()) {
-        Enqueued::Waiting { ticket, displaced } => {
+        EnqueueOutcome::Waiting { ticket, displaced } => {
             if let Some(displaced) = displaced {
                 refuse(displaced);
             }
             Ok(ticket)
         }
-        Enqueued::Refused(refused) => Err(busy(refused.retry_after)),
+        EnqueueOutcome::Refused(refused) => Err(busy(refused.retry_after)),
     }
 }
 
 fn refuse(refused: Refused<Waiting>) {
     let refusal = match refused.reason {
-        Reason::QueueFull | Reason::Overload => busy(refused.retry_after),
-        Reason::Deadline => Refusal::TooLate {
+        RefusalReason::QueueFull | RefusalReason::Overload => busy(refused.retry_after),
+        RefusalReason::Deadline => Refusal::TooLate {
             retry_after: refused.retry_after,
         },
     };
@@ -255,7 +255,7 @@
 fn note_demand(cx: &Cx, entry: &EntryName, weight: u32) {
     let running = cx.admission.borrow().running(entry);
     let waiting = cx.line.waiting_of(entry);
-    let run = cx.line.routing.borrow().usual_run(entry);
+    let run = cx.line.routing.borrow().usual_duration(entry);
     let mut headroom = cx.line.headroom.borrow_mut();
     let now = cx.clock.now();
     headroom.note(
@@ -362,9 +362,9 @@
 
 /// Charges a request to the rate limits of its entry and owner.
 pub fn admit(cx: &Cx, entry: &Entry) -> Result<(), Refusal> {
-    let claim: Claim<'_> = shares::of_daemon(cx, entry);
+    let admission_request: AdmissionRequest<'_> = shares::of_daemon(cx, entry);
     let mut admission = cx.admission.borrow_mut();
-    let admitted = admission.let_in(&claim, cx.clock.now());
+    let admitted = admission.admit(&admission_request, cx.clock.now());
     admitted.map_err(|denied| Refusal::OverLimit {
         entry: entry.name.clone(),
         retry_after: denied.wait(),
--- a/src/lapisdrum/daemon/router.rs
+++ b/src/lapisdrum/daemon/router.rs
@@ -18,7 +18,7 @@
         outcome::Refusal,
         time::Millis,
     },
-    policy::{retry::Failure, routing::End},
+    policy::{retry::Failure, routing::SendOutcome},
     state::{claims::KeptAnswer, ledger::ClaimEnd},
     timeline::event::Happening,
     worker::client::{Answer, Outgoing, RequestEnd},
@@ -328,13 +328,15 @@
     refused_or_unknown(cx, id, refusal, unknown_reason)
 }
 
-fn routing_end(end: &RequestEnd) -> End {
+fn routing_end(end: &RequestEnd) -> SendOutcome {
     match end {
         // A worker that fails at once would otherwise count as the fastest.
-        RequestEnd::Answered(answer) if answer.status >= MIN_SERVER_ERROR_STATUS => End::Failed,
-        RequestEnd::Answered(_) => End::Answered,
-        RequestEnd::NotRun(_) => End::Full,
-        RequestEnd::Unsent(_) | RequestEnd::Unknown(_) => End::Failed,
+        RequestEnd::Answered(answer) if answer.status >= MIN_SERVER_ERROR_STATUS => {
+            SendOutcome::Failed
+        }
+        RequestEnd::Answered(_) => SendOutcome::Answered,
+        RequestEnd::NotRun(_) => SendOutcome::Full,
+        RequestEnd::Unsent(_) | RequestEnd::Unknown(_) => SendOutcome::Failed,
     }
 }
 
--- a/src/lapisdrum/daemon/shares.rs
+++ b/src/lapisdrum/daemon/shares.rs
@@ -9,7 +9,7 @@
         catalogue::{Class, Entry},
         id::{EntryName, Epoch, ShardId},
     },
-    policy::admission::{self, Claim, Share},
+    policy::admission::{self, AdmissionRequest, Share},
     state::{
         ownership::Holder,
         shares::{Allowed, Look, Party, Shares},
@@ -48,7 +48,7 @@
 }
 
 /// The limits that a request of an entry counts against at this daemon.
-pub fn of_daemon<'a>(cx: &Cx, entry: &'a Entry) -> Claim<'a> {
+pub fn of_daemon<'a>(cx: &Cx, entry: &'a Entry) -> AdmissionRequest<'a> {
     let (daemons, rank) = cx.shares.count_and_rank.get();
     let even = admission::divide(&entry.limits, daemons, rank);
     let own = cx.shares.requests.borrow().get(&entry.name).copied();
@@ -56,7 +56,7 @@
         concurrency: allowed(entry, own),
         ..even
     };
-    Claim {
+    AdmissionRequest {
         entry: &entry.name,
         owner: &entry.owner,
         share,
--- a/src/lapisdrum/policy/admission.rs
+++ b/src/lapisdrum/policy/admission.rs
@@ -40,15 +40,17 @@
 /// Share number `index` of a limit divided into `parts`; the shares add up to exactly the limit.
 pub fn divide(limits: &Limits, parts: u32, index: u32) -> Share {
     Share {
-        concurrency: part(limits.concurrency, parts, index),
-        rate_per_s: limits.rate_per_s.map(|rate| part(rate, parts, index)),
-        queue: part(limits.queue, parts, index),
+        concurrency: split_evenly(limits.concurrency, parts, index),
+        rate_per_s: limits
+            .rate_per_s
+            .map(|rate| split_evenly(rate, parts, index)),
+        queue: split_evenly(limits.queue, parts, index),
     }
 }
 
 /// Share number `index` of `whole` divided into `parts`; the remainder goes to the first shares,
 /// one each. Zero when `index` is out of range.
-pub fn part(whole: u32, parts: u32, index: u32) -> u32 {
+pub fn split_evenly(whole: u32, parts: u32, index: u32) -> u32 {
     let parts = parts.max(1);
     if index >= parts {
         return 0;
@@ -58,7 +60,7 @@
 
 /// The entry and the owner whose limits a request counts against, with this daemon's shares.
 #[derive(Clone, Copy, Debug)]
-pub struct Claim<'a> {
+pub struct AdmissionRequest<'a> {
     /// Entry that the request calls.
     pub entry: &'a EntryName,
     /// Owner of the entry.
@@ -103,36 +105,36 @@
 impl Admission {
     /// Counts a request against the rate limits of its entry and its owner. When either limit is
     /// reached, it is counted against neither.
-    pub fn let_in(&mut self, claim: &Claim<'_>, now: Millis) -> Result<(), Denied> {
-        let entry = usage_of(&mut self.entries, claim.entry);
-        let owner = usage_of(&mut self.owners, claim.owner);
-        let owner_rate = claim.quota.and_then(|quota| quota.rate_per_s);
-        if let Some(wait) = entry.window.wait(claim.share.rate_per_s, now) {
+    pub fn admit(&mut self, request: &AdmissionRequest<'_>, now: Millis) -> Result<(), Denied> {
+        let entry = usage_of(&mut self.entries, request.entry);
+        let owner = usage_of(&mut self.owners, request.owner);
+        let owner_rate = request.quota.and_then(|quota| quota.rate_per_s);
+        if let Some(wait) = entry.window.wait(request.share.rate_per_s, now) {
             return Err(Denied::EntryRate(wait));
         }
         if let Some(wait) = owner.window.wait(owner_rate, now) {
             return Err(Denied::OwnerRate(wait));
         }
-        entry.window.record(claim.share.rate_per_s, now);
+        entry.window.record(request.share.rate_per_s, now);
         owner.window.record(owner_rate, now);
         Ok(())
     }
 
     /// Whether one more request may run within the concurrency limits of its entry and its owner.
-    pub fn has_room(&self, claim: &Claim<'_>) -> bool {
-        let quota = claim.quota.map_or(u32::MAX, |quota| quota.concurrency);
-        self.running(claim.entry) < claim.share.concurrency
-            && self.running_of_owner(claim.owner) < quota
+    pub fn has_room(&self, request: &AdmissionRequest<'_>) -> bool {
+        let quota = request.quota.map_or(u32::MAX, |quota| quota.concurrency);
+        self.running(request.entry) < request.share.concurrency
+            && self.running_of_owner(request.owner) < quota
     }
 
     /// Counts a run as started if both concurrency limits allow it; returns whether they did.
     #[must_use]
-    pub fn start(&mut self, claim: &Claim<'_>) -> bool {
-        if !self.has_room(claim) {
+    pub fn start(&mut self, request: &AdmissionRequest<'_>) -> bool {
+        if !self.has_room(request) {
             return false;
         }
-        usage_of(&mut self.entries, claim.entry).running += 1;
-        usage_of(&mut self.owners, claim.owner).running += 1;
+        usage_of(&mut self.entries, request.entry).running += 1;
+        usage_of(&mut self.owners, request.owner).running += 1;
         true
     }
 
--- a/src/lapisdrum/policy/queueing/lane.rs
+++ b/src/lapisdrum/policy/queueing/fair_queue.rs
@@ -25,7 +25,7 @@
 
     /// Expected run time in microseconds, at least [`MIN_COST`].
     pub(super) fn cost(&self) -> f64 {
-        self.run.max(MIN_COST).as_secs_f64() * 1e6
+        self.expected_run.max(MIN_COST).as_secs_f64() * 1e6
     }
 
     /// Sort key within a flow: by deadline, then by arrival. Items without a deadline come last.
--- a/src/lapisdrum/policy/queueing/mod.rs
+++ b/src/lapisdrum/policy/queueing/mod.rs
@@ -23,11 +23,11 @@
 //!
 //! The cost of a decision grows with the number of flows, not of items.
 
-mod lane;
+mod fair_queue;
 
 use super::{
     drain::{DrainRate, RetrySchedule},
-    queueing::lane::FairQueue,
+    queueing::fair_queue::FairQueue,
 };
 use crate::core::{
     catalogue::Class,
@@ -63,9 +63,9 @@
     /// Weight of the owner's share: the entry's priority.
     pub weight: u32,
     /// Maximum number of waiting items of this entry.
-    pub bound: u32,
+    pub max_waiting: u32,
     /// Expected duration of a run; zero when unknown.
-    pub run: Duration,
+    pub expected_run: Duration,
     /// Time by which the run must finish; `None` for work without a deadline.
     pub deadline: Option<Millis>,
 }
@@ -77,7 +77,7 @@
 
 /// Outcome of [`Queue::enqueue`].
 #[derive(Debug)]
-pub enum Enqueued<T> {
+pub enum EnqueueOutcome<T> {
     /// The item waits. An item of a longer flow may have been dropped to admit it.
     Waiting {
         /// Identifies the item for [`Queue::remove`].
@@ -95,14 +95,14 @@
     /// Payload passed to [`Queue::enqueue`].
     pub payload: T,
     /// Which limit the item would have exceeded.
-    pub reason: Reason,
+    pub reason: RefusalReason,
     /// Time after which its caller should retry.
     pub retry_after: Duration,
 }
 
 /// Why an item was refused or dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reason {
+pub enum RefusalReason {
     /// The entry's queue is at its bound.
     QueueFull,
     /// The item could not have finished by its deadline.
@@ -173,31 +173,41 @@
         payload: T,
         now: Millis,
         rng: &mut impl Rng,
-    ) -> Enqueued<T> {
-        let latest_start = item.deadline.map(|deadline| deadline.before(item.run));
+    ) -> EnqueueOutcome<T> {
+        let latest_start = item
+            .deadline
+            .map(|deadline| deadline.before(item.expected_run));
         let wait = self.expected_wait(&item, now);
         if latest_start.is_some_and(|latest| latest < now + wait || item.deadline <= Some(now)) {
-            return Enqueued::Refused(self.refuse(payload, Reason::Deadline, wait, now, rng));
+            return EnqueueOutcome::Refused(self.refuse(
+                payload,
+                RefusalReason::Deadline,
+                wait,
+                now,
+                rng,
+            ));
         }
         let mut displaced = None;
         let waiting = self.waiting_of(&item.entry);
         let exceeds_max_wait = wait > self.max_wait(&item, now);
-        if exceeds_max_wait || waiting >= item.bound {
+        if exceeds_max_wait || waiting >= item.max_waiting {
             let reason = match exceeds_max_wait {
-                true => Reason::Overload,
-                false => Reason::QueueFull,
+                true => RefusalReason::Overload,
+                false => RefusalReason::QueueFull,
             };
             // Above a bound that was lowered, items are not displaced: the queue has to shrink first.
-            let replaceable = self.displaceable(&item).filter(|_| waiting <= item.bound);
+            let replaceable = self
+                .displaceable(&item)
+                .filter(|_| waiting <= item.max_waiting);
             let Some(longest) = replaceable else {
-                return Enqueued::Refused(self.refuse(payload, reason, wait, now, rng));
+                return EnqueueOutcome::Refused(self.refuse(payload, reason, wait, now, rng));
             };
             displaced = self
                 .take(longest, now)
                 .map(|waiting| self.refuse(waiting.payload, reason, wait, now, rng));
         }
         let ticket = self.insert(item, payload, latest_start, now);
-        Enqueued::Waiting { ticket, displaced }
+        EnqueueOutcome::Waiting { ticket, displaced }
     }
 
     /// Removes and returns the item to start now, among those whose entry and owner `may_start` allows.
@@ -248,7 +258,7 @@
                 break;
             };
             let wait = self.expected_wait(&waiting.item, now);
-            expired.push(self.refuse(waiting.payload, Reason::Deadline, wait, now, rng));
+            expired.push(self.refuse(waiting.payload, RefusalReason::Deadline, wait, now, rng));
         }
         expired
     }
@@ -356,7 +366,7 @@
         let state = self.entries.get(&item.entry);
         let is_standing = state.is_some_and(|state| state.is_standing(now));
         match Tier::of(item.class) {
-            Tier::Urgent if is_standing => item.run.max(MIN_ACCEPTED_WAIT),
+            Tier::Urgent if is_standing => item.expected_run.max(MIN_ACCEPTED_WAIT),
             Tier::Urgent | Tier::Background => Duration::MAX,
         }
     }
@@ -373,7 +383,7 @@
     fn refuse(
         &mut self,
         payload: T,
-        reason: Reason,
+        reason: RefusalReason,
         wait: Duration,
         now: Millis,
         rng: &mut impl Rng,
--- a/src/lapisdrum/policy/routing.rs
+++ b/src/lapisdrum/policy/routing.rs
@@ -50,7 +50,7 @@
 
 /// Outcome of sending a request to a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum SendOutcome {
     /// The worker answered in time, and not with a server error.
     Answered,
     /// The worker was full and did not run the request; not counted as a failure.
@@ -100,7 +100,7 @@
     }
 
     /// Records that a request was sent at `now`.
-    pub fn sent(&mut self, worker: &WorkerId, entry: &EntryName, now: Millis) {
+    pub fn note_sent(&mut self, worker: &WorkerId, entry: &EntryName, now: Millis) {
         let usual_ms = self.usual_ms.get(entry).copied();
         let stats = stats_of(&mut self.workers, worker);
         stats.sent.push_back((now, usual_ms));
@@ -108,12 +108,12 @@
 
     /// Records the outcome of a request that was sent at `sent_at`, in a pool of `pool` workers. Returns
     /// whether the worker is ejected for it.
-    pub fn ended(
+    pub fn note_outcome(
         &mut self,
         worker: &WorkerId,
         entry: &EntryName,
         sent_at: Millis,
-        end: End,
+        end: SendOutcome,
         pool: usize,
         now: Millis,
     ) -> bool {
@@ -125,20 +125,20 @@
             stats.sent.remove(at);
         }
         match end {
-            End::Answered => {
+            SendOutcome::Answered => {
                 let slowness_sample = (took_ms / usual_ms).min(MAX_SLOWNESS);
                 stats.note(slowness_sample, now);
                 self.note_duration(entry, took_ms);
                 self.outliers
                     .note(worker, Sample::Answered(slowness_sample), pool, now)
             }
-            End::Failed => self.outliers.note(worker, Sample::Failed, pool, now),
-            End::Full | End::Abandoned => false,
+            SendOutcome::Failed => self.outliers.note(worker, Sample::Failed, pool, now),
+            SendOutcome::Full | SendOutcome::Abandoned => false,
         }
     }
 
     /// Moving average of an entry's request duration; `None` before the first answer.
-    pub fn usual_run(&self, entry: &EntryName) -> Option<Duration> {
+    pub fn usual_duration(&self, entry: &EntryName) -> Option<Duration> {
         let usual_ms = self.usual_ms.get(entry)?;
         Some(Duration::from_secs_f64(usual_ms / 1e3))
     }
--- a/tests/testsuite/policy/admission.rs
+++ b/tests/testsuite/policy/admission.rs
@@ -4,7 +4,7 @@
 use assert_matches::assert_matches;
 use lapisdrum::{
     core::{catalogue::Limits, time::Millis},
-    policy::admission::{Admission, Claim, Denied, Share, divide, part},
+    policy::admission::{Admission, AdmissionRequest, Denied, Share, divide, split_evenly},
 };
 use proptest::prelude::*;
 use std::{collections::VecDeque, time::Duration};
@@ -36,9 +36,9 @@
     /// However a limit is divided, the parts add up to it, and a daemon more or less never gains.
     #[test]
     fn parts_add_up_to_the_limit(whole in 0..100_000_u32, parts in 1..300_u32) {
-        let sum: u32 = (0..parts).map(|index| part(whole, parts, index)).sum();
+        let sum: u32 = (0..parts).map(|index| split_evenly(whole, parts, index)).sum();
         prop_assert_eq!(sum, whole);
-        prop_assert_eq!(part(whole, parts, parts), 0);
+        prop_assert_eq!(split_evenly(whole, parts, parts), 0);
     }
 
     #[test]
@@ -63,10 +63,10 @@
         for act in acts {
             match act {
                 Act::Start(i) => {
-                    let claim = Claim { entry: &entries[i], owner: &owners[i], share: shares[i], quota };
+                    let request = AdmissionRequest { entry: &entries[i], owner: &owners[i], share: shares[i], quota };
                     let of_owner: u32 = (0..3).filter(|j| owners[*j] == owners[i]).map(|j| running[j]).sum();
                     let expected = running[i] < shares[i].concurrency && of_owner < 5;
-                    prop_assert_eq!(admission.start(&claim), expected);
+                    prop_assert_eq!(admission.start(&request), expected);
                     running[i] += u32::from(expected);
                 }
                 Act::Finish(i) if running[i] > 0 => {
@@ -87,7 +87,7 @@
     #[test]
     fn no_second_exceeds_the_rate(rate in 1..20_u32, gaps in prop::collection::vec(0..300_u64, 1..400)) {
         let (entry, owner) = (entry("a"), owner("one"));
-        let claim = Claim { entry: &entry, owner: &owner, share: share(1, Some(rate)), quota: None };
+        let request = AdmissionRequest { entry: &entry, owner: &owner, share: share(1, Some(rate)), quota: None };
         let mut admission = Admission::default();
         let mut now = Millis(0);
         let mut last_second: VecDeque<Millis> = VecDeque::new();
@@ -97,7 +97,7 @@
                 last_second.pop_front();
             }
             let fits = last_second.len() < rate as usize;
-            prop_assert_eq!(admission.let_in(&claim, now).is_ok(), fits);
+            prop_assert_eq!(admission.admit(&request, now).is_ok(), fits);
             if fits {
                 last_second.push_back(now);
             }
@@ -110,21 +110,21 @@
 fn a_refusal_charges_nobody() {
     let (entry, owner) = (entry("a"), owner("one"));
     let mut admission = Admission::default();
-    let claim = |quota| Claim {
+    let request = |quota| AdmissionRequest {
         entry: &entry,
         owner: &owner,
         share: share(1, Some(2)),
         quota: Some(share(1, Some(quota))),
     };
-    assert_matches!(admission.let_in(&claim(1), Millis(0)), Ok(()));
+    assert_matches!(admission.admit(&request(1), Millis(0)), Ok(()));
     for _ in 0..5 {
-        assert_matches!(admission.let_in(&claim(1), Millis(100)), Err(Denied::OwnerRate(wait)) => {
+        assert_matches!(admission.admit(&request(1), Millis(100)), Err(Denied::OwnerRate(wait)) => {
             assert_eq!(wait, Duration::from_millis(900));
         });
     }
-    assert_matches!(admission.let_in(&claim(9), Millis(100)), Ok(()));
+    assert_matches!(admission.admit(&request(9), Millis(100)), Ok(()));
     assert_matches!(
-        admission.let_in(&claim(9), Millis(100)),
+        admission.admit(&request(9), Millis(100)),
         Err(Denied::EntryRate(_))
     );
 }
@@ -136,13 +136,13 @@
     let mut admission = Admission::default();
     for i in 0..100 {
         let entry = entry(&format!("e{i}"));
-        let claim = Claim {
+        let request = AdmissionRequest {
             entry: &entry,
             owner: &owner,
             share: share(1, Some(1)),
             quota: None,
         };
-        assert_matches!(admission.let_in(&claim, Millis(0)), Ok(()));
+        assert_matches!(admission.admit(&request, Millis(0)), Ok(()));
     }
     assert_eq!(admission.tracked_entries(), 100);
     admission.forget_idle(Millis(1_000));
--- a/tests/testsuite/policy/queueing.rs
+++ b/tests/testsuite/policy/queueing.rs
@@ -6,7 +6,8 @@
 use lapisdrum::{
     core::{catalogue::Class, time::Millis},
     policy::queueing::{
-        BACKGROUND_START_INTERVAL, Enqueued, Item, Queue, Reason, STANDING_QUEUE_AFTER, Ticket,
+        BACKGROUND_START_INTERVAL, EnqueueOutcome, Item, Queue, RefusalReason,
+        STANDING_QUEUE_AFTER, Ticket,
     },
 };
 use proptest::prelude::*;
@@ -19,8 +20,8 @@
         caller,
         class: Class::LatencyCritical,
         weight: 100,
-        bound: 1_000,
-        run: Duration::from_millis(10),
+        max_waiting: 1_000,
+        expected_run: Duration::from_millis(10),
         deadline: None,
     }
 }
@@ -34,7 +35,7 @@
 
 fn put<T: std::fmt::Debug>(queue: &mut Queue<T>, item: Item, payload: T, now: Millis) -> Ticket {
     let put = queue.enqueue(item, payload, now, &mut seeded(1));
-    assert_matches!(put, Enqueued::Waiting { ticket, displaced: None } => ticket)
+    assert_matches!(put, EnqueueOutcome::Waiting { ticket, displaced: None } => ticket)
 }
 
 fn take<T>(queue: &mut Queue<T>, now: Millis) -> Option<T> {
@@ -45,7 +46,7 @@
 enum Act {
     Put {
         flow: usize,
-        bound: u32,
+        max_waiting: u32,
         deadline_ms: Option<u64>,
         batch: bool,
     },
@@ -57,7 +58,7 @@
 fn act() -> impl Strategy<Value = Act> {
     prop_oneof![
         5 => (0..6_usize, 0..6_u32, prop::option::of(0..400_u64), any::<bool>()).prop_map(
-            |(flow, bound, deadline_ms, batch)| Act::Put { flow, bound, deadline_ms, batch }
+            |(flow, max_waiting, deadline_ms, batch)| Act::Put { flow, max_waiting, deadline_ms, batch }
         ),
         3 => Just(Act::Take),
         1 => (0..20_usize).prop_map(Act::Remove),
@@ -76,30 +77,30 @@
         let mut now = Millis(1_000);
         for (number, act) in acts.into_iter().enumerate() {
             match act {
-                Act::Put { flow, bound, deadline_ms, batch } => {
+                Act::Put { flow, max_waiting, deadline_ms, batch } => {
                     let name = ["a", "b", "c"][flow / 2];
                     let deadline = deadline_ms.map(|ms| now + Duration::from_millis(ms));
                     let class = if batch { Class::Batch } else { Class::LatencyCritical };
-                    let item = Item { bound, deadline, class, ..item(name, flow as u64) };
+                    let item = Item { max_waiting, deadline, class, ..item(name, flow as u64) };
                     match queue.enqueue(item, number, now, &mut rng) {
-                        Enqueued::Waiting { ticket, displaced } => {
-                            prop_assert!(queue.waiting_of(&entry(name)) <= bound);
+                        EnqueueOutcome::Waiting { ticket, displaced } => {
+                            prop_assert!(queue.waiting_of(&entry(name)) <= max_waiting);
                             if let Some(gone) = displaced {
                                 prop_assert!(waiting.swap_remove(&gone.payload).is_some());
                             }
                             waiting.insert(number, (ticket, deadline));
                         }
-                        Enqueued::Refused(gone) => prop_assert_eq!(gone.payload, number),
+                        EnqueueOutcome::Refused(gone) => prop_assert_eq!(gone.payload, number),
                     }
                 }
                 Act::Take => {
                     for gone in queue.expire(now, &mut rng) {
                         prop_assert!(waiting.swap_remove(&gone.payload).is_some());
-                        prop_assert_eq!(gone.reason, Reason::Deadline);
+                        prop_assert_eq!(gone.reason, RefusalReason::Deadline);
                     }
                     if let Some((_, item, payload)) = queue.next(now, |_, _| true) {
                         let (_, deadline) = waiting.swap_remove(&payload).expect("it waited");
-                        prop_assert!(deadline.is_none_or(|d| now + item.run <= d));
+                        prop_assert!(deadline.is_none_or(|d| now + item.expected_run <= d));
                     }
                 }
                 Act::Remove(index) => {
@@ -137,7 +138,7 @@
         let mut queue: Queue<usize> = Queue::default();
         for _ in 0..600 {
             put(&mut queue, item("short", 0), 0, Millis(0));
-            put(&mut queue, Item { run: Duration::from_millis(10) * times, ..item("long", 0) }, 1, Millis(0));
+            put(&mut queue, Item { expected_run: Duration::from_millis(10) * times, ..item("long", 0) }, 1, Millis(0));
         }
         let mut served = [0_u32; 2];
         for _ in 0..600 {
@@ -184,7 +185,7 @@
         put(
             &mut queue,
             Item {
-                bound: 4,
+                max_waiting: 4,
                 ..item("map", 1)
             },
             n,
@@ -200,20 +201,20 @@
 fn a_hot_caller_does_not_shut_others_out() {
     let mut queue = full_of_one_caller();
     let light = Item {
-        bound: 4,
+        max_waiting: 4,
         ..item("map", 2)
     };
     let put = queue.enqueue(light, 99, Millis(0), &mut seeded(1));
-    assert_matches!(put, Enqueued::Waiting { displaced: Some(gone), .. } => {
+    assert_matches!(put, EnqueueOutcome::Waiting { displaced: Some(gone), .. } => {
         assert_eq!(gone.payload, 3);
-        assert_eq!(gone.reason, Reason::QueueFull);
+        assert_eq!(gone.reason, RefusalReason::QueueFull);
     });
     let again = Item {
-        bound: 4,
+        max_waiting: 4,
         ..item("map", 1)
     };
     let put = queue.enqueue(again, 100, Millis(0), &mut seeded(1));
-    assert_matches!(put, Enqueued::Refused(gone) => assert_eq!(gone.reason, Reason::QueueFull));
+    assert_matches!(put, EnqueueOutcome::Refused(gone) => assert_eq!(gone.reason, RefusalReason::QueueFull));
     assert_eq!(queue.waiting_of(&entry("map")), 4);
 }
 
@@ -223,11 +224,11 @@
 fn a_lowered_bound_holds_from_then_on() {
     let mut queue = full_of_one_caller();
     let light = Item {
-        bound: 2,
+        max_waiting: 2,
         ..item("map", 2)
     };
     let put = queue.enqueue(light, 99, Millis(0), &mut seeded(1));
-    assert_matches!(put, Enqueued::Refused(_));
+    assert_matches!(put, EnqueueOutcome::Refused(_));
     assert_eq!(queue.waiting_of(&entry("map")), 4);
 }
 
@@ -248,9 +249,9 @@
         ..item("map", 1)
     };
     let put = queue.enqueue(due(300), 0, now, &mut seeded(1));
-    assert_matches!(put, Enqueued::Refused(gone) => assert_eq!(gone.reason, Reason::Deadline));
+    assert_matches!(put, EnqueueOutcome::Refused(gone) => assert_eq!(gone.reason, RefusalReason::Deadline));
     let put = queue.enqueue(due(900), 0, now, &mut seeded(1));
-    assert_matches!(put, Enqueued::Waiting { .. });
+    assert_matches!(put, EnqueueOutcome::Waiting { .. });
 }
 
 /// The queue has stood for a quarter of a second: load is beyond capacity, and a longer line serves
@@ -272,9 +273,9 @@
         ..item("map", caller)
     };
     let put = queue.enqueue(due(1), 0, now, &mut seeded(1));
-    assert_matches!(put, Enqueued::Refused(gone) => assert_eq!(gone.reason, Reason::Overload));
+    assert_matches!(put, EnqueueOutcome::Refused(gone) => assert_eq!(gone.reason, RefusalReason::Overload));
     let put = queue.enqueue(due(2), 0, now, &mut seeded(1));
-    assert_matches!(put, Enqueued::Waiting { .. });
+    assert_matches!(put, EnqueueOutcome::Waiting { .. });
 }
 
 /// An item whose deadline passes in line is given up in the first millisecond in which it can't be
@@ -295,7 +296,7 @@
     assert!(queue.expire(Millis(90), &mut seeded(1)).is_empty());
     let gone = queue.expire(Millis(91), &mut seeded(1));
     assert_eq!(gone.len(), 1);
-    assert_eq!(gone[0].reason, Reason::Deadline);
+    assert_eq!(gone[0].reason, RefusalReason::Deadline);
     assert!(queue.is_empty());
 }
 
--- a/tests/testsuite/policy/routing.rs
+++ b/tests/testsuite/policy/routing.rs
@@ -3,7 +3,7 @@
 use super::{entry, seeded, worker};
 use lapisdrum::{
     core::{id::WorkerId, time::Millis},
-    policy::routing::{Candidate, End, Routing, SLOWNESS_HALF_LIFE},
+    policy::routing::{Candidate, Routing, SLOWNESS_HALF_LIFE, SendOutcome},
 };
 use proptest::prelude::*;
 use std::time::Duration;
@@ -24,8 +24,8 @@
     let map = entry("map");
     for (i, worker) in workers.iter().enumerate() {
         let took = Duration::from_millis(if i == 0 { first_ms } else { ms });
-        routing.sent(worker, &map, at);
-        routing.ended(worker, &map, at, End::Answered, POOL, at + took);
+        routing.note_sent(worker, &map, at);
+        routing.note_outcome(worker, &map, at, SendOutcome::Answered, POOL, at + took);
     }
 }
 
@@ -49,8 +49,8 @@
         let mut routing = Routing::default();
         for _ in 0..failures {
             for worker in &workers {
-                routing.sent(worker, &entry("map"), Millis(0));
-                routing.ended(worker, &entry("map"), Millis(0), End::Failed, count, Millis(1));
+                routing.note_sent(worker, &entry("map"), Millis(0));
+                routing.note_outcome(worker, &entry("map"), Millis(0), SendOutcome::Failed, count, Millis(1));
             }
         }
         let open = candidates(&workers, &vec![0; count]);
@@ -94,7 +94,7 @@
     let workers = pool();
     let mut routing = Routing::default();
     exchange(&mut routing, &workers, 20, 20, Millis(0));
-    routing.sent(&workers[0], &entry("map"), Millis(1_000));
+    routing.note_sent(&workers[0], &entry("map"), Millis(1_000));
     let now = Millis(1_200);
     assert!(draws_of_first(&routing, &workers, now) < 30);
 }
@@ -109,12 +109,12 @@
         let at = Millis(i * 5_000);
         exchange(&mut routing, &workers, 20, 20, at);
         let slow = &workers[usize::try_from(i).expect("small") % 2];
-        routing.sent(slow, &page, at);
-        routing.ended(
+        routing.note_sent(slow, &page, at);
+        routing.note_outcome(
             slow,
             &page,
             at,
-            End::Answered,
+            SendOutcome::Answered,
             POOL,
             at + Duration::from_secs(2),
         );
@@ -132,12 +132,12 @@
         exchange(&mut routing, &workers, 20, 20, Millis(i));
     }
     for i in 0..50 {
-        routing.sent(&workers[0], &entry("map"), Millis(i));
-        routing.ended(
+        routing.note_sent(&workers[0], &entry("map"), Millis(i));
+        routing.note_outcome(
             &workers[0],
             &entry("map"),
             Millis(i),
-            End::Full,
+            SendOutcome::Full,
             POOL,
             Millis(i + 1),
         );
