--- a/src/lapisdrum/policy/dispatch/mitigation.rs
+++ b/src/lapisdrum/policy/dispatch/mitigation.rs
@@ -7,8 +7,8 @@
 //!
 //! So each change is weighed by its cost: for a stop, the time until the task runs again elsewhere and the progress
 //! that it had not saved; for a lower CPU limit, the work not done meanwhile; for no change, the serving tasks'
-//! missed targets until the best-effort task ends by itself ([`super::utilisation`]). The change that gains most is made
-//! first. Raising the limit of a throttled task is weighed in the same way.
+//! missed targets until the best-effort task ends by itself ([`super::utilisation`]). The change that gains most is
+//! made first. Raising the limit of a throttled task is weighed in the same way.
 
 use super::{
     interference::{Aggressor, Image, InterferenceModel, Victim},
--- a/src/lapisdrum/policy/eviction.rs
+++ b/src/lapisdrum/policy/eviction.rs
@@ -7,8 +7,8 @@
 //! evicted task is placed back and evicted again.
 //!
 //! The distress of a host is the worst slowdown of its latency-critical work, in reports that
-//! arrive late. Mitigation starts after two consecutive reports above [`DISTRESS_SLOWDOWN`]; after each step
-//! the host has [`SETTLE_TIME`] to respond before the next. First, as many tasks are throttled as
+//! arrive late. Mitigation starts after two consecutive reports above [`DISTRESS_SLOWDOWN`]; after
+//! each step the host has [`SETTLE_TIME`] to respond before the next. First, as many tasks are throttled as
 //! are expected to end the distress, those with the most harm for their priority first; after that,
 //! one task is evicted at a time. (With one throttle at a time, a wave of six noisy tasks was over
 //! before all six were throttled.) A throttle is released after [`REPORTS_TO_RELEASE`] reports
--- a/tests/testsuite/policy/slowdown.rs
+++ b/tests/testsuite/policy/slowdown.rs
@@ -1,4 +1,4 @@
-//! Interference is learned from late measurements, with age and doubt.
+//! Slowdowns are estimated from late measurements, with age and uncertainty.
 
 use super::{entry, seeded};
 use lapisdrum::{
--- a/tests/testsuite/sched/interference.rs
+++ b/tests/testsuite/sched/interference.rs
@@ -28,7 +28,7 @@
     }
 }
 
-/// The tail of a task at this strain, as a worker would report it.
+/// The tail of a task at this utilisation, as a worker would report it.
 fn tail(utilisation: f64, rng: &mut StdRng) -> f64 {
     let scatter = 1.0 + rng.random_range(-0.1..0.1);
     (BASE_MS / (1.0 - utilisation.min(0.98)) * scatter).round()
@@ -309,7 +309,7 @@
     );
 }
 
-/// A paced task is let go on as soon as the tails bear it at full pace.
+/// A throttled task gets its full CPU limit again as soon as the tails allow it.
 #[test]
 fn a_throttled_task_is_raised_again() {
     let mut model = InterferenceModel::default();
