--- a/src/lapisdrum/policy/dispatch/place.rs
+++ b/src/lapisdrum/policy/dispatch/place.rs
@@ -4,7 +4,7 @@
 //! do too, and must keep the latency tail of their users under a target. *Best-effort* tasks reserve memory and run
 //! on idle processors. A best-effort task slows the serving tasks beside it by amounts that differ by image and
 //! change within seconds, and its effect is measured half a second late. So a best-effort task is placed only where
-//! every serving task is expected to stay clear of its target with it ([`super::pressure`]), and first where the
+//! every serving task is expected to stay clear of its target with it ([`super::interference`]), and first where the
 //! most headroom remains.
 //!
 //! Reserving and serving tasks go to the fullest host that still fits, so that wide tasks find free capacity.
@@ -13,8 +13,8 @@
 //! host with five images tolerates almost none of them, and a host with one tolerates half.
 
 use super::{
-    outlook::{self, Outlook},
-    pressure::{Image, Presser, Pressure, Victim},
+    interference::{Aggressor, Image, InterferenceModel, Victim},
+    utilisation::{self, UtilisationForecast},
 };
 use crate::core::size::Size;
 use std::time::Duration;
@@ -65,7 +65,7 @@
 
 /// The serving tasks of one step on a host, with their utilisation forecast.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Strained {
+pub struct ServingGroup {
     /// Their image, step, latency target and load.
     pub victim: Victim,
     /// Processors that they reserve, in thousandths of a core.
@@ -73,7 +73,7 @@
     /// Their expected load, as a fraction of `millicores`.
     pub load: f64,
     /// Their utilisation forecast with everything that runs beside them.
-    pub outlook: Outlook,
+    pub forecast: UtilisationForecast,
 }
 
 /// A worker that may take tasks.
@@ -94,7 +94,7 @@
     /// Processors that its best-effort tasks ask for, in thousandths of a core.
     pub best_effort_millicores: u64,
     /// Its serving tasks, one entry per step or newly placed task.
-    pub serving: Vec<Strained>,
+    pub serving: Vec<ServingGroup>,
     /// Whether it currently accepts best-effort tasks.
     pub is_open_for_best_effort: bool,
     /// The number of its tasks that belong to the step that is being placed.
@@ -118,16 +118,20 @@
     All,
 }
 
-impl Strained {
+impl ServingGroup {
     /// A newly placed serving task, without measurements.
-    fn unmeasured(victim: Victim, millicores: u64, pressure: &Pressure) -> Self {
+    fn unmeasured(victim: Victim, millicores: u64, model: &InterferenceModel) -> Self {
         let load = victim.load.level();
-        let limit = pressure.limit(&victim);
+        let limit = model.limit(&victim);
         Self {
             victim,
             millicores,
             load,
-            outlook: Outlook::unpressed(1, limit, [load; outlook::MOMENTS]),
+            forecast: UtilisationForecast::without_aggressors(
+                1,
+                limit,
+                [load; utilisation::POINTS],
+            ),
         }
     }
 
@@ -137,13 +141,18 @@
         (self.millicores as f64 * (1.0 - used)) as u64
     }
 
-    /// The utilisation forecast with one more aggressor, which runs for the first `moments` forecast points.
-    fn forecast_with(&self, aggressor: &Presser, moments: usize, pressure: &Pressure) -> Outlook {
-        let interference = pressure.press(self.victim.image, aggressor);
-        let variance = pressure.press_variance(self.victim.image, aggressor);
-        let mut outlook = self.outlook;
-        outlook.add(interference, variance, moments);
-        outlook
+    /// The utilisation forecast with one more aggressor, which runs for the first `points` forecast points.
+    fn forecast_with(
+        &self,
+        aggressor: &Aggressor,
+        points: usize,
+        model: &InterferenceModel,
+    ) -> UtilisationForecast {
+        let interference = model.interference(self.victim.image, aggressor);
+        let variance = model.interference_variance(self.victim.image, aggressor);
+        let mut forecast = self.forecast;
+        forecast.add_estimated(interference, variance, points);
+        forecast
     }
 }
 
@@ -155,14 +164,14 @@
 
     /// Processors expected to be idle, in thousandths of a core.
     pub fn unused_millicores(&self) -> u64 {
-        let idle = self.serving.iter().map(Strained::idle_millicores);
+        let idle = self.serving.iter().map(ServingGroup::idle_millicores);
         let used = self.reserved.millicores.saturating_sub(idle.sum());
         let used = used + self.best_effort_millicores;
         self.capacity.millicores.saturating_sub(used)
     }
 
     /// Processors that its serving tasks don't reserve, in thousandths of a core.
-    pub fn unserving_millicores(&self) -> u64 {
+    pub fn not_serving_millicores(&self) -> u64 {
         let serving = self.serving_millicores();
         self.capacity.millicores.saturating_sub(serving)
     }
@@ -172,55 +181,55 @@
         self.serving.iter().map(|s| s.millicores).sum()
     }
 
-    fn aggressor(&self, need: &Need) -> Option<Presser> {
-        Some(Presser {
+    fn aggressor(&self, need: &Need) -> Option<Aggressor> {
+        Some(Aggressor {
             image: need.image?,
             share: need.size.millicores as f64 / self.capacity.millicores.max(1) as f64,
         })
     }
 
     /// Whether a serving task is expected to miss its target, or to miss it by more, because of the task.
-    fn is_overloaded_by(&self, need: &Need, pressure: &Pressure) -> bool {
+    fn is_overloaded_by(&self, need: &Need, model: &InterferenceModel) -> bool {
         let Some(aggressor) = self.aggressor(need) else {
             return false;
         };
-        let moments = outlook::moments_within(need.duration);
+        let points = utilisation::points_within(need.duration);
         self.serving.iter().any(|s| {
-            let forecast = s.forecast_with(&aggressor, moments, pressure);
-            forecast.overload() > s.outlook.overload()
+            let forecast = s.forecast_with(&aggressor, points, model);
+            forecast.overload() > s.forecast.overload()
         })
     }
 
     /// The highest interference that the task is expected to cause to a serving task.
-    fn max_interference(&self, need: &Need, pressure: &Pressure) -> f64 {
+    fn max_interference(&self, need: &Need, model: &InterferenceModel) -> f64 {
         let Some(aggressor) = self.aggressor(need) else {
             return 0.0;
         };
-        let interference = |s: &Strained| pressure.press(s.victim.image, &aggressor);
+        let interference = |s: &ServingGroup| model.interference(s.victim.image, &aggressor);
         self.serving.iter().map(interference).fold(0.0, f64::max)
     }
 
     /// The lowest margin between a serving task's utilisation limit and its worst forecast; 1 without serving tasks.
     fn headroom(&self) -> f64 {
-        let headroom = |s: &Strained| s.outlook.limit - s.outlook.worst();
+        let headroom = |s: &ServingGroup| s.forecast.limit - s.forecast.worst();
         self.serving.iter().map(headroom).fold(1.0, f64::min)
     }
 
     /// Accounts for the task as placed on this host.
-    pub fn take(&mut self, need: &Need, pressure: &Pressure) {
+    pub fn take(&mut self, need: &Need, model: &InterferenceModel) {
         self.reserved = self.reserved.plus(&reserved_by(&need.size, need.load));
         match need.load {
             Load::Reserving => {}
             Load::Serving => {
-                let placed = |victim| Strained::unmeasured(victim, need.size.millicores, pressure);
+                let placed = |victim| ServingGroup::unmeasured(victim, need.size.millicores, model);
                 self.serving.extend(need.victim.map(placed));
             }
             Load::BestEffort => {
                 self.best_effort_millicores += need.size.millicores;
                 if let Some(aggressor) = self.aggressor(need) {
-                    let moments = outlook::moments_within(need.duration);
+                    let points = utilisation::points_within(need.duration);
                     for s in &mut self.serving {
-                        s.outlook = s.forecast_with(&aggressor, moments, pressure);
+                        s.forecast = s.forecast_with(&aggressor, points, model);
                     }
                 }
             }
@@ -264,12 +273,12 @@
 }
 
 /// Whether the host can take the task; does not compare pools.
-pub fn admits(need: &Need, host: &Host, pressure: &Pressure) -> bool {
-    unfit(need, host, pressure).is_none()
+pub fn admits(need: &Need, host: &Host, model: &InterferenceModel) -> bool {
+    unfit(need, host, model).is_none()
 }
 
 /// Returns why the host refuses the task; none if it admits it. Does not compare pools.
-pub fn unfit(need: &Need, host: &Host, pressure: &Pressure) -> Option<Unfit> {
+pub fn unfit(need: &Need, host: &Host, model: &InterferenceModel) -> Option<Unfit> {
     let has = |label: &str| host.labels.iter().any(|have| have == label);
     let (wanted, free) = (reserved_by(&need.size, need.load), host.free());
     let is_kept = match host.kept {
@@ -294,11 +303,11 @@
     }
     match need.load {
         Load::Reserving | Load::Serving => None,
-        Load::BestEffort => unfit_best_effort(need, host, pressure),
+        Load::BestEffort => unfit_best_effort(need, host, model),
     }
 }
 
-fn unfit_best_effort(need: &Need, host: &Host, pressure: &Pressure) -> Option<Unfit> {
+fn unfit_best_effort(need: &Need, host: &Host, model: &InterferenceModel) -> Option<Unfit> {
     if !host.is_open_for_best_effort {
         return Some(Unfit::Closed);
     }
@@ -306,7 +315,7 @@
         return Some(Unfit::Busy);
     }
     // A best-effort task waits rather than cost serving tasks anything.
-    let causes_overload = host.is_overloaded_by(need, pressure);
+    let causes_overload = host.is_overloaded_by(need, model);
     causes_overload.then_some(Unfit::Pressure)
 }
 
@@ -328,7 +337,7 @@
 /// Factor that converts headroom, a fraction, to an integer sort key.
 const HEADROOM_SCALE: f64 = 1e6;
 
-fn fit(need: &Need, host: &Host, pressure: &Pressure) -> Fit {
+fn fit(need: &Need, host: &Host, model: &InterferenceModel) -> Fit {
     let unused = host.unused_millicores();
     let spare = match need.load {
         Load::BestEffort => ((1.0 - host.headroom()).max(0.0) * HEADROOM_SCALE) as u64,
@@ -341,7 +350,7 @@
         is_far: need.data_rack.is_some() && need.data_rack != host.rack,
         lacks_idle_cores: unused < need.size.millicores,
         other_image_tasks: other_image_tasks(need, host),
-        interference: (host.max_interference(need, pressure) / INTERFERENCE_STEP) as u64,
+        interference: (host.max_interference(need, model) / INTERFERENCE_STEP) as u64,
         spare,
     }
 }
@@ -352,7 +361,7 @@
         return 0;
     };
     let others = host.serving.iter().filter(|s| s.victim.image != own);
-    others.map(|s| s.outlook.tasks as usize).sum()
+    others.map(|s| s.forecast.tasks as usize).sum()
 }
 
 /// Keeps a host free for a task that found none; false when none can be kept.
@@ -375,7 +384,7 @@
             && !host.is_suspect
             && !host.is_avoided
             && reserved_by(&need.size, need.load).fits(&host.capacity)
-            && host.kept_millicores + need.size.millicores <= host.unserving_millicores()
+            && host.kept_millicores + need.size.millicores <= host.not_serving_millicores()
             && need.required_label.is_none_or(has)
             && need.max_per_worker.is_none_or(|most| host.of_step < most)
     };
@@ -393,10 +402,9 @@
 }
 
 /// Returns the index in `hosts` of the preferred host for a task; none when no host of its pool admits it.
-pub fn choose(need: &Need, hosts: &[Host], pressure: &Pressure) -> Option<usize> {
+pub fn choose(need: &Need, hosts: &[Host], model: &InterferenceModel) -> Option<usize> {
     let admitted = hosts.iter().enumerate();
-    let admitted =
-        admitted.filter(|(_, host)| host.pool == need.pool && admits(need, host, pressure));
-    let best = admitted.min_by_key(|(_, host)| fit(need, host, pressure));
+    let admitted = admitted.filter(|(_, host)| host.pool == need.pool && admits(need, host, model));
+    let best = admitted.min_by_key(|(_, host)| fit(need, host, model));
     best.map(|(at, _)| at)
 }
