--- a/src/lapisdrum/daemon/peers.rs
+++ b/src/lapisdrum/daemon/peers.rs
@@ -1,4 +1,4 @@
-//! What this daemon answers to other daemons.
+//! Replies to requests from other daemons.
 
 use super::{Cx, catalogue, claims, grants, jobs, listing, shard::Shard, spill};
 use crate::{
@@ -9,10 +9,10 @@
 use indexmap::IndexMap;
 use std::{cell::RefCell, rc::Rc, time::Duration};
 
-/// When a daemon should ask again that took this one for an owner that it is not.
+/// Retry-after of a request for a shard that this daemon does not own.
 const NOT_OWNER_RETRY: Duration = Duration::from_secs(1);
 
-/// Answers one request.
+/// Handles one request.
 pub async fn answer(cx: &Cx, req: PeerRequest) -> PeerReply {
     match req {
         PeerRequest::SubmitJob { .. } | PeerRequest::ShowJob(_) | PeerRequest::CancelJob(_) => {
@@ -35,7 +35,7 @@
             Ok(shard) => claims::answer_end(cx, &shard, call, end).await,
             Err(refusal) => PeerReply::Refused(refusal),
         },
-        // The run before this one can't be answered for.
+        // This incarnation does not know which claims another one served.
         PeerRequest::ClaimsServed(holder, _) if holder != cx.me => PeerReply::Unknown,
         PeerRequest::ClaimsServed(_, ids) => PeerReply::ClaimsServed(claims::still_served(cx, ids)),
         PeerRequest::News(change) => {
@@ -52,7 +52,7 @@
     }
 }
 
-/// A shard that this daemon owns and whose ledger is recovered.
+/// The shard, if this daemon owns it and has recovered its ledger; otherwise a refusal.
 pub fn owned(cx: &Cx, shard: &ShardId) -> Result<Rc<Shard>, Refusal> {
     let own = cx.shards.borrow().get(shard).cloned();
     let own = own.filter(|shard| shard.is_serving());
@@ -61,10 +61,10 @@
     })
 }
 
-/// Timeouts of the platform within which a list that was read had certainly been asked for.
+/// A list of rows was requested at most this many platform timeouts before it was read.
 const LIST_AGE: u32 = 2;
 
-/// Other daemons' runs that this process has heard of, and since when they are gone.
+/// Incarnations of other daemons that this process has heard of, and since when each has ended.
 #[derive(Debug, Default)]
 pub struct Departures(RefCell<IndexMap<Holder, Departure>>);
 
@@ -74,10 +74,11 @@
     gone_since: Option<Millis>,
 }
 
-/// Runs that are remembered at most; one that is forgotten is found to be gone anew.
+/// Maximum number of incarnations remembered. One that is forgotten must be found to have ended
+/// again.
 const MOST_DEPARTURES: usize = 10_000;
 
-/// How long a run of a daemon has certainly been over, as far as this process knows.
+/// Time since an incarnation of a daemon was found to have ended; `None` if it may still run.
 pub fn gone_for(cx: &Cx, holder: &Holder) -> Option<Duration> {
     let now = cx.clock.now();
     let mut known = cx.departures.0.borrow_mut();
@@ -94,16 +95,17 @@
     departure.gone_since.map(|since| now.since(since))
 }
 
-/// Whether a run of a daemon, heard of at `heard`, is certainly over: another run is at its
-/// address, or it has released its presence row. A daemon asks nothing of others before its own row
-/// is written, so a list of rows that was read whole after `heard` has it unless it was released.
+/// Whether an incarnation of a daemon, first heard of at `heard`, has certainly ended: another one
+/// is at its address, or it has released its presence row. A daemon sends no requests to others
+/// before its own row is written, so a complete list of rows requested after `heard` contains the
+/// row unless it was released.
 fn is_gone(cx: &Cx, holder: &Holder, heard: Millis) -> bool {
     if *holder == cx.me {
         return false;
     }
     let members = cx.members.borrow();
-    // A row that merely lies there may be older than `holder`; one that was written after it was
-    // heard of is not.
+    // A row that is merely present may be older than `holder`; one that was first read after
+    // `heard` is not.
     let is_replaced = members.daemons.values().any(|seen| {
         let other = &seen.row.holder;
         other.address == holder.address && other != holder && seen.seen.since > heard
--- a/src/lapisdrum/daemon/proposals.rs
+++ b/src/lapisdrum/daemon/proposals.rs
@@ -1,4 +1,5 @@
-//! What is proposed to a shard's ledger and not yet durable, and how those who wait learn its end.
+//! Events proposed to a shard's ledger that are not yet durable, and the tickets that return the
+//! outcome of their writes.
 
 use crate::{
     core::{id::JobId, outcome::Refusal},
@@ -8,42 +9,42 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-/// When a caller should come back while the table is away.
+/// Retry-after of a refusal while the table is unavailable.
 const STORE_AWAY_RETRY: Duration = Duration::from_secs(2);
 
 /// How soon an event must be written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Urgency {
-    /// A caller or a latency-critical start waits for it.
+    /// A caller or the start of a latency-critical task waits for it.
     Urgent,
-    /// It can wait for company.
+    /// It can wait for other events to share its row.
     Batch,
 }
 
-/// How the write of an event ended.
+/// Outcome of the write of an event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteEnd {
     /// It is durable.
     Committed,
     /// It was certainly not written.
     NotWritten,
-    /// The shard was lost before it was known.
+    /// The shard was lost before the outcome was known.
     Unknown,
 }
 
-/// Why an event was not taken.
+/// Why an event was not accepted.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ProposeError {
-    /// The table is away, the lease has run out, or the owner is giving the shard up.
+    /// The table is unavailable, the lease has expired, or the owner is releasing the shard.
     Stalled,
     /// The shard is lost.
     Lost,
-    /// An event does not belong to the state.
+    /// An event does not fit the ledger's state.
     Misplaced(Misplaced),
 }
 
 impl ProposeError {
-    /// The refusal that a caller is given.
+    /// The refusal to return to the caller.
     pub fn refusal(&self) -> Refusal {
         match self {
             Self::Stalled => Refusal::StoreAway {
@@ -56,38 +57,38 @@
     }
 }
 
-/// Completes when an event's write has ended.
-#[must_use = "effects wait for the write's end"]
+/// Completes when the outcome of an event's write is known.
+#[must_use = "effects must wait for the outcome of the write"]
 pub struct Ticket(oneshot::Receiver<WriteEnd>);
 
 impl Ticket {
-    /// A ticket, and what completes it.
+    /// Creates a ticket and the sender that completes it.
     pub(super) fn new() -> (oneshot::Sender<WriteEnd>, Self) {
         let (tx, rx) = oneshot::channel();
         (tx, Self(rx))
     }
 
-    /// The write's end.
+    /// Waits for the outcome of the write.
     pub async fn end(self) -> WriteEnd {
         self.0.await.unwrap_or(WriteEnd::Unknown)
     }
 
-    /// The write's end, or unknown after `limit`: a caller is answered although the table is away.
+    /// Waits for the outcome of the write at most for `limit`, then returns `Unknown`: the caller
+    /// gets a reply even while the table is unavailable.
     pub async fn end_within(self, limit: Duration) -> WriteEnd {
         let end = tokio::time::timeout(limit, self.end()).await;
         end.unwrap_or(WriteEnd::Unknown)
     }
 }
 
-/// Events that go into one row together, and who waits for them.
+/// Events that go into one row together.
 pub(super) struct Proposal {
-    /// The events.
     pub(super) events: Vec<Event>,
-    /// Completed with the row's end.
+    /// Receives the outcome of the row's write.
     pub(super) waiter: oneshot::Sender<WriteEnd>,
 }
 
-/// Jobs with events that are proposed and not yet durable.
+/// Jobs with proposed events that are not yet durable.
 #[derive(Default)]
 pub(super) struct Pending {
     events: IndexMap<JobId, u32>,
@@ -95,7 +96,7 @@
 }
 
 impl Pending {
-    /// Notes a proposed event.
+    /// Counts a proposed event.
     pub(super) fn add(&mut self, event: &Event) {
         let Some(job) = event.job() else {
             return;
@@ -106,7 +107,7 @@
         }
     }
 
-    /// Notes that an event's row has ended.
+    /// Removes an event once the outcome of its row is known.
     pub(super) fn remove(&mut self, event: &Event) {
         let Some(job) = event.job() else {
             return;
@@ -133,7 +134,7 @@
     }
 }
 
-/// Tells all who wait for a row how it ended.
+/// Sends the outcome of a row to all its waiters.
 pub(super) fn answer(waiters: &mut Vec<oneshot::Sender<WriteEnd>>, end: WriteEnd) {
     for waiter in waiters.drain(..) {
         let _ = waiter.send(end);
--- a/src/lapisdrum/daemon/registrar.rs
+++ b/src/lapisdrum/daemon/registrar.rs
@@ -1,12 +1,12 @@
-//! Presence and shards: renews both in one transaction, and gives shards up.
+//! Renewal of the presence row and of all shard leases in one transaction, and release of shards.
 //!
 //! Renewals have a loop of their own: behind the reads of [`super::observer`], a platform that is
-//! merely slow would let leases run out that it is able to renew.
+//! merely slow would let leases expire that it is able to renew.
 //!
-//! Failure: a renewal's answer is lost. Treating it as failed would drop shards that are held;
-//! treating it as done would count a lease that may not exist. So the rows are read back: a row that
-//! still names this run of this daemon is held, and the lease counts from the last renewal that
-//! certainly took effect.
+//! Failure: the reply to a renewal is lost. Treating the renewal as failed would drop shards that
+//! are held; treating it as successful would count on a lease that may not exist. So the rows are
+//! read back: a row that still names this incarnation of this daemon is held, and the lease counts
+//! from the last renewal that certainly took effect.
 
 use super::{Cx, members::Presence, shard::Shard};
 use crate::{
@@ -27,25 +27,25 @@
 pub const PRESENCE_PREFIX: &str = "presence/";
 
 data! {
-    /// The row that changes only with a shard's owner; every ledger write asserts it.
+    /// The row that changes only when a shard's owner does; every ledger write asserts its version.
     pub struct EpochRow {
-        /// The epoch.
+        /// The epoch of the present owner.
         pub epoch: crate::core::id::Epoch,
     }
 }
 
-/// The key of a shard's row.
+/// Table key of the row that holds a shard's lease.
 pub fn shard_key(shard: &ShardId) -> String {
     format!("{SHARD_PREFIX}{shard}")
 }
 
-/// The key of a shard's epoch row.
+/// Table key of a shard's [`EpochRow`].
 pub fn epoch_key(shard: &ShardId) -> String {
     format!("epoch/{shard}")
 }
 
-/// The key of a daemon's presence row: by data centre, since each reads its own often and the others
-/// rarely.
+/// Table key of a daemon's presence row. Keys are grouped by data centre, since a daemon reads the
+/// rows of its own often and those of others rarely.
 pub fn presence_key(dc: &str, daemon: &DaemonId) -> String {
     format!("{PRESENCE_PREFIX}{dc}/{daemon}")
 }
@@ -54,7 +54,7 @@
     presence_key(cx.cfg.daemon.data_centre.as_str(), &cx.me.daemon)
 }
 
-/// Runs until the process ends.
+/// Renews at the renewal interval until the process ends.
 pub async fn run(cx: Cx) -> eyre::Result<()> {
     let mut beat = 0;
     let mut platform_up = true;
@@ -78,12 +78,14 @@
         log::info!("platform answers again");
     } else {
         cx.timeline.record(Happening::PlatformAway {});
-        log::warn!("platform does not answer; serving within floors, renewing what runs");
+        log::warn!(
+            "platform does not answer; serving requests within floors, renewing running tasks"
+        );
     }
 }
 
-/// Renews presence and every shard held, in one transaction. One shard that was lost makes the whole
-/// transaction conflict, so the others are tried again at once.
+/// Renews the presence row and every shard held in one transaction. One lost shard makes the whole
+/// transaction conflict, so the others are retried at once.
 async fn renew(cx: &Cx, beat: u64) -> Result<(), PlatformError> {
     if !try_renew(cx, beat).await? {
         try_renew(cx, beat).await?;
@@ -91,7 +93,8 @@
     Ok(())
 }
 
-/// Whether the renewal took effect; after a conflict each row is read back.
+/// Sends one renewal. Returns false after a conflict; then, and after a lost reply, each shard's
+/// row is read back.
 async fn try_renew(cx: &Cx, beat: u64) -> Result<bool, PlatformError> {
     let held: Vec<Rc<Shard>> = cx.shards.borrow().values().cloned().collect();
     let sent_at = cx.clock.now();
@@ -129,14 +132,15 @@
             for shard in &held {
                 read_back(cx, shard).await?;
             }
-            // Every row could be read, so the answer alone was lost.
-            log::debug!("a renewal's answer was lost: {e}");
+            // Every row could be read, so the platform is reachable.
+            log::debug!("reply to a renewal was lost: {e}");
             Ok(true)
         }
     }
 }
 
-/// Reads a shard's row after a conflict or a lost answer: our own write is adopted, another's ends us.
+/// Reads a shard's row after a conflict or a lost reply. A row written by this daemon's incarnation
+/// is adopted; any other ends the ownership.
 async fn read_back(cx: &Cx, shard: &Rc<Shard>) -> Result<(), PlatformError> {
     let row = cx.platform.get(&shard_key(&shard.id)).await?;
     let parsed = row
@@ -151,7 +155,8 @@
     Ok(())
 }
 
-/// Ends the ownership of a shard here. One that was released or taken anew is left as it is.
+/// Ends the ownership of a shard locally. It is recorded as lost only if it has not been released
+/// or taken again since.
 pub fn lose(cx: &Cx, shard: &Rc<Shard>) {
     shard.lose();
     let mut shards = cx.shards.borrow_mut();
@@ -177,11 +182,12 @@
     }
 }
 
-/// Tries at giving shards up; a renewal that was still under way makes the first one conflict.
+/// Maximum number of attempts to release all shards; a renewal in flight can make the first one
+/// conflict.
 const RELEASE_TRIES: usize = 3;
 
-/// Gives every shard and the presence row up, so that others take over without waiting for a lapse.
-/// What can't be released lapses.
+/// Releases every shard and deletes the presence row, so that other daemons take over without
+/// waiting for leases to expire. Shards that can't be released are left to expire.
 pub async fn release_all(cx: &Cx) {
     let held: Vec<Rc<Shard>> = cx.shards.borrow().values().cloned().collect();
     for shard in &held {
@@ -192,7 +198,7 @@
             break;
         }
         for shard in &held {
-            // Without an answer the next try finds out.
+            // If the row can't be read, the next attempt conflicts and it is read again.
             let _ = read_back(cx, shard).await;
         }
     }
@@ -201,7 +207,8 @@
     }
 }
 
-/// Gives one shard up; false when it can't be released now and is only no longer served.
+/// Releases one shard. Returns false if the release is not confirmed; the shard is no longer served
+/// either way.
 pub async fn release(cx: &Cx, shard: &Rc<Shard>) -> bool {
     shard.end_tenure(cx).await;
     let (version, row) = shard.row();
@@ -216,7 +223,7 @@
     released
 }
 
-/// Drops a shard without counting it as lost to another.
+/// Drops a shard without recording it as lost.
 fn forget(cx: &Cx, shard: &Rc<Shard>) {
     if cx.shards.borrow_mut().swap_remove(&shard.id).is_some() {
         cx.metrics.shards_owned.dec();
--- a/src/lapisdrum/daemon/sessions.rs
+++ b/src/lapisdrum/daemon/sessions.rs
@@ -1,4 +1,5 @@
-//! What a shard's owner knows of each worker under its own epoch, and the leases it has sent there.
+//! A shard owner's sessions with workers: what it knows of each worker in its own epoch, and the
+//! task leases that it has sent.
 
 use super::{Cx, shard::Shard};
 use crate::{
@@ -13,56 +14,58 @@
 use indexmap::{IndexMap, IndexSet};
 use std::time::Duration;
 
-/// The last lease that was sent for one attempt.
+/// The last lease sent for an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Sent {
-    /// The attempt. A late note about an earlier one must not touch this one's.
+    /// The attempt. A late report on an earlier one must not change this entry.
     pub attempt: Attempt,
-    /// The lease's end on our clock, erring late.
+    /// Latest possible end of the lease, on this daemon's clock.
     pub lease_end: Millis,
-    /// The worker has reported the attempt.
+    /// Whether the worker has reported the attempt.
     pub is_reported: bool,
-    /// When its checkpoint was last put into the ledger.
+    /// When a checkpoint of the running task was last proposed to the ledger.
     pub checkpointed_at: Option<Millis>,
 }
 
-/// One worker under this owner's epoch.
+/// A session with one worker in this owner's epoch.
 #[derive(Debug, Default)]
 pub struct Session {
-    /// Where the worker answers. A name that comes back at another address is another session.
+    /// The worker's address. A worker that comes back at another address gets a new session.
     pub address: String,
-    /// The worker has accepted this epoch.
+    /// Whether the worker has accepted this epoch.
     pub claimed: bool,
-    /// It has refused this epoch for a later one.
+    /// Whether it has rejected this epoch because it knows a later one.
     pub is_refused: bool,
-    /// A visit to it is under way.
+    /// Whether a poll of it is in flight.
     pub busy: bool,
-    /// Its clock, from its last answer.
+    /// A reading of its clock, from its last answer.
     pub reading: Option<ClockReading>,
-    /// Since when it has not answered; none while it answers.
+    /// When it first failed to answer since its last answer; `None` while it answers.
     pub silent_since: Option<Millis>,
-    /// Since when it has been leaving.
+    /// Since when its host has been leaving; `None` if it is not.
     pub leaving_since: Option<Millis>,
-    /// Until when it gets no new task, having refused one.
+    /// Until when it gets no new tasks, because it refused one.
     pub no_room_until: Millis,
-    /// Up to which reading of its clock, in milliseconds, all of its tasks are known; 0 before the
-    /// first complete list.
+    /// The reading of its clock, in milliseconds, as of which all of its tasks are known; 0 before
+    /// the first list.
     pub known_ms: u64,
-    /// When it was last asked for all of its tasks.
+    /// When it last sent a complete list of its tasks.
     pub listed_at: Millis,
-    /// Leases sent to it.
+    /// The last lease sent for each task.
     pub sent: IndexMap<JobId, Sent>,
-    /// Tasks with a stop under way. A start of the same task there could be stopped by it.
+    /// Tasks with a stop in flight. If such a task were started there again, that stop could end
+    /// it.
     pub stopping: IndexSet<JobId>,
 }
 
 impl Session {
-    /// Whether new tasks may be sent to the worker.
+    /// Whether new tasks may be sent to the worker at `now`.
     pub fn takes_tasks(&self, now: Millis) -> bool {
         self.claimed && self.silent_since.is_none() && self.no_room_until <= now
     }
 
-    /// The last lease sent for an attempt.
+    /// The last lease sent for this attempt; `None` if there is none, or only one for another
+    /// attempt.
     pub fn sent(&self, job: &JobId, attempt: Attempt) -> Option<Sent> {
         self.sent
             .get(job)
@@ -70,7 +73,7 @@
             .filter(|sent| sent.attempt == attempt)
     }
 
-    /// Notes that the worker has reported an attempt.
+    /// Records that the worker has reported an attempt.
     pub fn note_reported(&mut self, job: &JobId, attempt: Attempt) {
         if let Some(sent) = self.sent.get_mut(job)
             && sent.attempt == attempt
@@ -79,7 +82,7 @@
         }
     }
 
-    /// Forgets an attempt that is over.
+    /// Removes the lease of an attempt that has ended; that of another attempt stays.
     pub fn forget(&mut self, job: &JobId, attempt: Attempt) {
         if self.sent(job, attempt).is_some() {
             self.sent.swap_remove(job);
@@ -88,14 +91,15 @@
 }
 
 impl Shard {
-    /// Uses a worker's session, if there is one.
+    /// Calls `then` with a worker's session; `None` if there is no session.
     pub fn session<T>(&self, worker: &WorkerId, then: impl FnOnce(&mut Session) -> T) -> Option<T> {
         self.sessions.borrow_mut().get_mut(worker).map(then)
     }
 }
 
-/// Makes sure that a worker has a session at its present address. A new one takes every placement
-/// there for leased just now: what an earlier session had sent is no longer known.
+/// Ensures that a worker has a session at its present address. A new session assumes that every
+/// task placed there was leased just now, since the leases sent in an earlier session are no longer
+/// known.
 pub fn open(cx: &Cx, shard: &Shard, worker: &WorkerId, address: &str) {
     let known = shard.session(worker, |session| session.address == address);
     if known == Some(true) {
@@ -120,7 +124,7 @@
     shard.sessions.borrow_mut().insert(worker.clone(), session);
 }
 
-/// The latest end on our clock of a lease that this owner may have sent before now.
+/// The latest possible end, on this daemon's clock, of a lease that this owner has sent so far.
 fn unknown_lease_end(cx: &Cx) -> Millis {
     fencing::own_lease_end(
         cx.clock.now(),
@@ -129,7 +133,7 @@
     )
 }
 
-/// What the ledger places on a worker.
+/// The jobs that the ledger places on a worker.
 pub fn placements_on(shard: &Shard, worker: &WorkerId) -> Vec<(JobId, Placement)> {
     let (state, index) = (shard.state(), shard.journal.index());
     let placed = index.on_worker(worker);
@@ -139,8 +143,8 @@
         .collect()
 }
 
-/// Placements whose start can no longer be under way: placed by an earlier owner, reported, or with
-/// a lease that has run out.
+/// Placements whose start can no longer be in flight: placed by an earlier owner, reported by the
+/// worker, or with an expired lease.
 pub fn settled_placements(cx: &Cx, shard: &Shard, worker: &WorkerId) -> IndexMap<JobId, Placement> {
     let placed = placements_on(shard, worker);
     let now = cx.clock.now();
@@ -157,21 +161,23 @@
         .collect()
 }
 
-/// Time between two complete lists of a worker's tasks. Changes alone would do; a task that the
-/// ledger does not place there and whose report was lost in a fault of ours is found by the list.
+/// Time between two complete lists of a worker's tasks. Lists of changes would suffice, but only a
+/// complete one reveals a task that the ledger does not place there and whose report was lost
+/// through a bug.
 const LIST_INTERVAL: Duration = Duration::from_secs(60);
 
-/// New leases for everything on a worker, each task within its own hold. The judged placements
-/// decide whether changes are enough: one that the worker has never reported can be told from one
-/// that it has stopped by a complete list only.
+/// The renewal of all tasks on a worker, each within its own hold. The reply may be limited to
+/// changes only if the worker has reported every placement in `judged`: only a complete list
+/// distinguishes a task that it never reported from one that it has stopped.
 pub fn renewal(
     cx: &Cx,
     shard: &Shard,
     worker: &WorkerId,
     judged: &IndexMap<JobId, Placement>,
 ) -> RenewTasks {
-    // Renewed while it does not answer, a worker's tasks could never be given up: each renewal that
-    // may have arrived puts the end of their leases off. So it is only asked until it answers.
+    // Nothing is renewed while the worker does not answer: each renewal that may have arrived
+    // extends the leases that must expire before its tasks can be evicted. The request only checks
+    // whether it answers.
     if shard.session(worker, |session| session.silent_since.is_some()) == Some(true) {
         return RenewTasks {
             epoch: shard.epoch,
@@ -180,15 +186,16 @@
             known_ms: 0,
         };
     }
-    // One moment for all: a millisecond between two readings would make every task an exception.
+    // The same time for all tasks: a difference of one millisecond would make every task an
+    // exception.
     let now = cx.clock.now();
     let usual = usual_end(cx, shard, worker, now);
     let placed = placements_on(shard, worker).into_iter();
     let except = |(task, placement): (JobId, Placement)| {
         let attempt = placement.attempt;
         let sent = shard.session(worker, |session| session.sent(&task, attempt))?;
-        // Until the worker has reported a start of ours, the start's own lease has to do: renewed, a
-        // start that never arrived would seem to run for ever.
+        // Until the worker reports a start sent by this owner, the lease of the start applies. If
+        // it were renewed, a start that never arrived would seem to run for ever.
         if placement.epoch == shard.epoch && !sent.is_some_and(|sent| sent.is_reported) {
             return Some(RenewalException { task, until_ms: 0 });
         }
@@ -205,7 +212,7 @@
     }
 }
 
-/// The lease's end of a task that no hold cuts short; 0 when nothing may be renewed.
+/// The end, on the worker's clock, of a lease that no hold shortens; 0 if nothing may be renewed.
 fn usual_end(cx: &Cx, shard: &Shard, worker: &WorkerId, now: Millis) -> u64 {
     if !shard.is_serving() {
         return 0;
@@ -238,7 +245,7 @@
     known.unwrap_or_default()
 }
 
-/// Notes how far a worker's tasks are known after its answer.
+/// Records the reading of a worker's clock as of which all of its tasks are known.
 pub fn note_list(cx: &Cx, shard: &Shard, worker: &WorkerId, list: &TaskList) {
     shard.session(worker, |session| {
         session.known_ms = list.as_of_ms;
@@ -248,9 +255,10 @@
     });
 }
 
-/// The end of a lease given now, on the worker's clock, and notes its end on ours. None when the
-/// owner's own right has run out or the shard is being given up: a successor counts on no renewal
-/// after this owner's last event.
+/// The end, on the worker's clock, of a lease granted at `now`; its end on this daemon's clock is
+/// recorded. `None` if the task's hold has passed since the shard's lease was last renewed, if the
+/// worker's clock is not known, or if the shard is being released: the next owner relies on nothing
+/// being renewed after this owner's last event.
 pub fn next_lease(
     cx: &Cx,
     shard: &Shard,
@@ -283,8 +291,8 @@
     Some(until.0)
 }
 
-/// How long an owner that is cut off from the table may go on renewing a task. A job that the ledger
-/// does not know has no hold: nothing of it is renewed.
+/// How long an owner that can't reach the table may keep renewing a task. Zero for a job that the
+/// ledger does not have, so that it is not renewed.
 pub fn hold_of(shard: &Shard, task: &JobId) -> Duration {
     let state = shard.state();
     state.jobs.get(task).map(|job| job.hold).unwrap_or_default()
--- a/src/lapisdrum/daemon/shard.rs
+++ b/src/lapisdrum/daemon/shard.rs
@@ -1,4 +1,4 @@
-//! A shard under this daemon's ownership: its lease, its ledger, its sessions with workers.
+//! A shard that this daemon owns: its lease, its ledger and its sessions with workers.
 
 use super::{
     Cx,
@@ -29,33 +29,33 @@
 };
 use tokio::sync::{Notify, watch};
 
-/// First wait before a failed recovery is tried again.
+/// Wait before the first retry of a failed recovery.
 const FIRST_RECOVERY_WAIT: Duration = Duration::from_millis(100);
-/// Longest wait before a failed recovery is tried again.
+/// Longest wait before a failed recovery is retried.
 const LONGEST_RECOVERY_WAIT: Duration = Duration::from_secs(1);
 
 /// A shard that this daemon owns.
 pub struct Shard {
-    /// Its name.
+    /// Data centre and index of the shard.
     pub id: ShardId,
-    /// The epoch under which this daemon owns it.
+    /// The epoch in which this daemon owns the shard.
     pub epoch: Epoch,
-    /// When this daemon took it.
+    /// When this daemon sent the take-over, on its own clock.
     pub since: Millis,
-    /// Its ledger.
+    /// The ledger and its writer.
     pub journal: Journal,
-    /// Workers by name.
+    /// Sessions with the workers of the shard's hosts.
     pub sessions: RefCell<IndexMap<WorkerId, Session>>,
-    /// Rounds of floor exchanges seen of each daemon.
+    /// Number of the last floor exchange seen from each daemon.
     pub grant_rounds: RefCell<IndexMap<Holder, u64>>,
-    /// When earlier owners that did not release the shard were found to be dead.
+    /// When each earlier owner that did not release the shard was found to have ended.
     pub owners_gone: RefCell<IndexMap<Epoch, Millis>>,
-    /// What is learned of how tasks disturb each other and of failing workers.
+    /// Interference estimates, health of workers and jobs, and the state of mitigation.
     pub pressure: RefCell<Pressure>,
-    /// Rung when a job may be placed.
+    /// Notified when a waiting job may have become placeable.
     pub placement: Notify,
     row: RefCell<(u64, ShardRow)>,
-    /// A renewal whose answer was lost, and when it was first sent.
+    /// The row of a renewal whose reply was lost, and when it was first sent.
     doubtful: RefCell<Option<(ShardRow, Millis)>>,
     tenure: Cell<Tenure>,
     serving: Cell<bool>,
@@ -63,7 +63,8 @@
 }
 
 impl Shard {
-    /// A shard that was just taken; `row_version` and `epoch_version` are its rows' versions.
+    /// Creates a shard that was just taken. `row_version` and `epoch_version` are the table
+    /// versions of its row and its epoch row.
     pub fn new(
         id: ShardId,
         row: ShardRow,
@@ -89,12 +90,12 @@
         })
     }
 
-    /// The shard's row and version as last written or read.
+    /// The shard's row and its version, as last written or read.
     pub fn row(&self) -> (u64, ShardRow) {
         self.row.borrow().clone()
     }
 
-    /// Notes a renewal that certainly took effect.
+    /// Records a renewal that certainly took effect.
     pub fn renewed(&self, row: ShardRow, version: u64, sent_at: Millis) {
         let mut tenure = self.tenure.get();
         tenure.renew(sent_at);
@@ -103,8 +104,8 @@
         *self.row.borrow_mut() = (version, row);
     }
 
-    /// Notes that a renewal's answer was lost. Tries that would write the same row can't be told
-    /// apart, so the first one's time counts.
+    /// Records a renewal whose reply was lost. Attempts that write the same row can't be told
+    /// apart, so the send time of the first one counts.
     pub fn doubt(&self, row: ShardRow, sent_at: Millis) {
         let mut doubtful = self.doubtful.borrow_mut();
         if !doubtful.as_ref().is_some_and(|(known, _)| *known == row) {
@@ -112,7 +113,8 @@
         }
     }
 
-    /// Notes the row as read back. It counts as a renewal only if it is one whose answer was lost.
+    /// Records the row as read back. It extends the lease only if it is the row of a renewal whose
+    /// reply was lost.
     pub fn adopt_row(&self, row: ShardRow, version: u64) {
         let doubtful = self.doubtful.borrow().clone();
         if let Some((_, sent_at)) = doubtful.filter(|(doubtful, _)| *doubtful == row) {
@@ -124,35 +126,38 @@
         *self.row.borrow_mut() = (version, row);
     }
 
-    /// The owner's view of its lease.
+    /// The lease as this daemon counts it.
     pub fn tenure(&self) -> Tenure {
         self.tenure.get()
     }
 
-    /// Whether the owner may start or commit anything at `now`.
+    /// Whether the owner may start or commit anything at `now`: the shard is not lost and its lease
+    /// has not expired.
     pub fn may_act(&self, now: Millis, terms: &LeaseTerms) -> bool {
         !self.is_lost() && self.tenure.get().may_act(now, terms)
     }
 
-    /// Whether the ledger is recovered.
+    /// Whether the ledger is recovered and the shard neither lost nor being released.
     pub fn is_serving(&self) -> bool {
         self.serving.get() && !self.is_lost()
     }
 
-    /// Whether another owner has come, or this one has given the shard up.
+    /// Whether this ownership has ended: another owner has taken the shard, this one has released
+    /// it, or its loops have ended.
     pub fn is_lost(&self) -> bool {
         *self.lost.borrow()
     }
 
-    /// Ends this ownership here and now.
+    /// Ends this ownership locally; the shard's row is not written.
     pub fn lose(&self) {
         self.journal.lose();
         self.lost.send_replace(true);
         self.placement.notify_one();
     }
 
-    /// Renews and starts nothing more, and writes the last event of a graceful end. If it can't be
-    /// written, the successor takes this owner for unaccounted and waits longer.
+    /// Prepares a release: stops starts and renewals, and writes the owner's last event. If it
+    /// can't be written, the next owner has to assume that this one still renews tasks, and waits
+    /// longer before it starts them elsewhere.
     pub async fn end_tenure(&self, cx: &Cx) {
         let was_serving = self.is_serving();
         self.serving.set(false);
@@ -165,25 +170,26 @@
         }
     }
 
-    /// Whether an event proposed now would be written, as far as is known.
+    /// Whether an event proposed now is likely to be written: the table accepted the last row
+    /// without a retry.
     pub fn can_write(&self, cx: &Cx) -> bool {
         self.is_serving()
             && self.may_act(cx.clock.now(), &cx.cfg.shards.terms)
             && self.journal.is_writing()
     }
 
-    /// The ledger's state.
+    /// The ledger's state, including events that are not durable yet.
     pub fn state(&self) -> Ref<'_, State> {
         self.journal.state()
     }
 
-    /// A job of this shard.
+    /// A job of this shard; `None` if the ledger does not have it.
     pub fn job(&self, id: &JobId) -> Option<Job> {
         self.state().jobs.get(id).cloned()
     }
 
-    /// Proposes events; see [`Journal::propose`]. Refused once the lease has run out, and while the
-    /// shard is being given up: nothing may follow the owner's last event.
+    /// Proposes events; see [`Journal::propose`]. Fails once the lease has expired, and while the
+    /// shard is being released: no event may follow the owner's last one.
     pub fn propose(
         &self,
         cx: &Cx,
@@ -201,8 +207,8 @@
     }
 }
 
-/// Starts the loops of a shard that was just taken. When they end for any reason the shard is lost
-/// here, so that it is never held without being served.
+/// Starts the loops of a shard that was just taken. When they end for any reason, so does the
+/// ownership: no shard is held without being served.
 pub fn start(cx: &Cx, shard: Rc<Shard>) {
     let cx = Rc::clone(cx);
     supervisor::spawn("shard", async move {
@@ -225,7 +231,8 @@
     }
 }
 
-/// Begins this ownership in the ledger and acts on it. Ends only if it can't begin.
+/// Records the start of this ownership in the ledger and runs the owner's loops. Returns only if
+/// the start can't be recorded.
 async fn act(cx: &Cx, shard: &Rc<Shard>) {
     let began = Event::OwnerBegan {
         epoch: shard.epoch,
@@ -249,14 +256,17 @@
         upkeep::run(cx, shard),
         pressure::watch(cx, shard)
     );
-    // The shard is being given up; its last event may still be on its way.
+    // The shard is being released; its last event may still be in flight.
     std::future::pending().await
 }
 
 async fn recover(cx: &Cx, shard: &Rc<Shard>) {
     let mut backoff = Backoff::new(FIRST_RECOVERY_WAIT, LONGEST_RECOVERY_WAIT);
     while let Err(e) = shard.journal.recover(cx).await {
-        log::warn!("shard {} is not recovered yet: {e:#}", shard.id);
+        log::warn!(
+            "recovery of shard {} failed and is retried: {e:#}",
+            shard.id
+        );
         let wait = backoff.next_wait(&mut rand::rng());
         tokio::time::sleep(wait).await;
     }
--- a/src/lapisdrum/daemon/snapshots.rs
+++ b/src/lapisdrum/daemon/snapshots.rs
@@ -1,9 +1,9 @@
 //! Snapshots of a shard's ledger in the object store, and the deletion of rows that they cover.
 //!
-//! A snapshot goes out beside the ledger's writes and is serialised on another thread: at 17,800
-//! jobs it takes longer than a request may wait. Its steps are: object, pointer, delete the rows,
+//! A snapshot is stored in parallel with ledger writes and serialised on another thread: at 17,800
+//! jobs that takes longer than a request may wait. Its steps are: object, pointer, delete the rows,
 //! delete the old object. A crash between any two leaves rows that recovery skips or an object that
-//! nobody points to, and nothing that is missed.
+//! nothing points to; no event is lost.
 
 use super::{Cx, journal::Journal, registrar::epoch_key};
 use crate::{
@@ -12,58 +12,59 @@
     store::{client::TxnOutcome, wire::Txn},
 };
 
-/// Most rows that one transaction deletes.
+/// Maximum number of rows that one transaction deletes.
 const DELETES_PER_TXN: u64 = 1_000;
 
 data! {
-    /// The row that names a shard's last snapshot.
+    /// The row that points to a shard's last snapshot.
     pub struct SnapshotPointer {
-        /// The object's key.
+        /// Key of the snapshot in the object store.
         pub object: String,
-        /// The last batch that it covers.
+        /// Sequence number of the last batch that the snapshot covers.
         pub sequence: Sequence,
     }
 }
 
-/// The state as of a batch that is durable.
+/// The ledger's state after a durable batch.
 #[derive(Debug)]
 pub struct Snapshot {
-    /// The last batch that it covers.
+    /// Sequence number of that batch.
     pub sequence: Sequence,
-    /// The state.
+    /// The state after it.
     pub state: State,
 }
 
-/// The key of the row that points to a shard's snapshot.
+/// Table key of a shard's [`SnapshotPointer`].
 pub fn pointer_key(shard: &ShardId) -> String {
     format!("snapshot/{shard}")
 }
 
-/// Key prefix of a shard's ledger rows.
+/// Prefix of the table keys of a shard's ledger rows.
 pub fn row_prefix(shard: &ShardId) -> String {
     format!("ledger/{shard}/")
 }
 
-/// The key of a ledger row; keys sort as sequence numbers do.
+/// Table key of a ledger row. Keys sort in the order of sequence numbers.
 pub fn row_key(shard: &ShardId, sequence: Sequence) -> String {
     format!("{}{:020}", row_prefix(shard), sequence.0)
 }
 
-/// Reads a shard's last snapshot; an empty state when there is none.
+/// Reads a shard's last snapshot; returns an empty state if there is none.
 pub async fn read(cx: &Cx, shard: &ShardId) -> eyre::Result<State> {
     let Some(row) = cx.platform.get(&pointer_key(shard)).await? else {
         return Ok(State::default());
     };
     let pointer = row.parse::<SnapshotPointer>();
-    // Taken for absent, a pointer that can't be read would lose every job without a word.
+    // If a malformed pointer were treated as absent, every job would be lost without an error.
     let pointer = pointer.ok_or_else(|| eyre::eyre!("snapshot row {} is malformed", row.key))?;
     let object = cx.platform.get_object(&pointer.object).await?;
-    let object = object.ok_or_else(|| eyre::eyre!("snapshot {} is gone", pointer.object))?;
+    let object =
+        object.ok_or_else(|| eyre::eyre!("snapshot object {} is missing", pointer.object))?;
     let state = tokio::task::spawn_blocking(move || serde_json::from_slice(&object)).await?;
     Ok(state?)
 }
 
-/// Stores snapshots as the journal hands them out, until the shard is lost.
+/// Stores the snapshots that the journal provides, until the shard is lost.
 pub async fn keep(cx: &Cx, journal: &Journal) {
     loop {
         let snapshot = journal.next_snapshot().await;
@@ -75,7 +76,7 @@
     }
 }
 
-/// Stores the object and points to it; whether the pointer is certainly in.
+/// Stores the object and points to it. Returns whether the pointer was certainly written.
 async fn store(cx: &Cx, shard: &ShardId, guard: (Epoch, u64), snapshot: Snapshot) -> bool {
     let (epoch, epoch_version) = guard;
     let sequence = snapshot.sequence;
@@ -107,13 +108,14 @@
     pointed
 }
 
-/// After a lost answer: whether the pointer names this snapshot.
+/// Whether the pointer names this snapshot. Used after a lost reply.
 async fn points_to(cx: &Cx, shard: &ShardId, pointer: &SnapshotPointer) -> bool {
     let row = cx.platform.get(&pointer_key(shard)).await.ok().flatten();
     row.and_then(|row| row.parse::<SnapshotPointer>()).as_ref() == Some(pointer)
 }
 
-/// Deletes rows up to `sequence`. What can't be deleted now goes with the next snapshot.
+/// Deletes rows up to `sequence`. Rows that can't be deleted now are deleted after the next
+/// snapshot.
 async fn delete_covered(cx: &Cx, journal: &Journal, sequence: Sequence) {
     let (_, epoch_version) = journal.guard();
     let shard = journal.shard();
--- a/src/lapisdrum/daemon/status.rs
+++ b/src/lapisdrum/daemon/status.rs
@@ -1,8 +1,9 @@
-//! Watches what the other parts know and tells of it only when it changes.
+//! Checks leases, daemons, jobs and workers at intervals, records changes of state and updates
+//! metrics.
 //!
-//! Leases run out and peers fall silent without an event of their own: nothing happens, and that is
-//! the news. This part looks once a renewal and records the change of state, so that the time line
-//! shows when a shard could no longer act and since when a peer was not heard of.
+//! A lease that expires and a daemon that falls silent cause no event of their own. They are
+//! checked once per renewal interval, and changes are recorded, so that the timeline shows when a
+//! shard could no longer act and since when a daemon has been silent.
 
 use super::{
     Cx,
@@ -20,13 +21,14 @@
 use indexmap::IndexMap;
 use std::time::Duration;
 
-/// Whether the platform answered the last time it was asked.
+/// Whether the last renewal reached the platform and was answered.
 pub fn platform_answers(cx: &Cx) -> bool {
     cx.metrics.platform_up.get() == 1
 }
 
-/// Whether a daemon's presence row has changed within the time after which a shard's lease lapses.
-/// None while the platform is away: nobody's row can be read then, and silence tells nothing.
+/// Whether a daemon's presence row has changed within the time after which a shard's lease expires.
+/// `None` while the platform does not answer: no row can be read then, so an unchanged one proves
+/// nothing.
 pub fn is_live(cx: &Cx, seen: &SeenPresence, now: Millis) -> Option<bool> {
     if seen.row.holder == cx.me {
         return Some(true);
@@ -34,20 +36,21 @@
     platform_answers(cx).then(|| now.since(seen.seen.since) <= patience(cx))
 }
 
-/// Time for which a row may stand unchanged: a lease, and one more read of the rows.
+/// How long the row of a live daemon may stay unchanged: the length of a lease with its drift
+/// margin, and one interval between reads.
 fn patience(cx: &Cx) -> Duration {
     let terms = &cx.cfg.shards.terms;
     terms.lengthened(terms.lease) + cx.cfg.shards.renew
 }
 
-/// What was the case at the last look.
+/// States at the previous check.
 #[derive(Debug, Default)]
 struct Seen {
     lapsed: IndexMap<ShardId, bool>,
     silent: IndexMap<DaemonId, bool>,
 }
 
-/// Runs until the process ends.
+/// Checks at the renewal interval until the process ends.
 pub async fn watch(cx: Cx) -> eyre::Result<()> {
     let mut seen = Seen::default();
     let mut measured_at = cx.clock.now();
@@ -109,16 +112,16 @@
 fn note_daemon(cx: &Cx, row: &Presence, silent: bool) {
     let daemon = row.holder.daemon.clone();
     if silent {
-        log::warn!("daemon {daemon} is not heard of");
+        log::warn!("daemon {daemon} is silent: its presence row is not renewed");
         cx.timeline.record(Happening::DaemonSilent { daemon });
     } else {
-        log::info!("daemon {daemon} is heard of again");
+        log::info!("daemon {daemon} renews its presence row again");
         cx.timeline.record(Happening::DaemonHeard { daemon });
     }
 }
 
-/// Counts waiting and placed jobs, and adds the time since the last look to what tasks have spent.
-/// Counting time a look at a time needs no note of each start, which a new owner would not have.
+/// Counts waiting and placed jobs, and adds the time since the previous check to each entry's task
+/// time. Sampling needs no start times of tasks, which a new owner would not have.
 fn measure_jobs(cx: &Cx, span: Duration) {
     let shards = cx.shards.borrow();
     for entry in cx.catalogue.borrow().rows.keys() {
@@ -163,7 +166,7 @@
     i64::try_from(count).unwrap_or(i64::MAX)
 }
 
-/// Whether a state differs from the last one; what was never seen counts as false.
+/// Whether a state differs from the previous one; without a previous one, from false.
 fn changed<K: std::hash::Hash + Eq>(before: &IndexMap<K, bool>, key: &K, now: bool) -> bool {
     before.get(key).copied().unwrap_or(false) != now
 }
--- a/src/lapisdrum/daemon/supervisor.rs
+++ b/src/lapisdrum/daemon/supervisor.rs
@@ -1,8 +1,8 @@
-//! The supervisor tree: named parts that are started again when they end.
+//! Supervision of named components, which are restarted when they end.
 //!
-//! A part that returns has met an outcome that it could not deal with; it begins afresh after a
-//! wait. A panic is a broken invariant: going on could commit a host twice, so the whole process
-//! ends and another daemon takes its shards over.
+//! A component returns if it has met an outcome that it can't handle; it is restarted after a wait.
+//! A panic is a broken invariant: to continue could commit the capacity of a host twice, so the
+//! whole process exits and another daemon takes over its shards.
 
 use super::Cx;
 use crate::util::backoff::Backoff;
@@ -10,21 +10,21 @@
 use indexmap::IndexMap;
 use std::{cell::RefCell, future::Future, rc::Rc, time::Duration};
 
-/// First wait before a part is started again.
+/// Wait before the first restart of a component.
 const FIRST_WAIT: Duration = Duration::from_millis(100);
-/// Longest wait before a part is started again.
+/// Longest wait before a component is restarted.
 const LONGEST_WAIT: Duration = Duration::from_secs(5);
 /// Exit status after a broken invariant.
 const BROKEN_INVARIANT_STATUS: i32 = 70;
 
-/// Keeps parts running.
+/// Runs components and restarts those that end.
 pub struct Supervisor {
     cx: Cx,
     parts: RefCell<IndexMap<&'static str, JoinHandle<()>>>,
 }
 
 impl Supervisor {
-    /// A supervisor without parts.
+    /// Creates a supervisor without components.
     pub fn new(cx: Cx) -> Self {
         Self {
             cx,
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Starts a part that is started again whenever it ends.
+    /// Starts a component that is restarted whenever it ends.
     pub fn start<F>(&self, name: &'static str, part: impl Fn(Cx) -> F + 'static)
     where
         F: Future<Output = eyre::Result<()>> + 'static,
@@ -44,7 +44,7 @@
                 let ended = part(Rc::clone(&cx)).await;
                 cx.metrics.part_restarts.inc();
                 if let Err(e) = ended {
-                    log::warn!("part {name} ended and is started again: {e:#}");
+                    log::warn!("component {name} failed and is restarted: {e:#}");
                 }
                 let wait = backoff.next_wait(&mut rand::rng());
                 tokio::time::sleep(wait).await;
@@ -52,7 +52,7 @@
         });
     }
 
-    /// Starts a part that ends when it is done.
+    /// Starts a component that is not restarted when it ends.
     pub fn start_once(&self, name: &'static str, part: impl Future<Output = ()> + 'static) {
         let running = actix_rt::spawn(part);
         self.parts
@@ -60,7 +60,7 @@
             .insert(name, watch_for_panic(name, running));
     }
 
-    /// Waits for a part that was started once.
+    /// Waits for a component that was started by [`Self::start_once`].
     pub async fn finished(&self, name: &str) {
         let part = self.parts.borrow_mut().swap_remove(name);
         if let Some(part) = part {
@@ -68,14 +68,14 @@
         }
     }
 
-    /// Ends one part where it stands.
+    /// Aborts one component.
     pub fn stop(&self, name: &str) {
         if let Some(part) = self.parts.borrow_mut().swap_remove(name) {
             part.abort();
         }
     }
 
-    /// Ends every part where it stands.
+    /// Aborts every component.
     pub fn stop_all(&self) {
         for (_, part) in self.parts.borrow_mut().drain(..) {
             part.abort();
@@ -83,7 +83,7 @@
     }
 }
 
-/// Runs `task` beside the others; a panic in it ends the process.
+/// Spawns `task`; a panic in it ends the process. To abort the returned handle aborts the task.
 pub fn spawn(name: &'static str, task: impl Future<Output = ()> + 'static) -> JoinHandle<()> {
     watch_for_panic(name, actix_rt::spawn(task))
 }
@@ -94,7 +94,7 @@
         if let Err(e) = (&mut task.0).await
             && e.is_panic()
         {
-            log::error!("broken invariant in {name}; ending so that another daemon takes over");
+            log::error!("panic in {name}; exiting so that another daemon takes over");
             std::process::exit(BROKEN_INVARIANT_STATUS);
         }
     })
--- a/src/lapisdrum/daemon/upkeep.rs
+++ b/src/lapisdrum/daemon/upkeep.rs
@@ -1,9 +1,9 @@
-//! Keeps a shard's ledger bounded and carries an entry's retirement through.
+//! Maintenance of a shard's ledger: removes old ended jobs and cancels the jobs of retired entries.
 //!
-//! Ended jobs are kept for a time, so that callers who ask late find their end; without a
-//! bound on time *and* number the state, its snapshots and a recovery would grow for ever. Ages
-//! count from when this owner saw the end, since the ledger holds no times: a take-over keeps an end
-//! somewhat longer and never shorter. [`super::claims`] looks after claims.
+//! Ended jobs are kept for a time, so that callers who ask late learn the outcome; without a bound
+//! on time *and* number, the state, its snapshots and the time of a recovery would grow without
+//! limit. Ages count from when this owner saw the end, since the ledger holds no times: a take-over
+//! keeps an ended job somewhat longer and never shorter. [`super::claims`] removes old claims.
 
 use super::{Cx, journal::Urgency, shard::Shard};
 use crate::{
@@ -16,18 +16,20 @@
 };
 use std::{rc::Rc, time::Duration};
 
-/// Time between two looks.
+/// Time between two maintenance passes.
 const TICK: Duration = Duration::from_secs(1);
-/// Most jobs that are forgotten at a time.
+/// Maximum number of jobs removed in one pass.
 const MOST_AT_ONCE: usize = 1_000;
-/// Tends the shard until it is lost or given up.
+
+/// Runs maintenance until the shard is lost or released.
 pub async fn run(cx: &Cx, shard: &Rc<Shard>) {
     while shard.is_serving() {
         if shard.can_write(cx) {
             let mut events = expired(cx, shard);
             events.extend(retirements(cx, shard));
             if !events.is_empty() {
-                // Nothing waits for these; what is not written now is proposed again after recovery.
+                // Nothing waits for these events; those that are not written are proposed again
+                // after recovery.
                 let _ = shard.propose(cx, events, Urgency::Batch);
             }
         }
@@ -44,8 +46,8 @@
     forgotten.collect()
 }
 
-/// Cancels what runs or waits under a retired long-running entry. Batch jobs that were accepted
-/// finish, and running requests are answered; those need nothing here.
+/// Cancels the waiting and running jobs of retired long-running entries. Accepted batch jobs finish
+/// and running requests are answered; these need no event.
 fn retirements(cx: &Cx, shard: &Shard) -> Vec<Event> {
     let retired = retired_services(cx, shard);
     if retired.is_empty() {
@@ -69,7 +71,7 @@
     retired.map(|entry| entry.name.clone()).collect()
 }
 
-/// The event that cancels a job; none when it is over or being cancelled already.
+/// The event that cancels a job; `None` if it has ended or is already being cancelled.
 pub fn cancel(id: &JobId, job: &Job) -> Option<Event> {
     match job.phase {
         JobPhase::Ended(_) => None,
--- a/src/lapisdrum/daemon/visits.rs
+++ b/src/lapisdrum/daemon/visits.rs
@@ -1,8 +1,9 @@
-//! The owner's visits to its workers: claim, renew, reconcile, move tasks off leaving hosts.
+//! Polls of a shard's workers: claim the worker, renew its task leases, reconcile its tasks with
+//! the ledger, and move tasks off hosts that are leaving.
 //!
-//! Each worker is visited by a call of its own, so a slow worker delays nobody else's renewals. A
-//! visit never waits for the ledger: with the table away it would renew nothing more, and a platform
-//! outage would stop running tasks. Effects of what it finds wait for the ledger beside it.
+//! Each poll is a task of its own, so a slow worker does not delay the renewals of others. A poll
+//! never waits for a ledger write: if it did, an outage of the table would stop all renewals, and
+//! running tasks would stop with them. Effects that depend on a write run in separate tasks.
 
 use super::{
     Cx,
@@ -29,7 +30,7 @@
 use indexmap::{IndexMap, IndexSet};
 use std::{rc::Rc, time::Duration};
 
-/// Visits every worker of the shard at the renewal interval, until the shard is lost.
+/// Polls every worker of the shard at the renewal interval until the shard is lost or released.
 pub async fn visit_workers(cx: &Cx, shard: &Rc<Shard>) {
     while shard.is_serving() {
         for (worker, address, leaving) in hosts_of(cx, shard) {
@@ -68,7 +69,8 @@
 
 async fn visit(cx: &Cx, shard: &Rc<Shard>, worker: &WorkerId, address: &str) {
     let claimed = shard.session(worker, |session| session.claimed) == Some(true);
-    // Only what was settled before the call can be judged by its answer.
+    // The answer proves nothing about a placement whose start may still be in flight, so those that
+    // it can judge are selected before the call.
     let judged = sessions::settled_placements(cx, shard, worker);
     let end = match claimed {
         true => {
@@ -77,7 +79,7 @@
         }
         false => cx.workers.claim(address, shard.epoch).await,
     };
-    // A session that was opened anew meanwhile is for another address.
+    // A session opened during the call belongs to another address; the answer is not from there.
     let is_same = shard.session(worker, |session| session.address == address);
     if !shard.is_serving() || is_same != Some(true) {
         return;
@@ -127,7 +129,8 @@
     }
 }
 
-/// The worker has seen a later epoch: another owner has come, and the registrar will find it out.
+/// Handles a rejected epoch: the worker has accepted a later one, so another owner has taken the
+/// shard over. The registrar detects this by itself.
 fn note_refused(shard: &Shard, worker: &WorkerId) {
     let first = shard.session(worker, |session| {
         session.claimed = false;
@@ -150,7 +153,8 @@
     shard.placement.notify_one();
 }
 
-/// Brings the ledger in line with what a worker reports.
+/// Reconciles the ledger with the tasks that a worker reports. A complete list also revokes the
+/// placements in `judged` that it does not contain.
 fn reconcile(
     cx: &Cx,
     shard: &Rc<Shard>,
@@ -161,7 +165,7 @@
 ) {
     let mut over = Vec::new();
     for status in &list.tasks {
-        // What is proposed but not durable must have no effect on the worker yet.
+        // Events that are not durable yet must not affect the worker.
         if shard.journal.is_unsettled(&status.task) {
             continue;
         }
@@ -172,7 +176,7 @@
             {
                 follow_status(cx, shard, worker, address, status);
             }
-            // An attempt that the ledger does not place here: over, or moved on.
+            // The ledger does not place this attempt here: it has ended or was placed elsewhere.
             _ if job.is_some() || status.task.shard().as_ref() == Some(&shard.id) => {
                 over.push(status.task.clone());
             }
@@ -180,7 +184,7 @@
         }
     }
     stop_tasks(cx, shard, worker, address, over);
-    // Changes alone say nothing about what is absent from them.
+    // A list of changes does not show which tasks are absent.
     if !list.is_complete {
         return;
     }
@@ -190,7 +194,7 @@
     }
 }
 
-/// Acts on the status of a task that the ledger places on the worker that reports it.
+/// Records the status of a task that the ledger places on the reporting worker.
 fn follow_status(
     cx: &Cx,
     shard: &Rc<Shard>,
@@ -220,9 +224,10 @@
     });
 }
 
-/// Tasks that have to come down on a worker. Its answers name changes only, so this goes by the
-/// ledger; what the answer says has ended is left to it. Asked before the answer is acted on: a
-/// checkpoint proposed by then would make the task seem unsettled at every visit.
+/// Tasks that must be stopped on a worker. Its answer may contain changes only, so the ledger's
+/// placements are checked; tasks that the answer reports as ended are left to [`reconcile`]. Must
+/// be called before the answer is applied: a checkpoint proposed by then would make the task seem
+/// unsettled at every poll.
 fn due_to_stop(cx: &Cx, shard: &Shard, worker: &WorkerId, list: &TaskList) -> Vec<JobId> {
     let ended = list.tasks.iter().filter(|s| s.state != TaskState::Running);
     let ended: IndexSet<&JobId> = ended.map(|status| &status.task).collect();
@@ -240,8 +245,8 @@
     due.map(|(task, _)| task).collect()
 }
 
-/// Whether a running task has to come down: it is cancelled, or its host leaves and its class's time
-/// to stay is over.
+/// Whether a running task must be stopped: it is being cancelled, or its host is leaving and the
+/// grace period of its class has passed.
 fn is_to_stop(cx: &Cx, shard: &Shard, worker: &WorkerId, job: &Job) -> bool {
     let leaving_since = shard.session(worker, |session| session.leaving_since);
     let Some(since) = leaving_since.flatten() else {
@@ -252,12 +257,13 @@
         Some(Class::LongRunning) => cx.cfg.shards.leaving_grace,
         _ => Duration::ZERO,
     };
-    // A stop that the ledger can't take would leave the task down until the table is back.
+    // If the ledger could not record the eviction, the task would stay stopped until the table is
+    // available again.
     let is_due = shard.can_write(cx) && cx.clock.now().since(since) >= grace;
     job.cancelling || is_due
 }
 
-/// What a status adds to the ledger.
+/// The ledger events that follow from a status.
 fn events_of(
     cx: &Cx,
     shard: &Shard,
@@ -298,8 +304,9 @@
     events
 }
 
-/// A running task's progress goes into the ledger now and then only: 17,800 tasks a shard would
-/// otherwise write more events than all starts and ends together.
+/// Whether a checkpoint is to be recorded in the ledger. For a running task this happens only at
+/// intervals: otherwise 17,800 tasks per shard would write more events than all starts and ends
+/// together.
 fn is_checkpoint_due(cx: &Cx, shard: &Shard, worker: &WorkerId, status: &TaskStatus) -> bool {
     if status.state != TaskState::Running {
         return true;
@@ -341,7 +348,8 @@
     }
 }
 
-/// Effects of a durable status: the worker may forget the task, the time line and counters learn.
+/// Effects of a status whose events are durable: updates the timeline and metrics, and acknowledges
+/// an ended task so that the worker may forget it.
 fn after_status(
     cx: &Cx,
     shard: &Rc<Shard>,
@@ -374,7 +382,8 @@
     }
 }
 
-/// Brings a running task down after a last checkpoint, and acts on its last status at once.
+/// Checkpoints and stops a running task, and records its last status at once. Does nothing if a
+/// stop of the task is already in flight.
 pub fn stop_running(cx: &Cx, shard: &Rc<Shard>, worker: &WorkerId, address: &str, task: &JobId) {
     if !begin_stop(shard, worker, task) {
         return;
@@ -383,7 +392,7 @@
     let (cx, shard) = (Rc::clone(cx), Rc::clone(shard));
     let (worker, address) = (worker.clone(), address.to_owned());
     supervisor::spawn("task-stop", async move {
-        // Without a checkpoint the task goes on from the last one that the ledger names.
+        // If the checkpoint fails, the task resumes from the last one in the ledger.
         let _ = cx.workers.checkpoint(&address, &task, shard.epoch).await;
         let end = cx.workers.stop(&address, &task, shard.epoch).await;
         end_stop(&shard, &worker, &task);
@@ -400,7 +409,7 @@
     });
 }
 
-/// Stops tasks that are not to run on a worker, or acknowledges their recorded ends.
+/// Stops tasks that must not run on a worker, and acknowledges ends that are recorded.
 fn stop_tasks(cx: &Cx, shard: &Rc<Shard>, worker: &WorkerId, address: &str, tasks: Vec<JobId>) {
     let begun = tasks.into_iter();
     let begun: Vec<JobId> = begun
@@ -421,7 +430,7 @@
     });
 }
 
-/// Notes a stop that is about to be sent; false when one is under way.
+/// Marks the stop of a task as in flight. Returns false if one already is.
 fn begin_stop(shard: &Shard, worker: &WorkerId, task: &JobId) -> bool {
     shard.session(worker, |session| session.stopping.insert(task.clone())) == Some(true)
 }
