--- a/src/lapisdrum/daemon/peers.rs
+++ b/src/lapisdrum/daemon/peers.rs
@@ -62,59 +62,59 @@
 }
 
 /// A list of rows was requested at most this many platform timeouts before it was read.
-const LIST_AGE: u32 = 2;
+const MAX_LIST_AGE_TIMEOUTS: u32 = 2;
 
 /// Incarnations of other daemons that this process has heard of, and since when each has ended.
 #[derive(Debug, Default)]
-pub struct Departures(RefCell<IndexMap<Holder, Departure>>);
+pub struct Departures(RefCell<IndexMap<Holder, Incarnation>>);
 
 #[derive(Clone, Copy, Debug)]
-struct Departure {
-    heard: Millis,
-    gone_since: Option<Millis>,
+struct Incarnation {
+    first_heard: Millis,
+    ended_since: Option<Millis>,
 }
 
 /// Maximum number of incarnations remembered. One that is forgotten must be found to have ended
 /// again.
-const MOST_DEPARTURES: usize = 10_000;
+const MAX_INCARNATIONS: usize = 10_000;
 
 /// Time since an incarnation of a daemon was found to have ended; `None` if it may still run.
 pub fn gone_for(cx: &Cx, holder: &Holder) -> Option<Duration> {
     let now = cx.clock.now();
     let mut known = cx.departures.0.borrow_mut();
-    if known.len() > MOST_DEPARTURES {
+    if known.len() > MAX_INCARNATIONS {
         known.clear();
     }
-    let departure = known.entry(holder.clone()).or_insert(Departure {
-        heard: now,
-        gone_since: None,
+    let incarnation = known.entry(holder.clone()).or_insert(Incarnation {
+        first_heard: now,
+        ended_since: None,
     });
-    if departure.gone_since.is_none() && is_gone(cx, holder, departure.heard) {
-        departure.gone_since = Some(now);
+    if incarnation.ended_since.is_none() && has_ended(cx, holder, incarnation.first_heard) {
+        incarnation.ended_since = Some(now);
     }
-    departure.gone_since.map(|since| now.since(since))
+    incarnation.ended_since.map(|since| now.since(since))
 }
 
-/// Whether an incarnation of a daemon, first heard of at `heard`, has certainly ended: another one
-/// is at its address, or it has released its presence row. A daemon sends no requests to others
-/// before its own row is written, so a complete list of rows requested after `heard` contains the
-/// row unless it was released.
-fn is_gone(cx: &Cx, holder: &Holder, heard: Millis) -> bool {
+/// Whether an incarnation of a daemon has certainly ended: another one is at its address, or it has
+/// released its presence row. A daemon sends no requests to others before its own row is written,
+/// so a complete list of rows requested after `first_heard` contains the row unless it was
+/// released.
+fn has_ended(cx: &Cx, holder: &Holder, first_heard: Millis) -> bool {
     if *holder == cx.me {
         return false;
     }
     let members = cx.members.borrow();
     // A row that is merely present may be older than `holder`; one that was first read after
-    // `heard` is not.
+    // `first_heard` is not.
     let is_replaced = members.daemons.values().any(|seen| {
         let other = &seen.row.holder;
-        other.address == holder.address && other != holder && seen.seen.since > heard
+        other.address == holder.address && other != holder && seen.seen.since > first_heard
     });
-    let read_after = heard + cx.cfg.platform.timeout * LIST_AGE;
-    let is_read = members.all_read_at.is_some_and(|read| read >= read_after);
-    let is_named = members
+    let read_after = first_heard + cx.cfg.platform.timeout * MAX_LIST_AGE_TIMEOUTS;
+    let is_list_recent = members.all_read_at.is_some_and(|read| read >= read_after);
+    let is_listed = members
         .daemons
         .values()
         .any(|seen| seen.row.holder == *holder);
-    is_replaced || (is_read && !is_named)
+    is_replaced || (is_list_recent && !is_listed)
 }
--- a/src/lapisdrum/daemon/proposals.rs
+++ b/src/lapisdrum/daemon/proposals.rs
@@ -10,7 +10,7 @@
 use tokio::sync::oneshot;
 
 /// Retry-after of a refusal while the table is unavailable.
-const STORE_AWAY_RETRY: Duration = Duration::from_secs(2);
+const STORE_UNAVAILABLE_RETRY: Duration = Duration::from_secs(2);
 
 /// How soon an event must be written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -48,10 +48,10 @@
     pub fn refusal(&self) -> Refusal {
         match self {
             Self::Stalled => Refusal::StoreAway {
-                retry_after: STORE_AWAY_RETRY,
+                retry_after: STORE_UNAVAILABLE_RETRY,
             },
             Self::Lost | Self::Misplaced(_) => Refusal::NoOwner {
-                retry_after: STORE_AWAY_RETRY,
+                retry_after: STORE_UNAVAILABLE_RETRY,
             },
         }
     }
--- a/src/lapisdrum/daemon/registrar.rs
+++ b/src/lapisdrum/daemon/registrar.rs
@@ -58,21 +58,21 @@
 pub async fn run(cx: Cx) -> eyre::Result<()> {
     let mut beat = 0;
     let mut platform_up = true;
-    let mut rounds = tokio::time::interval(cx.cfg.shards.renew);
-    rounds.set_missed_tick_behavior(MissedTickBehavior::Delay);
+    let mut ticks = tokio::time::interval(cx.cfg.shards.renew);
+    ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
-        rounds.tick().await;
+        ticks.tick().await;
         beat += 1;
-        let round = renew(&cx, beat).await;
-        if round.is_ok() != platform_up {
-            platform_up = round.is_ok();
-            note_platform(&cx, platform_up);
+        let result = renew(&cx, beat).await;
+        if result.is_ok() != platform_up {
+            platform_up = result.is_ok();
+            note_platform_state(&cx, platform_up);
         }
         cx.metrics.platform_up.set(i64::from(platform_up));
     }
 }
 
-fn note_platform(cx: &Cx, up: bool) {
+fn note_platform_state(cx: &Cx, up: bool) {
     if up {
         cx.timeline.record(Happening::PlatformBack {});
         log::info!("platform answers again");
@@ -111,7 +111,7 @@
     match cx.platform.txn(&txn).await {
         TxnOutcome::Committed(versions) => {
             for ((shard, row), version) in held.iter().zip(written).zip(&versions[1..]) {
-                shard.renewed(row, *version, sent_at);
+                shard.note_renewed(row, *version, sent_at);
             }
             Ok(true)
         }
@@ -127,7 +127,7 @@
                 return Err(e);
             }
             for (shard, row) in held.iter().zip(written) {
-                shard.doubt(row, sent_at);
+                shard.note_unconfirmed(row, sent_at);
             }
             for shard in &held {
                 read_back(cx, shard).await?;
@@ -150,15 +150,15 @@
         Some((row, version)) if row.epoch == shard.epoch && row.holder.as_ref() == Some(&cx.me) => {
             shard.adopt_row(row, version);
         }
-        _ => lose(cx, shard),
+        _ => remove_lost(cx, shard),
     }
     Ok(())
 }
 
 /// Ends the ownership of a shard locally. It is recorded as lost only if it has not been released
 /// or taken again since.
-pub fn lose(cx: &Cx, shard: &Rc<Shard>) {
-    shard.lose();
+pub fn remove_lost(cx: &Cx, shard: &Rc<Shard>) {
+    shard.mark_lost();
     let mut shards = cx.shards.borrow_mut();
     let is_held = |held: &Rc<Shard>| Rc::ptr_eq(held, shard);
     if shards.get(&shard.id).is_some_and(is_held) {
@@ -184,7 +184,7 @@
 
 /// Maximum number of attempts to release all shards; a renewal in flight can make the first one
 /// conflict.
-const RELEASE_TRIES: usize = 3;
+const RELEASE_ATTEMPTS: usize = 3;
 
 /// Releases every shard and deletes the presence row, so that other daemons take over without
 /// waiting for leases to expire. Shards that can't be released are left to expire.
@@ -193,7 +193,7 @@
     for shard in &held {
         shard.end_tenure(cx).await;
     }
-    for _ in 0..RELEASE_TRIES {
+    for _ in 0..RELEASE_ATTEMPTS {
         if try_release(cx).await {
             break;
         }
@@ -203,7 +203,7 @@
         }
     }
     for shard in held {
-        forget(cx, &shard);
+        remove(cx, &shard);
     }
 }
 
@@ -219,16 +219,16 @@
     if released {
         note_released(cx, shard);
     }
-    forget(cx, shard);
+    remove(cx, shard);
     released
 }
 
 /// Drops a shard without recording it as lost.
-fn forget(cx: &Cx, shard: &Rc<Shard>) {
+fn remove(cx: &Cx, shard: &Rc<Shard>) {
     if cx.shards.borrow_mut().swap_remove(&shard.id).is_some() {
         cx.metrics.shards_owned.dec();
     }
-    shard.lose();
+    shard.mark_lost();
 }
 
 fn note_released(cx: &Cx, shard: &Shard) {
--- a/src/lapisdrum/daemon/sessions.rs
+++ b/src/lapisdrum/daemon/sessions.rs
@@ -37,7 +37,7 @@
     /// Whether it has rejected this epoch because it knows a later one.
     pub is_refused: bool,
     /// Whether a poll of it is in flight.
-    pub busy: bool,
+    pub poll_in_flight: bool,
     /// A reading of its clock, from its last answer.
     pub reading: Option<ClockReading>,
     /// When it first failed to answer since its last answer; `None` while it answers.
@@ -50,7 +50,7 @@
     /// the first list.
     pub known_ms: u64,
     /// When it last sent a complete list of its tasks.
-    pub listed_at: Millis,
+    pub complete_list_at: Millis,
     /// The last lease sent for each task.
     pub sent: IndexMap<JobId, Sent>,
     /// Tasks with a stop in flight. If such a task were started there again, that stop could end
@@ -105,7 +105,7 @@
     if known == Some(true) {
         return;
     }
-    let lease_end = unknown_lease_end(cx);
+    let lease_end = latest_lease_end(cx);
     let placed = placements_on(shard, worker).into_iter();
     let sent = placed.map(|(job, placement)| {
         let sent = Sent {
@@ -125,7 +125,7 @@
 }
 
 /// The latest possible end, on this daemon's clock, of a lease that this owner has sent so far.
-fn unknown_lease_end(cx: &Cx) -> Millis {
+fn latest_lease_end(cx: &Cx) -> Millis {
     fencing::own_lease_end(
         cx.clock.now(),
         cx.cfg.shards.task_lease,
@@ -145,35 +145,39 @@
 
 /// Placements whose start can no longer be in flight: placed by an earlier owner, reported by the
 /// worker, or with an expired lease.
-pub fn settled_placements(cx: &Cx, shard: &Shard, worker: &WorkerId) -> IndexMap<JobId, Placement> {
+pub fn verifiable_placements(
+    cx: &Cx,
+    shard: &Shard,
+    worker: &WorkerId,
+) -> IndexMap<JobId, Placement> {
     let placed = placements_on(shard, worker);
     let now = cx.clock.now();
     let sessions = shard.sessions.borrow();
     let session = sessions.get(worker);
-    let is_settled = |job: &JobId, placement: &Placement| {
+    let is_verifiable = |job: &JobId, placement: &Placement| {
         let sent = session.and_then(|session| session.sent(job, placement.attempt));
         placement.epoch < shard.epoch
             || sent.is_some_and(|sent| sent.is_reported || sent.lease_end < now)
     };
     placed
         .into_iter()
-        .filter(|(job, placement)| is_settled(job, placement))
+        .filter(|(job, placement)| is_verifiable(job, placement))
         .collect()
 }
 
 /// Time between two complete lists of a worker's tasks. Lists of changes would suffice, but only a
 /// complete one reveals a task that the ledger does not place there and whose report was lost
 /// through a bug.
-const LIST_INTERVAL: Duration = Duration::from_secs(60);
+const COMPLETE_LIST_INTERVAL: Duration = Duration::from_secs(60);
 
 /// The renewal of all tasks on a worker, each within its own hold. The reply may be limited to
-/// changes only if the worker has reported every placement in `judged`: only a complete list
+/// changes only if the worker has reported every placement in `verifiable`: only a complete list
 /// distinguishes a task that it never reported from one that it has stopped.
 pub fn renewal(
     cx: &Cx,
     shard: &Shard,
     worker: &WorkerId,
-    judged: &IndexMap<JobId, Placement>,
+    verifiable: &IndexMap<JobId, Placement>,
 ) -> RenewTasks {
     // Nothing is renewed while the worker does not answer: each renewal that may have arrived
     // extends the leases that must expire before its tasks can be evicted. The request only checks
@@ -189,9 +193,9 @@
     // The same time for all tasks: a difference of one millisecond would make every task an
     // exception.
     let now = cx.clock.now();
-    let usual = usual_end(cx, shard, worker, now);
+    let default_end = default_lease_end(cx, shard, worker, now);
     let placed = placements_on(shard, worker).into_iter();
-    let except = |(task, placement): (JobId, Placement)| {
+    let exception_for = |(task, placement): (JobId, Placement)| {
         let attempt = placement.attempt;
         let sent = shard.session(worker, |session| session.sent(&task, attempt))?;
         // Until the worker reports a start sent by this owner, the lease of the start applies. If
@@ -200,20 +204,20 @@
             return Some(RenewalException { task, until_ms: 0 });
         }
         let until_ms = next_lease(cx, shard, worker, (&task, attempt), now).unwrap_or_default();
-        (until_ms != usual).then_some(RenewalException { task, until_ms })
+        (until_ms != default_end).then_some(RenewalException { task, until_ms })
     };
-    let exceptions = placed.filter_map(except).collect();
-    let known_ms = known_reading(cx, shard, worker, judged);
+    let exceptions = placed.filter_map(exception_for).collect();
+    let known_ms = known_reading(cx, shard, worker, verifiable);
     RenewTasks {
         epoch: shard.epoch,
-        until_ms: usual,
+        until_ms: default_end,
         exceptions,
         known_ms,
     }
 }
 
 /// The end, on the worker's clock, of a lease that no hold shortens; 0 if nothing may be renewed.
-fn usual_end(cx: &Cx, shard: &Shard, worker: &WorkerId, now: Millis) -> u64 {
+fn default_lease_end(cx: &Cx, shard: &Shard, worker: &WorkerId, now: Millis) -> u64 {
     if !shard.is_serving() {
         return 0;
     }
@@ -227,7 +231,7 @@
     cx: &Cx,
     shard: &Shard,
     worker: &WorkerId,
-    judged: &IndexMap<JobId, Placement>,
+    verifiable: &IndexMap<JobId, Placement>,
 ) -> u64 {
     let now = cx.clock.now();
     let known = shard.session(worker, |session| {
@@ -236,8 +240,8 @@
                 .sent(job, placement.attempt)
                 .is_some_and(|sent| sent.is_reported)
         };
-        let is_due = now.since(session.listed_at) >= LIST_INTERVAL;
-        match judged.iter().all(is_reported) && !is_due {
+        let is_due = now.since(session.complete_list_at) >= COMPLETE_LIST_INTERVAL;
+        match verifiable.iter().all(is_reported) && !is_due {
             true => session.known_ms,
             false => 0,
         }
@@ -246,11 +250,11 @@
 }
 
 /// Records the reading of a worker's clock as of which all of its tasks are known.
-pub fn note_list(cx: &Cx, shard: &Shard, worker: &WorkerId, list: &TaskList) {
+pub fn note_known(cx: &Cx, shard: &Shard, worker: &WorkerId, list: &TaskList) {
     shard.session(worker, |session| {
         session.known_ms = list.as_of_ms;
         if list.is_complete {
-            session.listed_at = cx.clock.now();
+            session.complete_list_at = cx.clock.now();
         }
     });
 }
@@ -279,12 +283,12 @@
     let until = fencing::end_on_worker(reading, end, terms)?;
     let lease_end = fencing::own_lease_end(now, cx.cfg.shards.task_lease, terms);
     shard.session(worker, |session| {
-        let before = session.sent(task, attempt);
+        let previous = session.sent(task, attempt);
         let sent = Sent {
             attempt,
             lease_end,
-            is_reported: before.is_some_and(|sent| sent.is_reported),
-            checkpointed_at: before.and_then(|sent| sent.checkpointed_at),
+            is_reported: previous.is_some_and(|sent| sent.is_reported),
+            checkpointed_at: previous.and_then(|sent| sent.checkpointed_at),
         };
         session.sent.insert(task.clone(), sent);
     });
--- a/src/lapisdrum/daemon/shard.rs
+++ b/src/lapisdrum/daemon/shard.rs
@@ -30,9 +30,9 @@
 use tokio::sync::{Notify, watch};
 
 /// Wait before the first retry of a failed recovery.
-const FIRST_RECOVERY_WAIT: Duration = Duration::from_millis(100);
+const INITIAL_RECOVERY_WAIT: Duration = Duration::from_millis(100);
 /// Longest wait before a failed recovery is retried.
-const LONGEST_RECOVERY_WAIT: Duration = Duration::from_secs(1);
+const MAX_RECOVERY_WAIT: Duration = Duration::from_secs(1);
 
 /// A shard that this daemon owns.
 pub struct Shard {
@@ -56,7 +56,7 @@
     pub placement: Notify,
     row: RefCell<(u64, ShardRow)>,
     /// The row of a renewal whose reply was lost, and when it was first sent.
-    doubtful: RefCell<Option<(ShardRow, Millis)>>,
+    unconfirmed: RefCell<Option<(ShardRow, Millis)>>,
     tenure: Cell<Tenure>,
     serving: Cell<bool>,
     lost: watch::Sender<bool>,
@@ -83,7 +83,7 @@
             pressure: RefCell::default(),
             placement: Notify::new(),
             row: RefCell::new((row_version, row)),
-            doubtful: RefCell::default(),
+            unconfirmed: RefCell::default(),
             tenure: Cell::new(tenure),
             serving: Cell::new(false),
             lost: watch::Sender::new(false),
@@ -96,32 +96,32 @@
     }
 
     /// Records a renewal that certainly took effect.
-    pub fn renewed(&self, row: ShardRow, version: u64, sent_at: Millis) {
+    pub fn note_renewed(&self, row: ShardRow, version: u64, sent_at: Millis) {
         let mut tenure = self.tenure.get();
         tenure.renew(sent_at);
         self.tenure.set(tenure);
-        self.doubtful.borrow_mut().take();
+        self.unconfirmed.borrow_mut().take();
         *self.row.borrow_mut() = (version, row);
     }
 
     /// Records a renewal whose reply was lost. Attempts that write the same row can't be told
     /// apart, so the send time of the first one counts.
-    pub fn doubt(&self, row: ShardRow, sent_at: Millis) {
-        let mut doubtful = self.doubtful.borrow_mut();
-        if !doubtful.as_ref().is_some_and(|(known, _)| *known == row) {
-            *doubtful = Some((row, sent_at));
+    pub fn note_unconfirmed(&self, row: ShardRow, sent_at: Millis) {
+        let mut unconfirmed = self.unconfirmed.borrow_mut();
+        if !unconfirmed.as_ref().is_some_and(|(known, _)| *known == row) {
+            *unconfirmed = Some((row, sent_at));
         }
     }
 
     /// Records the row as read back. It extends the lease only if it is the row of a renewal whose
     /// reply was lost.
     pub fn adopt_row(&self, row: ShardRow, version: u64) {
-        let doubtful = self.doubtful.borrow().clone();
-        if let Some((_, sent_at)) = doubtful.filter(|(doubtful, _)| *doubtful == row) {
+        let unconfirmed = self.unconfirmed.borrow().clone();
+        if let Some((_, sent_at)) = unconfirmed.filter(|(unconfirmed, _)| *unconfirmed == row) {
             let mut tenure = self.tenure.get();
             tenure.renew(sent_at);
             self.tenure.set(tenure);
-            self.doubtful.borrow_mut().take();
+            self.unconfirmed.borrow_mut().take();
         }
         *self.row.borrow_mut() = (version, row);
     }
@@ -149,7 +149,7 @@
     }
 
     /// Ends this ownership locally; the shard's row is not written.
-    pub fn lose(&self) {
+    pub fn mark_lost(&self) {
         self.journal.lose();
         self.lost.send_replace(true);
         self.placement.notify_one();
@@ -217,7 +217,7 @@
             () = serve(&cx, &shard) => {}
             _ = stop.wait_for(|lost| *lost) => {}
         }
-        registrar::lose(&cx, &shard);
+        registrar::remove_lost(&cx, &shard);
     });
 }
 
@@ -226,19 +226,19 @@
     let may_act = || shard.may_act(cx.clock.now(), &cx.cfg.shards.terms);
     tokio::select! {
         () = shard.journal.write_all(cx, may_act) => {}
-        () = snapshots::keep(cx, &shard.journal) => {}
-        () = act(cx, shard) => {}
+        () = snapshots::store_all(cx, &shard.journal) => {}
+        () = run_owner(cx, shard) => {}
     }
 }
 
 /// Records the start of this ownership in the ledger and runs the owner's loops. Returns only if
 /// the start can't be recorded.
-async fn act(cx: &Cx, shard: &Rc<Shard>) {
-    let began = Event::OwnerBegan {
+async fn run_owner(cx: &Cx, shard: &Rc<Shard>) {
+    let started = Event::OwnerBegan {
         epoch: shard.epoch,
         holder: cx.me.clone(),
     };
-    let Ok(ticket) = shard.journal.propose(cx, vec![began], Urgency::Urgent) else {
+    let Ok(ticket) = shard.journal.propose(cx, vec![started], Urgency::Urgent) else {
         return;
     };
     if ticket.end().await != WriteEnd::Committed {
@@ -251,7 +251,7 @@
     });
     log::info!("shard {} is served at epoch {}", shard.id, shard.epoch);
     futures::join!(
-        visits::visit_workers(cx, shard),
+        visits::poll_workers(cx, shard),
         starts::place_jobs(cx, shard),
         upkeep::run(cx, shard),
         pressure::watch(cx, shard)
@@ -261,7 +261,7 @@
 }
 
 async fn recover(cx: &Cx, shard: &Rc<Shard>) {
-    let mut backoff = Backoff::new(FIRST_RECOVERY_WAIT, LONGEST_RECOVERY_WAIT);
+    let mut backoff = Backoff::new(INITIAL_RECOVERY_WAIT, MAX_RECOVERY_WAIT);
     while let Err(e) = shard.journal.recover(cx).await {
         log::warn!(
             "recovery of shard {} failed and is retried: {e:#}",
--- a/src/lapisdrum/daemon/snapshots.rs
+++ b/src/lapisdrum/daemon/snapshots.rs
@@ -13,7 +13,7 @@
 };
 
 /// Maximum number of rows that one transaction deletes.
-const DELETES_PER_TXN: u64 = 1_000;
+const MAX_DELETES_PER_TXN: u64 = 1_000;
 
 data! {
     /// The row that points to a shard's last snapshot.
@@ -65,7 +65,7 @@
 }
 
 /// Stores the snapshots that the journal provides, until the shard is lost.
-pub async fn keep(cx: &Cx, journal: &Journal) {
+pub async fn store_all(cx: &Cx, journal: &Journal) {
     loop {
         let snapshot = journal.next_snapshot().await;
         let sequence = snapshot.sequence;
@@ -82,30 +82,30 @@
     let sequence = snapshot.sequence;
     let object = format!("snapshot/{shard}/{:020}-{epoch}", sequence.0);
     let state = snapshot.state;
-    let written = tokio::task::spawn_blocking(move || serde_json::to_vec(&state)).await;
-    let Ok(Ok(body)) = written else {
+    let serialised = tokio::task::spawn_blocking(move || serde_json::to_vec(&state)).await;
+    let Ok(Ok(body)) = serialised else {
         return false;
     };
     if cx.platform.put_object(&object, body.into()).await.is_err() {
         return false;
     }
-    let Ok(old) = cx.platform.get(&pointer_key(shard)).await else {
+    let Ok(previous) = cx.platform.get(&pointer_key(shard)).await else {
         return false;
     };
-    let old = old.and_then(|row| row.parse::<SnapshotPointer>());
+    let previous = previous.and_then(|row| row.parse::<SnapshotPointer>());
     let pointer = SnapshotPointer { object, sequence };
     let txn = Txn::default()
         .compare(epoch_key(shard), epoch_version)
         .put(pointer_key(shard), &pointer);
-    let pointed = match cx.platform.txn(&txn).await {
+    let is_pointed_to = match cx.platform.txn(&txn).await {
         TxnOutcome::Committed(_) => true,
         TxnOutcome::Conflict(_) => false,
         TxnOutcome::Unknown(_) => points_to(cx, shard, &pointer).await,
     };
-    if pointed && let Some(old) = old {
-        let _ = cx.platform.delete_object(&old.object).await;
+    if is_pointed_to && let Some(previous) = previous {
+        let _ = cx.platform.delete_object(&previous.object).await;
     }
-    pointed
+    is_pointed_to
 }
 
 /// Whether the pointer names this snapshot. Used after a lost reply.
@@ -121,7 +121,7 @@
     let shard = journal.shard();
     while journal.first_row() <= sequence {
         let first = journal.first_row().0;
-        let last = sequence.0.min(first + DELETES_PER_TXN - 1);
+        let last = sequence.0.min(first + MAX_DELETES_PER_TXN - 1);
         let mut txn = Txn::default().compare(epoch_key(shard), epoch_version);
         for covered in first..=last {
             txn = txn.delete(row_key(shard, Sequence(covered)));
--- a/src/lapisdrum/daemon/status.rs
+++ b/src/lapisdrum/daemon/status.rs
@@ -33,30 +33,30 @@
     if seen.row.holder == cx.me {
         return Some(true);
     }
-    platform_answers(cx).then(|| now.since(seen.seen.since) <= patience(cx))
+    platform_answers(cx).then(|| now.since(seen.seen.since) <= liveness_timeout(cx))
 }
 
 /// How long the row of a live daemon may stay unchanged: the length of a lease with its drift
 /// margin, and one interval between reads.
-fn patience(cx: &Cx) -> Duration {
+fn liveness_timeout(cx: &Cx) -> Duration {
     let terms = &cx.cfg.shards.terms;
     terms.lengthened(terms.lease) + cx.cfg.shards.renew
 }
 
 /// States at the previous check.
 #[derive(Debug, Default)]
-struct Seen {
+struct PreviousState {
     lapsed: IndexMap<ShardId, bool>,
     silent: IndexMap<DaemonId, bool>,
 }
 
 /// Checks at the renewal interval until the process ends.
 pub async fn watch(cx: Cx) -> eyre::Result<()> {
-    let mut seen = Seen::default();
+    let mut previous = PreviousState::default();
     let mut measured_at = cx.clock.now();
     loop {
-        look_at_shards(&cx, &mut seen);
-        look_at_daemons(&cx, &mut seen);
+        check_leases(&cx, &mut previous);
+        check_daemons(&cx, &mut previous);
         let now = cx.clock.now();
         measure_jobs(&cx, now.since(measured_at));
         measure_workers(&cx);
@@ -65,22 +65,22 @@
     }
 }
 
-fn look_at_shards(cx: &Cx, seen: &mut Seen) {
+fn check_leases(cx: &Cx, previous: &mut PreviousState) {
     let now = cx.clock.now();
     let mut owned = IndexMap::new();
     for (id, shard) in cx.shards.borrow().iter() {
         let lapsed = !shard.may_act(now, &cx.cfg.shards.terms);
-        if changed(&seen.lapsed, id, lapsed) {
-            note_lease(cx, id, lapsed);
+        if has_changed(&previous.lapsed, id, lapsed) {
+            record_lease_change(cx, id, lapsed);
         }
         owned.insert(id.clone(), lapsed);
     }
     let lapsed = owned.values().filter(|lapsed| **lapsed).count();
     cx.metrics.shards_lapsed.set(gauge(lapsed));
-    seen.lapsed = owned;
+    previous.lapsed = owned;
 }
 
-fn note_lease(cx: &Cx, shard: &ShardId, lapsed: bool) {
+fn record_lease_change(cx: &Cx, shard: &ShardId, lapsed: bool) {
     let shard = shard.clone();
     if lapsed {
         log::warn!("lease of shard {shard} has run out; nothing is accepted or started in it");
@@ -91,7 +91,7 @@
     }
 }
 
-fn look_at_daemons(cx: &Cx, seen: &mut Seen) {
+fn check_daemons(cx: &Cx, previous: &mut PreviousState) {
     if !platform_answers(cx) {
         return;
     }
@@ -99,17 +99,17 @@
     let mut daemons = IndexMap::new();
     for (id, presence) in &cx.members.borrow().daemons {
         let silent = is_live(cx, presence, now) == Some(false);
-        if changed(&seen.silent, id, silent) {
-            note_daemon(cx, &presence.row, silent);
+        if has_changed(&previous.silent, id, silent) {
+            record_liveness_change(cx, &presence.row, silent);
         }
         daemons.insert(id.clone(), silent);
     }
     let live = daemons.values().filter(|silent| !**silent).count();
     cx.metrics.daemons_live.set(gauge(live));
-    seen.silent = daemons;
+    previous.silent = daemons;
 }
 
-fn note_daemon(cx: &Cx, row: &Presence, silent: bool) {
+fn record_liveness_change(cx: &Cx, row: &Presence, silent: bool) {
     let daemon = row.holder.daemon.clone();
     if silent {
         log::warn!("daemon {daemon} is silent: its presence row is not renewed");
@@ -167,6 +167,6 @@
 }
 
 /// Whether a state differs from the previous one; without a previous one, from false.
-fn changed<K: std::hash::Hash + Eq>(before: &IndexMap<K, bool>, key: &K, now: bool) -> bool {
+fn has_changed<K: std::hash::Hash + Eq>(before: &IndexMap<K, bool>, key: &K, now: bool) -> bool {
     before.get(key).copied().unwrap_or(false) != now
 }
--- a/src/lapisdrum/daemon/upkeep.rs
+++ b/src/lapisdrum/daemon/upkeep.rs
@@ -17,9 +17,9 @@
 use std::{rc::Rc, time::Duration};
 
 /// Time between two maintenance passes.
-const TICK: Duration = Duration::from_secs(1);
+const PASS_INTERVAL: Duration = Duration::from_secs(1);
 /// Maximum number of jobs removed in one pass.
-const MOST_AT_ONCE: usize = 1_000;
+const MAX_FORGOTTEN_PER_PASS: usize = 1_000;
 
 /// Runs maintenance until the shard is lost or released.
 pub async fn run(cx: &Cx, shard: &Rc<Shard>) {
@@ -33,15 +33,15 @@
                 let _ = shard.propose(cx, events, Urgency::Batch);
             }
         }
-        tokio::time::sleep(TICK).await;
+        tokio::time::sleep(PASS_INTERVAL).await;
     }
 }
 
 fn expired(cx: &Cx, shard: &Shard) -> Vec<Event> {
     let before = cx.clock.now().before(cx.cfg.shards.retention);
-    let most = cx.cfg.shards.retained;
+    let max_retained = cx.cfg.shards.retained;
     let mut index = shard.journal.index_mut();
-    let jobs = index.take_expired_jobs(before, most, MOST_AT_ONCE);
+    let jobs = index.take_expired_jobs(before, max_retained, MAX_FORGOTTEN_PER_PASS);
     let forgotten = jobs.into_iter().map(|job| Event::Forgotten { job });
     forgotten.collect()
 }
@@ -49,7 +49,7 @@
 /// Cancels the waiting and running jobs of retired long-running entries. Accepted batch jobs finish
 /// and running requests are answered; these need no event.
 fn retirements(cx: &Cx, shard: &Shard) -> Vec<Event> {
-    let retired = retired_services(cx, shard);
+    let retired = retired_entries(cx, shard);
     if retired.is_empty() {
         return Vec::new();
     }
@@ -59,7 +59,7 @@
     jobs.filter_map(|(id, job)| cancel(id, job)).collect()
 }
 
-fn retired_services(cx: &Cx, shard: &Shard) -> Vec<EntryName> {
+fn retired_entries(cx: &Cx, shard: &Shard) -> Vec<EntryName> {
     let catalogue = cx.catalogue.borrow();
     let index = shard.journal.index();
     let services = catalogue.entries();
--- a/src/lapisdrum/daemon/visits.rs
+++ b/src/lapisdrum/daemon/visits.rs
@@ -31,18 +31,18 @@
 use std::{rc::Rc, time::Duration};
 
 /// Polls every worker of the shard at the renewal interval until the shard is lost or released.
-pub async fn visit_workers(cx: &Cx, shard: &Rc<Shard>) {
+pub async fn poll_workers(cx: &Cx, shard: &Rc<Shard>) {
     while shard.is_serving() {
         for (worker, address, leaving) in hosts_of(cx, shard) {
             sessions::open(cx, shard, &worker, &address);
-            let was_busy = shard.session(&worker, |session| {
+            let was_in_flight = shard.session(&worker, |session| {
                 note_leaving(session, leaving, cx.clock.now());
-                std::mem::replace(&mut session.busy, true)
+                std::mem::replace(&mut session.poll_in_flight, true)
             });
-            if was_busy == Some(false) {
+            if was_in_flight == Some(false) {
                 let (cx, shard) = (Rc::clone(cx), Rc::clone(shard));
                 supervisor::spawn("worker-visit", async move {
-                    visit(&cx, &shard, &worker, &address).await;
+                    poll(&cx, &shard, &worker, &address).await;
                 });
             }
         }
@@ -67,14 +67,14 @@
     };
 }
 
-async fn visit(cx: &Cx, shard: &Rc<Shard>, worker: &WorkerId, address: &str) {
+async fn poll(cx: &Cx, shard: &Rc<Shard>, worker: &WorkerId, address: &str) {
     let claimed = shard.session(worker, |session| session.claimed) == Some(true);
     // The answer proves nothing about a placement whose start may still be in flight, so those that
     // it can judge are selected before the call.
-    let judged = sessions::settled_placements(cx, shard, worker);
+    let verifiable = sessions::verifiable_placements(cx, shard, worker);
     let end = match claimed {
         true => {
-            let renew = sessions::renewal(cx, shard, worker, &judged);
+            let renew = sessions::renewal(cx, shard, worker, &verifiable);
             cx.workers.renew(address, &renew).await
         }
         false => cx.workers.claim(address, shard.epoch).await,
@@ -91,17 +91,17 @@
             if !claimed {
                 note_claimed(cx, shard, worker);
             }
-            sessions::note_list(cx, shard, worker, &list);
-            let due = due_to_stop(cx, shard, worker, &list);
-            reconcile(cx, shard, worker, address, &list, &judged);
+            sessions::note_known(cx, shard, worker, &list);
+            let due = tasks_to_stop(cx, shard, worker, &list);
+            reconcile(cx, shard, worker, address, &list, &verifiable);
             for task in due {
                 stop_running(cx, shard, worker, address, &task);
             }
         }
-        CommandEnd::Rejected(..) => note_refused(shard, worker),
-        CommandEnd::Silent(_) => evictions::give_up_silent(cx, shard, worker, &judged),
+        CommandEnd::Rejected(..) => note_rejected(shard, worker),
+        CommandEnd::Silent(_) => evictions::give_up_silent(cx, shard, worker, &verifiable),
     }
-    shard.session(worker, |session| session.busy = false);
+    shard.session(worker, |session| session.poll_in_flight = false);
 }
 
 fn note_answer(
@@ -131,7 +131,7 @@
 
 /// Handles a rejected epoch: the worker has accepted a later one, so another owner has taken the
 /// shard over. The registrar detects this by itself.
-fn note_refused(shard: &Shard, worker: &WorkerId) {
+fn note_rejected(shard: &Shard, worker: &WorkerId) {
     let first = shard.session(worker, |session| {
         session.claimed = false;
         !std::mem::replace(&mut session.is_refused, true)
@@ -154,16 +154,16 @@
 }
 
 /// Reconciles the ledger with the tasks that a worker reports. A complete list also revokes the
-/// placements in `judged` that it does not contain.
+/// placements in `verifiable` that it does not contain.
 fn reconcile(
     cx: &Cx,
     shard: &Rc<Shard>,
     worker: &WorkerId,
     address: &str,
     list: &TaskList,
-    judged: &IndexMap<JobId, Placement>,
+    verifiable: &IndexMap<JobId, Placement>,
 ) {
-    let mut over = Vec::new();
+    let mut to_stop = Vec::new();
     for status in &list.tasks {
         // Events that are not durable yet must not affect the worker.
         if shard.journal.is_unsettled(&status.task) {
@@ -174,28 +174,28 @@
             Some(placement)
                 if placement.worker == *worker && placement.attempt == status.attempt =>
             {
-                follow_status(cx, shard, worker, address, status);
+                record_status(cx, shard, worker, address, status);
             }
             // The ledger does not place this attempt here: it has ended or was placed elsewhere.
             _ if job.is_some() || status.task.shard().as_ref() == Some(&shard.id) => {
-                over.push(status.task.clone());
+                to_stop.push(status.task.clone());
             }
             _ => {}
         }
     }
-    stop_tasks(cx, shard, worker, address, over);
+    stop_tasks(cx, shard, worker, address, to_stop);
     // A list of changes does not show which tasks are absent.
     if !list.is_complete {
         return;
     }
     let reported: IndexSet<&JobId> = list.tasks.iter().map(|s| &s.task).collect();
-    for (job, placement) in judged.iter().filter(|(job, _)| !reported.contains(job)) {
+    for (job, placement) in verifiable.iter().filter(|(job, _)| !reported.contains(job)) {
         evictions::unplace(cx, shard, job, placement, "worker has stopped it");
     }
 }
 
 /// Records the status of a task that the ledger places on the reporting worker.
-fn follow_status(
+fn record_status(
     cx: &Cx,
     shard: &Rc<Shard>,
     worker: &WorkerId,
@@ -219,7 +219,7 @@
     let (worker, address) = (worker.clone(), address.to_owned());
     supervisor::spawn("task-status", async move {
         if ticket.end().await == WriteEnd::Committed {
-            after_status(&cx, &shard, &worker, &address, &status, &events);
+            on_status_durable(&cx, &shard, &worker, &address, &status, &events);
         }
     });
 }
@@ -228,17 +228,17 @@
 /// placements are checked; tasks that the answer reports as ended are left to [`reconcile`]. Must
 /// be called before the answer is applied: a checkpoint proposed by then would make the task seem
 /// unsettled at every poll.
-fn due_to_stop(cx: &Cx, shard: &Shard, worker: &WorkerId, list: &TaskList) -> Vec<JobId> {
+fn tasks_to_stop(cx: &Cx, shard: &Shard, worker: &WorkerId, list: &TaskList) -> Vec<JobId> {
     let ended = list.tasks.iter().filter(|s| s.state != TaskState::Running);
     let ended: IndexSet<&JobId> = ended.map(|status| &status.task).collect();
     let is_due = |task: &JobId, placement: &Placement| {
         let sent = shard.session(worker, |session| session.sent(task, placement.attempt));
         let is_reported = sent.flatten().is_some_and(|sent| sent.is_reported);
-        let is_open = is_reported && !ended.contains(task) && !shard.journal.is_unsettled(task);
-        is_open
+        let is_running = is_reported && !ended.contains(task) && !shard.journal.is_unsettled(task);
+        is_running
             && shard
                 .job(task)
-                .is_some_and(|job| is_to_stop(cx, shard, worker, &job))
+                .is_some_and(|job| must_stop(cx, shard, worker, &job))
     };
     let placed = sessions::placements_on(shard, worker).into_iter();
     let due = placed.filter(|(task, placement)| is_due(task, placement));
@@ -247,7 +247,7 @@
 
 /// Whether a running task must be stopped: it is being cancelled, or its host is leaving and the
 /// grace period of its class has passed.
-fn is_to_stop(cx: &Cx, shard: &Shard, worker: &WorkerId, job: &Job) -> bool {
+fn must_stop(cx: &Cx, shard: &Shard, worker: &WorkerId, job: &Job) -> bool {
     let leaving_since = shard.session(worker, |session| session.leaving_since);
     let Some(since) = leaving_since.flatten() else {
         return job.cancelling;
@@ -333,9 +333,9 @@
     status: &TaskStatus,
 ) -> Event {
     let entry = cx.catalogue.borrow().entry(&job.entry);
-    let most = entry.map_or(1, |entry| entry.max_failures);
+    let max_failures = entry.map_or(1, |entry| entry.max_failures);
     let is_at_fault = pressure::note_failure(cx, shard, worker, &status.task, &job.entry);
-    if job.failures + 1 < most && !is_at_fault {
+    if job.failures + 1 < max_failures && !is_at_fault {
         return Event::AttemptFailed {
             job: status.task.clone(),
             attempt: status.attempt,
@@ -350,7 +350,7 @@
 
 /// Effects of a status whose events are durable: updates the timeline and metrics, and acknowledges
 /// an ended task so that the worker may forget it.
-fn after_status(
+fn on_status_durable(
     cx: &Cx,
     shard: &Rc<Shard>,
     worker: &WorkerId,
@@ -385,7 +385,7 @@
 /// Checkpoints and stops a running task, and records its last status at once. Does nothing if a
 /// stop of the task is already in flight.
 pub fn stop_running(cx: &Cx, shard: &Rc<Shard>, worker: &WorkerId, address: &str, task: &JobId) {
-    if !begin_stop(shard, worker, task) {
+    if !mark_stopping(shard, worker, task) {
         return;
     }
     let task = task.clone();
@@ -395,7 +395,7 @@
         // If the checkpoint fails, the task resumes from the last one in the ledger.
         let _ = cx.workers.checkpoint(&address, &task, shard.epoch).await;
         let end = cx.workers.stop(&address, &task, shard.epoch).await;
-        end_stop(&shard, &worker, &task);
+        unmark_stopping(&shard, &worker, &task);
         if let CommandEnd::Done(status, _) = end
             && shard.is_serving()
             && !shard.journal.is_unsettled(&task)
@@ -403,7 +403,7 @@
             let placed = shard.job(&task);
             let placed = placed.as_ref().and_then(Job::placement);
             if placed.is_some_and(|p| p.worker == worker && p.attempt == status.attempt) {
-                follow_status(&cx, &shard, &worker, &address, &status);
+                record_status(&cx, &shard, &worker, &address, &status);
             }
         }
     });
@@ -411,30 +411,30 @@
 
 /// Stops tasks that must not run on a worker, and acknowledges ends that are recorded.
 fn stop_tasks(cx: &Cx, shard: &Rc<Shard>, worker: &WorkerId, address: &str, tasks: Vec<JobId>) {
-    let begun = tasks.into_iter();
-    let begun: Vec<JobId> = begun
-        .filter(|task| begin_stop(shard, worker, task))
+    let to_stop = tasks.into_iter();
+    let to_stop: Vec<JobId> = to_stop
+        .filter(|task| mark_stopping(shard, worker, task))
         .collect();
-    if begun.is_empty() {
+    if to_stop.is_empty() {
         shard.placement.notify_one();
         return;
     }
     let (cx, shard) = (Rc::clone(cx), Rc::clone(shard));
     let (worker, address) = (worker.clone(), address.to_owned());
     supervisor::spawn("task-stops", async move {
-        for task in &begun {
+        for task in &to_stop {
             let _ = cx.workers.stop(&address, task, shard.epoch).await;
-            end_stop(&shard, &worker, task);
+            unmark_stopping(&shard, &worker, task);
         }
         shard.placement.notify_one();
     });
 }
 
 /// Marks the stop of a task as in flight. Returns false if one already is.
-fn begin_stop(shard: &Shard, worker: &WorkerId, task: &JobId) -> bool {
+fn mark_stopping(shard: &Shard, worker: &WorkerId, task: &JobId) -> bool {
     shard.session(worker, |session| session.stopping.insert(task.clone())) == Some(true)
 }
 
-fn end_stop(shard: &Shard, worker: &WorkerId, task: &JobId) {
+fn unmark_stopping(shard: &Shard, worker: &WorkerId, task: &JobId) {
     shard.session(worker, |session| session.stopping.swap_remove(task));
 }
--- a/tests/testsuite/daemon/journal.rs
+++ b/tests/testsuite/daemon/journal.rs
@@ -84,7 +84,7 @@
         actix_rt::spawn(async move {
             tokio::select! {
                 () = journal.write_all(&cx, || may_act.get()) => {}
-                () = snapshots::keep(&cx, &journal) => {}
+                () = snapshots::store_all(&cx, &journal) => {}
             }
         });
     }
