--- a/src/lapisdrum/daemon/visits.rs
+++ b/src/lapisdrum/daemon/visits.rs
@@ -226,8 +226,8 @@
 
 /// Tasks that must be stopped on a worker. Its answer may contain changes only, so the ledger's
 /// placements are checked; tasks that the answer reports as ended are left to [`reconcile`]. Must
-/// be called before the answer is applied: a checkpoint proposed by then would make the task seem
-/// unsettled at every poll.
+/// be called before the answer is applied: tasks with an event that is not durable yet are skipped,
+/// and a checkpoint proposed from the answer could make that so at every poll.
 fn tasks_to_stop(cx: &Cx, shard: &Shard, worker: &WorkerId, list: &TaskList) -> Vec<JobId> {
     let ended = list.tasks.iter().filter(|s| s.state != TaskState::Running);
     let ended: IndexSet<&JobId> = ended.map(|status| &status.task).collect();
