--- a/src/lapisdrum/daemon/status.rs
+++ b/src/lapisdrum/daemon/status.rs
@@ -21,7 +21,7 @@
 use indexmap::IndexMap;
 use std::time::Duration;
 
-/// Whether the last renewal reached the platform and was answered.
+/// Whether the platform answered in the last renewal round; false before the first one.
 pub fn platform_answers(cx: &Cx) -> bool {
     cx.metrics.platform_up.get() == 1
 }
