--- a/src/lapisdrum/daemon/status.rs
+++ b/src/lapisdrum/daemon/status.rs
@@ -1,8 +1,9 @@
-//! Watches what the other parts know and tells of it only when it changes.
+//! Checks leases, daemons, jobs and workers at intervals, records changes of state and updates
+//! metrics.
 //!
-//! Leases run out and peers fall silent without an event of their own: nothing happens, and that is
-//! the news. This part looks once a renewal and records the change of state, so that the time line
-//! shows when a shard could no longer act and since when a peer was not heard of.
+//! A lease that expires and a daemon that falls silent cause no event of their own. They are
+//! checked once per renewal interval, and changes are recorded, so that the timeline shows when a
+//! shard could no longer act and since when a daemon has been silent.
 
 use super::{
     Cx,
@@ -20,40 +21,42 @@
 use indexmap::IndexMap;
 use std::time::Duration;
 
-/// Whether the platform answered the last time it was asked.
+/// Whether the platform answered in the last renewal round; false before the first one.
 pub fn platform_answers(cx: &Cx) -> bool {
     cx.metrics.platform_up.get() == 1
 }
 
-/// Whether a daemon's presence row has changed within the time after which a shard's lease lapses.
-/// None while the platform is away: nobody's row can be read then, and silence tells nothing.
+/// Whether a daemon's presence row has changed within the time after which a shard's lease expires.
+/// `None` while the platform does not answer: no row can be read then, so an unchanged one proves
+/// nothing.
 pub fn is_live(cx: &Cx, seen: &SeenPresence, now: Millis) -> Option<bool> {
     if seen.row.holder == cx.me {
         return Some(true);
     }
-    platform_answers(cx).then(|| now.since(seen.seen.since) <= patience(cx))
+    platform_answers(cx).then(|| now.since(seen.seen.since) <= liveness_timeout(cx))
 }
 
-/// Time for which a row may stand unchanged: a lease, and one more read of the rows.
-fn patience(cx: &Cx) -> Duration {
+/// How long the row of a live daemon may stay unchanged: the length of a lease with its drift
+/// margin, and one interval between reads.
+fn liveness_timeout(cx: &Cx) -> Duration {
     let terms = &cx.cfg.shards.terms;
     terms.lengthened(terms.lease) + cx.cfg.shards.renew
 }
 
-/// What was the case at the last look.
+/// States at the previous check.
 #[derive(Debug, Default)]
-struct Seen {
+struct PreviousState {
     lapsed: IndexMap<ShardId, bool>,
     silent: IndexMap<DaemonId, bool>,
 }
 
-/// Runs until the process ends.
+/// Checks at the renewal interval until the process ends.
 pub async fn watch(cx: Cx) -> eyre::Result<()> {
-    let mut seen = Seen::default();
+    let mut previous = PreviousState::default();
     let mut measured_at = cx.clock.now();
     loop {
-        look_at_shards(&cx, &mut seen);
-        look_at_daemons(&cx, &mut seen);
+        check_leases(&cx, &mut previous);
+        check_daemons(&cx, &mut previous);
         let now = cx.clock.now();
         measure_jobs(&cx, now.since(measured_at));
         measure_workers(&cx);
@@ -62,22 +65,22 @@
     }
 }
 
-fn look_at_shards(cx: &Cx, seen: &mut Seen) {
+fn check_leases(cx: &Cx, previous: &mut PreviousState) {
     let now = cx.clock.now();
     let mut owned = IndexMap::new();
     for (id, shard) in cx.shards.borrow().iter() {
         let lapsed = !shard.may_act(now, &cx.cfg.shards.terms);
-        if changed(&seen.lapsed, id, lapsed) {
-            note_lease(cx, id, lapsed);
+        if has_changed(&previous.lapsed, id, lapsed) {
+            record_lease_change(cx, id, lapsed);
         }
         owned.insert(id.clone(), lapsed);
     }
     let lapsed = owned.values().filter(|lapsed| **lapsed).count();
     cx.metrics.shards_lapsed.set(gauge(lapsed));
-    seen.lapsed = owned;
+    previous.lapsed = owned;
 }
 
-fn note_lease(cx: &Cx, shard: &ShardId, lapsed: bool) {
+fn record_lease_change(cx: &Cx, shard: &ShardId, lapsed: bool) {
     let shard = shard.clone();
     if lapsed {
         log::warn!("lease of shard {shard} has run out; nothing is accepted or started in it");
@@ -88,7 +91,7 @@
     }
 }
 
-fn look_at_daemons(cx: &Cx, seen: &mut Seen) {
+fn check_daemons(cx: &Cx, previous: &mut PreviousState) {
     if !platform_answers(cx) {
         return;
     }
@@ -96,29 +99,29 @@
     let mut daemons = IndexMap::new();
     for (id, presence) in &cx.members.borrow().daemons {
         let silent = is_live(cx, presence, now) == Some(false);
-        if changed(&seen.silent, id, silent) {
-            note_daemon(cx, &presence.row, silent);
+        if has_changed(&previous.silent, id, silent) {
+            record_liveness_change(cx, &presence.row, silent);
         }
         daemons.insert(id.clone(), silent);
     }
     let live = daemons.values().filter(|silent| !**silent).count();
     cx.metrics.daemons_live.set(gauge(live));
-    seen.silent = daemons;
+    previous.silent = daemons;
 }
 
-fn note_daemon(cx: &Cx, row: &Presence, silent: bool) {
+fn record_liveness_change(cx: &Cx, row: &Presence, silent: bool) {
     let daemon = row.holder.daemon.clone();
     if silent {
-        log::warn!("daemon {daemon} is not heard of");
+        log::warn!("daemon {daemon} is silent: its presence row is not renewed");
         cx.timeline.record(Happening::DaemonSilent { daemon });
     } else {
-        log::info!("daemon {daemon} is heard of again");
+        log::info!("daemon {daemon} renews its presence row again");
         cx.timeline.record(Happening::DaemonHeard { daemon });
     }
 }
 
-/// Counts waiting and placed jobs, and adds the time since the last look to what tasks have spent.
-/// Counting time a look at a time needs no note of each start, which a new owner would not have.
+/// Counts waiting and placed jobs, and adds the time since the previous check to each entry's task
+/// time. Sampling needs no start times of tasks, which a new owner would not have.
 fn measure_jobs(cx: &Cx, span: Duration) {
     let shards = cx.shards.borrow();
     for entry in cx.catalogue.borrow().rows.keys() {
@@ -163,7 +166,7 @@
     i64::try_from(count).unwrap_or(i64::MAX)
 }
 
-/// Whether a state differs from the last one; what was never seen counts as false.
-fn changed<K: std::hash::Hash + Eq>(before: &IndexMap<K, bool>, key: &K, now: bool) -> bool {
+/// Whether a state differs from the previous one; without a previous one, from false.
+fn has_changed<K: std::hash::Hash + Eq>(before: &IndexMap<K, bool>, key: &K, now: bool) -> bool {
     before.get(key).copied().unwrap_or(false) != now
 }
