--- a/src/lapisdrum/attribution/line.rs
+++ b/src/lapisdrum/attribution/line.rs
@@ -1,7 +1,7 @@
-//! One log line of a daemon, read back into what it says.
+//! Parses daemons' JSON log lines into events.
 //!
-//! Lines that say nothing of a job or of a shard's owner are passed over, and so is what stands before a line's
-//! first brace: collectors write the host's name there.
+//! Lines without an event of a job or of a shard's owner are skipped, and so is any text before a line's first
+//! brace: log collectors put the host's name there.
 
 use crate::sched::{
     event::RunId,
@@ -12,40 +12,40 @@
 use serde::Deserialize;
 use serde_json::{Map, Value};
 
-/// What a line says, and when.
+/// An event and the time at which it was logged.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Line {
-    /// The writer's time of day, in Unix milliseconds.
+    /// Time by the daemon's clock, in Unix milliseconds.
     pub at_ms: i64,
-    /// What happened.
+    /// The event.
     pub what: Happening,
 }
 
-/// How a submission ended.
+/// Outcome of one call that submits a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HandIn {
-    /// It is durable.
+    /// The job's acceptance is durable.
     Accepted,
-    /// It was refused, or nobody knows.
+    /// The call was refused, or its outcome is unknown.
     InVain,
 }
 
-/// How a run was over.
+/// How a run ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RunOver {
-    /// Its work is done.
+    /// The task completed its work.
     Done,
-    /// It failed.
+    /// The task failed.
     Failed,
-    /// It was stopped on an order.
+    /// The owner ordered the run to stop.
     Stopped,
-    /// Its lease ran out, or its worker is gone.
+    /// The lease of the run lapsed, or its worker was lost.
     Lost,
-    /// Its start was refused, or never sent.
+    /// The order to start the run was refused or never sent.
     NotStarted,
 }
 
-/// What a line tells of.
+/// Event of a job or of a shard's owner.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Happening {
     /// A daemon answered a submission.
@@ -54,11 +54,11 @@
         job: JobId,
         /// Its queue.
         queue: String,
-        /// The data centre of the daemon that was asked.
+        /// The data centre of the daemon that answered.
         data_centre: String,
-        /// How it ended.
+        /// Whether the job was accepted.
         outcome: HandIn,
-        /// How long the caller waited, in milliseconds.
+        /// Time from receiving the call to answering it, in milliseconds.
         took_ms: i64,
     },
     /// A job's acceptance is durable.
@@ -67,64 +67,64 @@
         job: JobId,
         /// Its queue.
         queue: String,
-        /// Its shard.
+        /// The shard that accepted the job.
         shard: String,
-        /// Its steps.
+        /// The job's steps, with their task counts and estimates.
         shape: Shape,
-        /// Time within which it is on time, in milliseconds.
+        /// Time from submission within which the job must end to be on time, in milliseconds.
         objective_ms: i64,
     },
-    /// Tasks of a step find no place.
+    /// Tasks of a step wait because no host can take them.
     Waits {
         /// The step.
         step: StepId,
-        /// What refuses most of them.
+        /// The most frequent reason why hosts were ruled out, as logged.
         why: String,
     },
-    /// A run was ordered.
+    /// An owner sent a worker the order to start a run.
     Ordered {
         /// The run.
         run: RunId,
-        /// How long its placement took to be durable, in milliseconds.
+        /// Time until the placement was durable, in milliseconds.
         waited_ms: i64,
-        /// How long the worker took to answer, in milliseconds.
+        /// Time until the worker answered the order, in milliseconds.
         took_ms: i64,
-        /// The owner's token.
+        /// Fencing token of the shard's owner.
         token: u64,
     },
-    /// A run is over.
+    /// A run ended.
     RunOver {
         /// The run.
         run: RunId,
-        /// How.
+        /// How the run ended.
         how: RunOver,
     },
-    /// A job is over.
+    /// A job ended.
     JobOver {
         /// The job.
         job: JobId,
-        /// Whether every task is done.
+        /// Whether all tasks completed.
         is_completed: bool,
     },
-    /// A daemon took a shard over.
+    /// A daemon took over a shard.
     TakenOver {
         /// The shard.
         shard: String,
-        /// Its token.
+        /// Fencing token of the new owner.
         token: u64,
     },
-    /// An owner has read the shard's journal.
+    /// An owner has replayed the shard's journal and serves the shard.
     Recovered {
         /// The shard.
         shard: String,
-        /// Its token.
+        /// Fencing token of the owner.
         token: u64,
     },
-    /// An owner has given the shard up or was replaced.
+    /// An owner gave up the shard or was replaced.
     ShardLost {
         /// The shard.
         shard: String,
-        /// Its token.
+        /// Fencing token of that owner.
         token: u64,
     },
 }
@@ -137,7 +137,7 @@
     kvs: Map<String, Value>,
 }
 
-/// The values beside a line's message.
+/// Key-value fields of a log line.
 struct Fields(Map<String, Value>);
 
 impl Fields {
@@ -170,13 +170,13 @@
     }
 
     fn step(&self) -> Option<StepId> {
-        // A task's name is its step's name and its place there.
+        // A task id is its step's id followed by the task's index.
         let task: TaskId = format!("{}.0", self.text("step")?).parse().ok()?;
         Some(task.step_id())
     }
 }
 
-/// Reads a line; none where it says nothing of interest here, or is none of a daemon's.
+/// Parses a line; `None` if it is not a daemon's log line or its message is not one of the known events.
 pub fn read(raw: &str) -> Option<Line> {
     let at = raw.find('{')?;
     let wire: LineWire = serde_json::from_str(raw[at..].trim_end()).ok()?;
@@ -256,7 +256,8 @@
     })
 }
 
-/// A take-over that took effect; its token is not known before it is read back, so it is the write's version.
+/// Parses a committed take-over. The line does not carry the owner's token, so the version that the commit returned
+/// serves as the token.
 fn taken_over(fields: &Fields) -> Option<Happening> {
     let version = fields.text("end")?.strip_prefix("Committed(")?;
     Some(Happening::TakenOver {
--- a/src/lapisdrum/attribution/mod.rs
+++ b/src/lapisdrum/attribution/mod.rs
@@ -1,9 +1,8 @@
-//! Where jobs' time went, told from the daemons' log lines alone.
+//! Latency attribution: what jobs spent their time on, derived from daemons' log lines alone.
 //!
-//! A caller who complains of a late job has its id, and the person on call has the lines of all daemons. [`line`]
-//! reads them, [`story`] gathers what they say of each job and of each shard's owners, [`path`] follows a
-//! job's critical path back from its end and says of each moment what the job waited for, and [`totals`]
-//! sums that by entry, data centre and second. All of it is pure: lines in, figures out.
+//! An operator who investigates a late job has the job's id and the logs of all daemons. [`line`] parses the log
+//! lines, [`story`] groups their events by job and shard, [`path`] divides a job's critical path into spans by what
+//! the job waited for, and [`totals`] sums the spans by entry, data centre or second. None of it performs I/O.
 
 pub mod line;
 pub mod path;
--- a/src/lapisdrum/attribution/path.rs
+++ b/src/lapisdrum/attribution/path.rs
@@ -1,9 +1,9 @@
-//! A job's critical path, and what each moment of it was spent on.
+//! A job's critical path, divided into spans by what the time was spent on.
 //!
-//! A job is over when its last task is, and that task could not begin before the last one of the steps before
-//! it. Followed back from the end, that is one chain of tasks; what any other task waited for changed
-//! nothing. Each moment of the chain is one thing: the caller was not accepted yet, the shard had no owner,
-//! the task waited for a place, it ran, or it ran in vain and had to run again.
+//! A job ends with its last task, and a task can't start before the last task of the preceding steps is done.
+//! Followed back from the end, this gives one chain of tasks; delays of other tasks did not affect the job's end.
+//! Spans of the chain don't overlap: the job was not accepted yet, its shard had no owner, the task waited for
+//! placement, it ran, or it ran without completing and had to run again.
 
 use super::{
     line::RunOver,
@@ -16,33 +16,33 @@
 use serde::Serialize;
 use std::fmt;
 
-/// What a moment was spent on.
+/// What a span of time was spent on.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Spent {
-    /// The caller was refused, unanswered or under way.
+    /// The job was not accepted yet: calls were refused, unanswered or in flight.
     HandIn,
-    /// Nobody owned the shard.
+    /// The shard had no owner.
     NoOwner,
-    /// The shard's owner read the journal.
+    /// The shard's owner was replaying the journal.
     Recovering,
-    /// The task found no place; what refused it, or `dispatch` where it was placed before a reason was due.
+    /// The task waited for placement. Holds the logged reason, or `dispatch` if none was logged before it was placed.
     Place(String),
-    /// It was placed, and that was not durable yet.
+    /// The task was placed, but its placement was not durable yet.
     Journal,
-    /// Its order was under way.
+    /// The order to start the task was in flight.
     Order,
-    /// It worked, no longer than estimated.
+    /// The task ran, within its estimated duration.
     Run,
-    /// It worked on beyond its estimate.
+    /// The task ran beyond its estimated duration.
     Beyond,
-    /// It worked in a run that failed.
+    /// The task was in a run that failed.
     Failed,
-    /// It worked in a run that was stopped; its saved progress is not lost.
+    /// The task was in a run that was stopped; saved progress is kept.
     Stopped,
-    /// It worked in a run whose lease ran out or whose worker is gone.
+    /// The task was in a run whose lease lapsed or whose worker was lost.
     Lost,
-    /// Its start was refused or never sent.
+    /// The order to start the task was refused or never sent.
     NotStarted,
 }
 
@@ -65,21 +65,21 @@
     }
 }
 
-/// A stretch of time; from and to are Unix milliseconds.
+/// A span of time with what it was spent on.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Span {
-    /// Its beginning.
+    /// Start, in Unix milliseconds.
     pub from_ms: i64,
-    /// Its end.
+    /// End (exclusive), in Unix milliseconds.
     pub to_ms: i64,
-    /// What it was spent on.
+    /// What the time was spent on.
     pub spent: Spent,
-    /// Of which task; none before there was one.
+    /// The task on the critical path; `None` before the job was accepted.
     pub task: Option<String>,
 }
 
-/// The critical path of a job's first occurrence in order of time; none where the line of its acceptance is
-/// missing. A job that is not over is followed to the last line.
+/// The critical path of a job's first occurrence, in order of time; `None` if the log line of its acceptance is
+/// missing. The path of a job that has not ended reaches up to the last log line.
 pub fn critical(id: JobId, story: &Story, stories: &Stories) -> Option<Vec<Span>> {
     let (shape, accepted_ms) = (story.shape.as_ref()?, story.accepted_ms?);
     let mut upto = end_ms(story, stories);
@@ -102,7 +102,7 @@
     Some(spans)
 }
 
-/// What the time of each of a job's tasks was spent on, for jobs that last; in no order.
+/// Spans of every task of a long-running job, in no particular order.
 pub fn all_tasks(id: JobId, story: &Story, stories: &Stories) -> Vec<Span> {
     let (Some(shape), Some(accepted_ms)) = (&story.shape, story.accepted_ms) else {
         return Vec::new();
@@ -128,7 +128,7 @@
     }
 }
 
-/// The task that the job's end waited for: the last to be done, or one that isn't yet.
+/// The task that determines the job's end: the last to complete, or the first incomplete one of an unfinished job.
 fn last_task(id: JobId, story: &Story, shape: &Shape) -> Option<TaskId> {
     let is_first = |(task, _): &(&TaskId, &Vec<RunSpan>)| task.occurrence == 0;
     let of_first = story.runs.iter().filter(is_first);
@@ -149,7 +149,7 @@
     Some(task(id, step, index))
 }
 
-/// The last task to be done of the steps before a task's own, and when that was.
+/// The last task to complete among the preceding steps of a task's step, with its completion time.
 fn last_before(task: &TaskId, story: &Story, of: &StepShape) -> Option<(i64, TaskId)> {
     let is_before = |(other, _): &(&TaskId, &Vec<RunSpan>)| {
         other.occurrence == task.occurrence && of.after.contains(&other.step)
@@ -168,7 +168,7 @@
     })
 }
 
-/// What one task's time was spent on from when it could begin to when it was done.
+/// Spans of one task from `ready_ms`, when it could start, to `upto_ms`.
 fn of_task(
     task: &TaskId,
     story: &Story,
@@ -187,7 +187,7 @@
         let within = |ms: i64| ms.clamp(at, upto_ms);
         let (placed, sent) = (within(run.placed_ms), within(run.sent_ms));
         let answered = within(run.answered_ms);
-        // An owner that ended with the run alive wrote no line of its end.
+        // If the owner ended during the run, no line logs the run's end: it is taken as lost when the next is placed.
         let next_ms = runs
             .get(place + 1)
             .map(|next| (next.placed_ms, RunOver::Lost));
@@ -242,7 +242,7 @@
     parts.into_iter().flatten().collect()
 }
 
-/// A wait for a place, divided by whether anybody could have given one.
+/// Splits the time that a task waited for placement by the shard's service state.
 fn waiting(task: &TaskId, story: &Story, stories: &Stories, from_ms: i64, to_ms: i64) -> Vec<Span> {
     let changes = stories.shards.get(&story.shard);
     let changes = changes.map_or(&[][..], |line| &line.changes[..]);
@@ -272,7 +272,7 @@
     spans.map(|((begin, service), end)| (*begin, end, *service))
 }
 
-/// What refused a task's step a place, as last said before a moment.
+/// The reason for which a task's step waited, as last logged before `before_ms`.
 fn refused(task: &TaskId, story: &Story, before_ms: i64) -> Spent {
     let step: StepId = task.step_id();
     let said = story.waits.iter().rev();
--- a/src/lapisdrum/attribution/story.rs
+++ b/src/lapisdrum/attribution/story.rs
@@ -1,4 +1,4 @@
-//! What the lines of all daemons say together of each job and of each shard's owners.
+//! Events of all daemons' logs, grouped by job and by shard.
 
 use super::line::{HandIn, Happening, Line, RunOver};
 use crate::sched::{
@@ -12,79 +12,80 @@
 /// One run of a task; times in Unix milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RunSpan {
-    /// Which start.
+    /// Number of the run among the task's runs.
     pub run: RunNumber,
-    /// When it was placed.
+    /// Time of the placement.
     pub placed_ms: i64,
-    /// When its order was sent.
+    /// Time at which the start order was sent.
     pub sent_ms: i64,
-    /// When its worker answered.
+    /// Time at which the worker answered the start order.
     pub answered_ms: i64,
-    /// When it was over, and how; none while it runs.
+    /// Time and manner of the run's end; `None` while it runs.
     pub over: Option<(i64, RunOver)>,
 }
 
-/// A step that found no place.
+/// A logged reason for which tasks of a step wait for placement.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Wait {
     /// The step.
     pub step: StepId,
-    /// From when on, in Unix milliseconds.
+    /// Time of the log line, in Unix milliseconds.
     pub from_ms: i64,
-    /// What refused it.
+    /// Reason for the wait.
     pub why: String,
 }
 
-/// What is known of one job; times in Unix milliseconds.
+/// Everything logged about one job; times in Unix milliseconds.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Story {
     /// Its queue.
     pub queue: String,
-    /// Where it was submitted.
+    /// Data centre at which it was submitted.
     pub data_centre: String,
-    /// Its shard.
+    /// Shard that accepted it.
     pub shard: String,
-    /// When it was first sent by its caller.
+    /// Time at which the first call to submit it started.
     pub sent_ms: Option<i64>,
-    /// When it was accepted.
+    /// Time at which it was accepted.
     pub accepted_ms: Option<i64>,
-    /// Its steps; none where the line of its acceptance is missing.
+    /// Its steps; `None` if the log line of its acceptance is missing.
     pub shape: Option<Shape>,
-    /// Time within which it is on time, in milliseconds.
+    /// Time from submission within which it must end to be on time, in milliseconds.
     pub objective_ms: i64,
-    /// When it was over, and whether every task was done.
+    /// Time of the job's end, and whether all tasks completed; `None` until then.
     pub over: Option<(i64, bool)>,
-    /// Runs of its tasks in the order of their numbers.
+    /// Runs of each task, ordered by run number.
     pub runs: BTreeMap<TaskId, Vec<RunSpan>>,
-    /// When its steps found no place.
+    /// Waits of its steps for placement, in order of time.
     pub waits: Vec<Wait>,
 }
 
-/// Whether a shard is served.
+/// Service state of a shard.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Service {
-    /// Nobody owns it.
+    /// The shard has no owner.
     NoOwner,
-    /// Its owner reads the journal.
+    /// The owner is replaying the journal.
     Recovering,
-    /// It is served.
+    /// The owner accepts and places jobs.
     Serving,
 }
 
-/// Whether a shard was served, over time.
+/// Changes of a shard's service state over time.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ServiceLine {
-    /// From when on, in Unix milliseconds; in order.
+    /// Time of each change, in Unix milliseconds, and the new state; in order of time.
     pub changes: Vec<(i64, Service)>,
+    /// Fencing token of the latest owner.
     token: u64,
-    /// When the owner of that token last wrote a line of an order.
+    /// Time at which that owner last logged a start order, in Unix milliseconds.
     heard_ms: i64,
 }
 
-/// All jobs and shards.
+/// Traces of all jobs and service histories of all shards.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Stories {
-    /// Jobs by id, in the order of their first line.
+    /// Jobs by id, in the order of their first log line.
     pub jobs: IndexMap<JobId, Story>,
     /// Shards by name.
     pub shards: IndexMap<String, ServiceLine>,
@@ -93,7 +94,7 @@
 }
 
 impl Stories {
-    /// Gathers lines, in any order.
+    /// Builds the traces from log lines in any order.
     pub fn gather(lines: impl IntoIterator<Item = Line>) -> Self {
         let mut lines: Vec<Line> = lines.into_iter().collect();
         lines.sort_by_key(|line| line.at_ms);
@@ -142,7 +143,7 @@
 }
 
 impl Story {
-    /// Notes a submission or an acceptance.
+    /// Records a submission or an acceptance; ignores other events.
     fn note_begin(&mut self, at_ms: i64, what: Happening) {
         match what {
             Happening::HandedIn {
@@ -198,7 +199,7 @@
         spans.sort_by_key(|span| span.run);
     }
 
-    /// Ends a run. Only a first end counts: one that was given up may be told again later.
+    /// Records the end of a run. Only the first end counts: a run that was given up may be reported again later.
     fn end_run(&mut self, run: RunId, at_ms: i64, how: RunOver) {
         let spans = self.runs.entry(run.task).or_default();
         let known = spans.iter_mut().find(|span| span.run == run.run);
@@ -207,7 +208,7 @@
         }
     }
 
-    /// When a step's last task was done; none while one isn't.
+    /// Time at which a step's last task completed; `None` while a task is incomplete.
     pub fn done_ms(&self, occurrence: u32, step: u16) -> Option<i64> {
         let shape = self.shape.as_ref()?.0.get(usize::from(step))?;
         let of_step = self.runs.iter();
@@ -218,7 +219,7 @@
     }
 }
 
-/// When a task was done.
+/// Time at which a task first completed, in Unix milliseconds.
 pub fn done_at(spans: &[RunSpan]) -> Option<i64> {
     let done = spans.iter().filter_map(|span| span.over);
     let done = done.filter(|(_, how)| *how == RunOver::Done);
@@ -228,7 +229,7 @@
 impl ServiceLine {
     fn taken_over(&mut self, at_ms: i64, token: u64) {
         let was_serving = self.changes.last().map(|(_, service)| *service);
-        // An owner that was killed writes no line about it: it was there until its last order.
+        // A killed owner does not log its end, so it is taken to have served until its last start order.
         if was_serving == Some(Service::Serving) {
             self.changes.push((self.heard_ms, Service::NoOwner));
         }
@@ -244,7 +245,7 @@
     }
 
     fn recovered(&mut self, at_ms: i64, token: u64) {
-        // The line of the take-over may be missing, or name an earlier version.
+        // The take-over's line may be missing or carry an earlier version.
         if token < self.token {
             return;
         }
--- a/src/lapisdrum/attribution/totals.rs
+++ b/src/lapisdrum/attribution/totals.rs
@@ -1,4 +1,4 @@
-//! Sums of many jobs' time, by entry, by data centre or by the second of their submission.
+//! Sums the time of many jobs by entry, data centre or second of submission.
 
 use super::{
     path::{self, Spent},
@@ -9,59 +9,59 @@
 use serde::Serialize;
 use std::{cmp::Reverse, fmt};
 
-/// A job is late, and not in vain, up to so many times its objective.
+/// A job that takes longer than this multiple of its objective counts as missed instead of late.
 const LATE_FACTOR: i64 = 3;
 
-/// What jobs are summed by.
+/// What jobs are grouped by.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum By {
-    /// The entry, as its queue is named in the lines.
+    /// Catalogue entry, which is the queue's name in the log lines.
     Entry,
-    /// The data centre that they were submitted at.
+    /// Data centre at which the job was submitted.
     DataCentre,
-    /// The second of their submission, from the first job's.
+    /// Second of submission, counted from the first submission in the logs.
     Second,
 }
 
-/// How a job came out for its caller.
+/// Whether a job met its objective.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// In time.
+    /// Completed within its objective.
     OnTime,
-    /// Late, within three times its objective.
+    /// Completed within three times its objective.
     Late,
-    /// Later, or not at all by the last line.
+    /// Completed later than that, or past its objective and not ended by the last log line.
     Missed,
-    /// It failed, was cancelled, or is no older than its objective.
+    /// Not counted: failed, cancelled, or running and no older than its objective.
     Open,
 }
 
-/// The sum of a group's jobs. Times are in milliseconds.
+/// Sums over the jobs of one group; times in milliseconds.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Row {
-    /// The group.
+    /// Name of the entry or data centre, or the second.
     pub group: String,
-    /// Jobs that were accepted.
+    /// Accepted jobs.
     pub jobs: u64,
-    /// Of these, in time.
+    /// Batch jobs that completed within their objective.
     pub on_time: u64,
-    /// Of these, late.
+    /// Batch jobs that completed within three times their objective.
     pub late: u64,
-    /// Of these, later than that or not done.
+    /// Batch jobs that completed later, or did not end in time.
     pub missed: u64,
-    /// Submissions that were never accepted.
+    /// Submitted jobs that were never accepted.
     pub never_accepted: u64,
-    /// Estimated work on the longest chains, alone.
+    /// Sum of the jobs' estimated durations along their longest chain of steps, without any waiting.
     pub chain_ms: u64,
-    /// What the time on the critical paths was spent on, the most first.
+    /// Time on the critical paths by what it was spent on, largest first.
     pub spent: Vec<(Spent, i64)>,
-    /// Time for which tasks that last should have been up.
+    /// Time for which long-running tasks should have run.
     pub lasting_ms: i64,
-    /// What they waited for of that, the most first.
+    /// Part of that time in which they did not run, by what it was spent on, largest first.
     pub lasting_away: Vec<(Spent, i64)>,
 }
 
-/// How a job came out, as of the last line.
+/// Whether a job met its objective, as of the last log line.
 pub fn outcome(story: &Story, stories: &Stories) -> Outcome {
     let Some(sent_ms) = story.sent_ms.or(story.accepted_ms) else {
         return Outcome::Open;
@@ -81,7 +81,7 @@
     }
 }
 
-/// Sums all jobs.
+/// Sums all jobs by group; the rows are sorted by group name.
 pub fn sum(stories: &Stories, by: By) -> Vec<Row> {
     let first_ms = stories
         .jobs
