--- a/src/lapisdrum/attribution/line.rs
+++ b/src/lapisdrum/attribution/log_line.rs
@@ -18,21 +18,21 @@
     /// Time by the daemon's clock, in Unix milliseconds.
     pub at_ms: i64,
     /// The event.
-    pub what: Happening,
+    pub event: LogEvent,
 }
 
 /// Outcome of one call that submits a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum HandIn {
+pub enum SubmissionOutcome {
     /// The job's acceptance is durable.
     Accepted,
     /// The call was refused, or its outcome is unknown.
-    InVain,
+    NotAccepted,
 }
 
 /// How a run ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum RunOver {
+pub enum RunOutcome {
     /// The task completed its work.
     Done,
     /// The task failed.
@@ -47,9 +47,9 @@
 
 /// Event of a job or of a shard's owner.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Happening {
+pub enum LogEvent {
     /// A daemon answered a submission.
-    HandedIn {
+    Submitted {
         /// The job.
         job: JobId,
         /// Its queue.
@@ -57,7 +57,7 @@
         /// The data centre of the daemon that answered.
         data_centre: String,
         /// Whether the job was accepted.
-        outcome: HandIn,
+        outcome: SubmissionOutcome,
         /// Time from receiving the call to answering it, in milliseconds.
         took_ms: i64,
     },
@@ -75,14 +75,14 @@
         objective_ms: i64,
     },
     /// Tasks of a step wait because no host can take them.
-    Waits {
+    StepWaits {
         /// The step.
         step: StepId,
         /// The most frequent reason why hosts were ruled out, as logged.
         why: String,
     },
     /// An owner sent a worker the order to start a run.
-    Ordered {
+    StartOrdered {
         /// The run.
         run: RunId,
         /// Time until the placement was durable, in milliseconds.
@@ -93,14 +93,14 @@
         token: u64,
     },
     /// A run ended.
-    RunOver {
+    RunEnded {
         /// The run.
         run: RunId,
         /// How the run ended.
-        how: RunOver,
+        how: RunOutcome,
     },
     /// A job ended.
-    JobOver {
+    JobEnded {
         /// The job.
         job: JobId,
         /// Whether all tasks completed.
@@ -182,50 +182,50 @@
     let wire: LineWire = serde_json::from_str(raw[at..].trim_end()).ok()?;
     Some(Line {
         at_ms: wire.timestamp.as_millisecond(),
-        what: happening(&wire.message, &Fields(wire.kvs))?,
+        event: parse_event(&wire.message, &Fields(wire.kvs))?,
     })
 }
 
-fn happening(message: &str, fields: &Fields) -> Option<Happening> {
+fn parse_event(message: &str, fields: &Fields) -> Option<LogEvent> {
     match message {
         "job submitted" => submitted(fields),
         "job accepted" => accepted(fields),
-        "step waits" => Some(Happening::Waits {
+        "step waits" => Some(LogEvent::StepWaits {
             step: fields.step()?,
             why: fields.owned("why")?,
         }),
-        "start ordered" => Some(Happening::Ordered {
+        "start ordered" => Some(LogEvent::StartOrdered {
             run: fields.run()?,
             waited_ms: fields.millis("waited_ms"),
             took_ms: fields.millis("took_ms"),
             token: fields.number("token")?,
         }),
-        "run ended" => Some(Happening::RunOver {
+        "run ended" => Some(LogEvent::RunEnded {
             run: fields.run()?,
             how: match fields.text("how")? {
-                "Done" => RunOver::Done,
-                "Failed" => RunOver::Failed,
-                "Lapsed" => RunOver::Lost,
-                _ => RunOver::Stopped,
+                "Done" => RunOutcome::Done,
+                "Failed" => RunOutcome::Failed,
+                "Lapsed" => RunOutcome::Lost,
+                _ => RunOutcome::Stopped,
             },
         }),
-        "run lost" => Some(Happening::RunOver {
+        "run lost" => Some(LogEvent::RunEnded {
             run: fields.run()?,
             how: match fields.text("why")? {
-                "NotStarted" => RunOver::NotStarted,
-                _ => RunOver::Lost,
+                "NotStarted" => RunOutcome::NotStarted,
+                _ => RunOutcome::Lost,
             },
         }),
-        "job over" => Some(Happening::JobOver {
+        "job over" => Some(LogEvent::JobEnded {
             job: fields.job()?,
             is_completed: fields.text("phase")? == "Completed",
         }),
         "take-over tried" => taken_over(fields),
-        "shard recovered" => Some(Happening::Recovered {
+        "shard recovered" => Some(LogEvent::Recovered {
             shard: fields.owned("shard")?,
             token: fields.number("token")?,
         }),
-        "shard is lost" => Some(Happening::ShardLost {
+        "shard is lost" => Some(LogEvent::ShardLost {
             shard: fields.owned("shard")?,
             token: fields.number("token")?,
         }),
@@ -233,21 +233,21 @@
     }
 }
 
-fn submitted(fields: &Fields) -> Option<Happening> {
-    Some(Happening::HandedIn {
+fn submitted(fields: &Fields) -> Option<LogEvent> {
+    Some(LogEvent::Submitted {
         job: fields.job()?,
         queue: fields.owned("queue")?,
         data_centre: fields.owned("data_centre").unwrap_or_default(),
         outcome: match fields.text("outcome")?.starts_with("Done") {
-            true => HandIn::Accepted,
-            false => HandIn::InVain,
+            true => SubmissionOutcome::Accepted,
+            false => SubmissionOutcome::NotAccepted,
         },
         took_ms: fields.millis("took_ms"),
     })
 }
 
-fn accepted(fields: &Fields) -> Option<Happening> {
-    Some(Happening::Accepted {
+fn accepted(fields: &Fields) -> Option<LogEvent> {
+    Some(LogEvent::Accepted {
         job: fields.job()?,
         queue: fields.owned("queue")?,
         shard: fields.owned("shard")?,
@@ -258,9 +258,9 @@
 
 /// Parses a committed take-over. The line does not carry the owner's token, so the version that the commit returned
 /// serves as the token.
-fn taken_over(fields: &Fields) -> Option<Happening> {
+fn taken_over(fields: &Fields) -> Option<LogEvent> {
     let version = fields.text("end")?.strip_prefix("Committed(")?;
-    Some(Happening::TakenOver {
+    Some(LogEvent::TakenOver {
         shard: fields.owned("shard")?,
         token: version.trim_end_matches(')').parse().ok()?,
     })
--- a/src/lapisdrum/attribution/totals.rs
+++ b/src/lapisdrum/attribution/totals.rs
@@ -2,7 +2,7 @@
 
 use super::{
     path::{self, Spent},
-    story::{Stories, Story},
+    trace::{JobTrace, Traces},
 };
 use crate::sched::job::JobId;
 use indexmap::IndexMap;
@@ -56,23 +56,25 @@
     /// Time on the critical paths by what it was spent on, largest first.
     pub spent: Vec<(Spent, i64)>,
     /// Time for which long-running tasks should have run.
-    pub lasting_ms: i64,
+    #[serde(rename = "lasting_ms")]
+    pub long_running_ms: i64,
     /// Part of that time in which they did not run, by what it was spent on, largest first.
-    pub lasting_away: Vec<(Spent, i64)>,
+    #[serde(rename = "lasting_away")]
+    pub long_running_unavailable: Vec<(Spent, i64)>,
 }
 
 /// Whether a job met its objective, as of the last log line.
-pub fn outcome(story: &Story, stories: &Stories) -> Outcome {
-    let Some(sent_ms) = story.sent_ms.or(story.accepted_ms) else {
+pub fn outcome(trace: &JobTrace, traces: &Traces) -> Outcome {
+    let Some(sent_ms) = trace.sent_ms.or(trace.accepted_ms) else {
         return Outcome::Open;
     };
-    let is_completed = match story.over {
+    let is_completed = match trace.ended {
         Some((_, false)) => return Outcome::Open,
         Some((_, true)) => true,
         None => false,
     };
-    let end_ms = story.over.map_or(stories.last_ms, |(at, _)| at);
-    let objective_ms = story.objective_ms.max(1);
+    let end_ms = trace.ended.map_or(traces.last_ms, |(at, _)| at);
+    let objective_ms = trace.objective_ms.max(1);
     match (is_completed, end_ms - sent_ms) {
         (true, took) if took <= objective_ms => Outcome::OnTime,
         (true, took) if took <= objective_ms * LATE_FACTOR => Outcome::Late,
@@ -82,66 +84,63 @@
 }
 
 /// Sums all jobs by group; the rows are sorted by group name.
-pub fn sum(stories: &Stories, by: By) -> Vec<Row> {
-    let first_ms = stories
-        .jobs
-        .values()
-        .filter_map(|story| story.sent_ms)
-        .min();
+pub fn sum(traces: &Traces, by: By) -> Vec<Row> {
+    let first_ms = traces.jobs.values().filter_map(|trace| trace.sent_ms).min();
     let mut rows: IndexMap<String, Row> = IndexMap::new();
-    for (id, story) in &stories.jobs {
-        let Some(group) = group(story, by, first_ms.unwrap_or_default()) else {
+    for (id, trace) in &traces.jobs {
+        let Some(group) = group(trace, by, first_ms.unwrap_or_default()) else {
             continue;
         };
         let row = rows.entry(group.clone()).or_insert_with(|| Row {
             group,
             ..Row::default()
         });
-        if story.shape.is_none() {
-            row.never_accepted += u64::from(story.accepted_ms.is_none());
+        if trace.shape.is_none() {
+            row.never_accepted += u64::from(trace.accepted_ms.is_none());
             continue;
         }
-        row.add(*id, story, stories);
+        row.add(*id, trace, traces);
     }
     let mut rows: Vec<Row> = rows.into_values().collect();
     rows.sort_by(|a, b| a.group.cmp(&b.group));
     rows
 }
 
-fn group(story: &Story, by: By, first_ms: i64) -> Option<String> {
+fn group(trace: &JobTrace, by: By, first_ms: i64) -> Option<String> {
     match by {
-        By::Entry => Some(story.queue.clone()),
-        By::DataCentre => Some(story.data_centre.clone()),
+        By::Entry => Some(trace.queue.clone()),
+        By::DataCentre => Some(trace.data_centre.clone()),
         By::Second => {
-            let since_ms = story.sent_ms? - first_ms;
+            let since_ms = trace.sent_ms? - first_ms;
             Some(format!("{:>5} s", since_ms / 1_000))
         }
     }
 }
 
 impl Row {
-    fn add(&mut self, id: JobId, story: &Story, stories: &Stories) {
-        let shape = story.shape.as_ref();
-        let lasts = shape.is_some_and(|shape| shape.0.iter().any(|step| step.is_long_running));
+    fn add(&mut self, id: JobId, trace: &JobTrace, traces: &Traces) {
+        let shape = trace.shape.as_ref();
+        let is_long_running =
+            shape.is_some_and(|shape| shape.0.iter().any(|step| step.is_long_running));
         self.jobs += 1;
-        if lasts {
-            for span in path::all_tasks(id, story, stories) {
+        if is_long_running {
+            for span in path::all_tasks(id, trace, traces) {
                 let took = span.to_ms - span.from_ms;
-                self.lasting_ms += took;
+                self.long_running_ms += took;
                 if !matches!(span.spent, Spent::Run) {
-                    add(&mut self.lasting_away, span.spent, took);
+                    add(&mut self.long_running_unavailable, span.spent, took);
                 }
             }
             return;
         }
-        match outcome(story, stories) {
+        match outcome(trace, traces) {
             Outcome::OnTime => self.on_time += 1,
             Outcome::Late => self.late += 1,
             Outcome::Missed => self.missed += 1,
             Outcome::Open => {}
         }
         self.chain_ms += shape.map_or(0, |shape| shape.longest_chain_ms());
-        for span in path::critical(id, story, stories).unwrap_or_default() {
+        for span in path::critical(id, trace, traces).unwrap_or_default() {
             add(&mut self.spent, span.spent, span.to_ms - span.from_ms);
         }
     }
@@ -163,28 +162,28 @@
             self.group, self.jobs, self.on_time, self.late, self.missed, self.never_accepted
         )?;
         let batch = (self.on_time + self.late + self.missed).max(1) as f64;
-        let whole: i64 = self.spent.iter().map(|(_, ms)| ms).sum();
-        if whole > 0 {
-            let (mean, chain) = (whole as f64 / batch, self.chain_ms as f64 / batch);
+        let total_ms: i64 = self.spent.iter().map(|(_, ms)| ms).sum();
+        if total_ms > 0 {
+            let (mean, chain) = (total_ms as f64 / batch, self.chain_ms as f64 / batch);
             write!(
                 f,
                 "\n  {:.1} s a job on the critical path, where its work alone is {:.1} s",
                 mean / 1e3,
                 chain / 1e3
             )?;
-            write_sums(f, &self.spent, whole, batch)?;
+            write_sums(f, &self.spent, total_ms, batch)?;
         }
-        if self.lasting_ms > 0 {
-            let away: i64 = self.lasting_away.iter().map(|(_, ms)| ms).sum();
-            let share = away as f64 / self.lasting_ms as f64;
+        if self.long_running_ms > 0 {
+            let unavailable_ms: i64 = self.long_running_unavailable.iter().map(|(_, ms)| ms).sum();
+            let share = unavailable_ms as f64 / self.long_running_ms as f64;
             write!(
                 f,
                 "\n  tasks that last were away for {:.1} of {:.0} s ({:.1} %)",
-                away as f64 / 1e3,
-                self.lasting_ms as f64 / 1e3,
+                unavailable_ms as f64 / 1e3,
+                self.long_running_ms as f64 / 1e3,
                 share * 100.0
             )?;
-            write_sums(f, &self.lasting_away, self.lasting_ms, 1.0)?;
+            write_sums(f, &self.long_running_unavailable, self.long_running_ms, 1.0)?;
         }
         Ok(())
     }
@@ -193,11 +192,14 @@
 fn write_sums(
     f: &mut fmt::Formatter<'_>,
     sums: &[(Spent, i64)],
-    whole: i64,
+    total_ms: i64,
     jobs: f64,
 ) -> fmt::Result {
     for (spent, ms) in sums {
-        let (seconds, share) = (*ms as f64 / jobs / 1e3, *ms as f64 / whole as f64 * 100.0);
+        let (seconds, share) = (
+            *ms as f64 / jobs / 1e3,
+            *ms as f64 / total_ms as f64 * 100.0,
+        );
         write!(f, "\n  {seconds:>8.2} s {share:>5.1} %  {spent}")?;
     }
     Ok(())
--- a/src/lapisdrum/attribution/story.rs
+++ b/src/lapisdrum/attribution/trace.rs
@@ -1,6 +1,6 @@
 //! Events of all daemons' logs, grouped by job and by shard.
 
-use super::line::{HandIn, Happening, Line, RunOver};
+use super::log_line::{Line, LogEvent, RunOutcome, SubmissionOutcome};
 use crate::sched::{
     event::RunId,
     job::{JobId, RunNumber, StepId, TaskId},
@@ -21,7 +21,7 @@
     /// Time at which the worker answered the start order.
     pub answered_ms: i64,
     /// Time and manner of the run's end; `None` while it runs.
-    pub over: Option<(i64, RunOver)>,
+    pub ended: Option<(i64, RunOutcome)>,
 }
 
 /// A logged reason for which tasks of a step wait for placement.
@@ -37,7 +37,7 @@
 
 /// Everything logged about one job; times in Unix milliseconds.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Story {
+pub struct JobTrace {
     /// Its queue.
     pub queue: String,
     /// Data centre at which it was submitted.
@@ -53,7 +53,7 @@
     /// Time from submission within which it must end to be on time, in milliseconds.
     pub objective_ms: i64,
     /// Time of the job's end, and whether all tasks completed; `None` until then.
-    pub over: Option<(i64, bool)>,
+    pub ended: Option<(i64, bool)>,
     /// Runs of each task, ordered by run number.
     pub runs: BTreeMap<TaskId, Vec<RunSpan>>,
     /// Waits of its steps for placement, in order of time.
@@ -73,80 +73,87 @@
 
 /// Changes of a shard's service state over time.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct ServiceLine {
+pub struct ServiceHistory {
     /// Time of each change, in Unix milliseconds, and the new state; in order of time.
     pub changes: Vec<(i64, Service)>,
     /// Fencing token of the latest owner.
     token: u64,
     /// Time at which that owner last logged a start order, in Unix milliseconds.
-    heard_ms: i64,
+    last_order_ms: i64,
 }
 
 /// Traces of all jobs and service histories of all shards.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Stories {
+pub struct Traces {
     /// Jobs by id, in the order of their first log line.
-    pub jobs: IndexMap<JobId, Story>,
+    pub jobs: IndexMap<JobId, JobTrace>,
     /// Shards by name.
-    pub shards: IndexMap<String, ServiceLine>,
+    pub shards: IndexMap<String, ServiceHistory>,
     /// The last line's time, in Unix milliseconds.
     pub last_ms: i64,
 }
 
-impl Stories {
+impl Traces {
     /// Builds the traces from log lines in any order.
     pub fn gather(lines: impl IntoIterator<Item = Line>) -> Self {
         let mut lines: Vec<Line> = lines.into_iter().collect();
         lines.sort_by_key(|line| line.at_ms);
-        let mut stories = Self::default();
+        let mut traces = Self::default();
         for line in lines {
-            stories.last_ms = line.at_ms;
-            stories.note(line.at_ms, line.what);
+            traces.last_ms = line.at_ms;
+            traces.note(line.at_ms, line.event);
         }
-        stories
+        traces
     }
 
-    fn note(&mut self, at_ms: i64, what: Happening) {
-        match what {
-            Happening::HandedIn { job, .. } | Happening::Accepted { job, .. } => {
-                self.jobs.entry(job).or_default().note_begin(at_ms, what);
+    fn note(&mut self, at_ms: i64, event: LogEvent) {
+        match event {
+            LogEvent::Submitted { job, .. } | LogEvent::Accepted { job, .. } => {
+                self.jobs
+                    .entry(job)
+                    .or_default()
+                    .note_submission(at_ms, event);
             }
-            Happening::Waits { step, why } => {
-                let story = self.jobs.entry(step.job).or_default();
+            LogEvent::StepWaits { step, why } => {
+                let trace = self.jobs.entry(step.job).or_default();
                 let from_ms = at_ms;
-                story.waits.push(Wait { step, from_ms, why });
+                trace.waits.push(Wait { step, from_ms, why });
             }
-            Happening::Ordered { run, token, .. } => {
-                let story = self.jobs.entry(run.task.job).or_default();
-                story.note_ordered(at_ms, &what);
-                for line in self.shards.values_mut().filter(|l| l.token == token) {
-                    line.heard_ms = at_ms;
+            LogEvent::StartOrdered { run, token, .. } => {
+                let trace = self.jobs.entry(run.task.job).or_default();
+                trace.note_ordered(at_ms, &event);
+                for history in self.shards.values_mut().filter(|h| h.token == token) {
+                    history.last_order_ms = at_ms;
                 }
             }
-            Happening::RunOver { run, how } => {
-                let story = self.jobs.entry(run.task.job).or_default();
-                story.end_run(run, at_ms, how);
+            LogEvent::RunEnded { run, how } => {
+                let trace = self.jobs.entry(run.task.job).or_default();
+                trace.end_run(run, at_ms, how);
             }
-            Happening::JobOver { job, is_completed } => {
-                let story = self.jobs.entry(job).or_default();
-                story.over = story.over.or(Some((at_ms, is_completed)));
+            LogEvent::JobEnded { job, is_completed } => {
+                let trace = self.jobs.entry(job).or_default();
+                trace.ended = trace.ended.or(Some((at_ms, is_completed)));
             }
-            Happening::TakenOver { shard, token } => self.line(shard).taken_over(at_ms, token),
-            Happening::Recovered { shard, token } => self.line(shard).recovered(at_ms, token),
-            Happening::ShardLost { shard, token } => self.line(shard).lost(at_ms, token),
+            LogEvent::TakenOver { shard, token } => {
+                self.service_history(shard).taken_over(at_ms, token)
+            }
+            LogEvent::Recovered { shard, token } => {
+                self.service_history(shard).recovered(at_ms, token)
+            }
+            LogEvent::ShardLost { shard, token } => self.service_history(shard).lost(at_ms, token),
         }
     }
 
-    fn line(&mut self, shard: String) -> &mut ServiceLine {
+    fn service_history(&mut self, shard: String) -> &mut ServiceHistory {
         self.shards.entry(shard).or_default()
     }
 }
 
-impl Story {
+impl JobTrace {
     /// Records a submission or an acceptance; ignores other events.
-    fn note_begin(&mut self, at_ms: i64, what: Happening) {
-        match what {
-            Happening::HandedIn {
+    fn note_submission(&mut self, at_ms: i64, event: LogEvent) {
+        match event {
+            LogEvent::Submitted {
                 queue,
                 data_centre,
                 outcome,
@@ -156,11 +163,11 @@
                 self.queue = queue;
                 self.data_centre = data_centre;
                 self.sent_ms = self.sent_ms.or(Some(at_ms - took_ms));
-                if outcome == HandIn::Accepted {
+                if outcome == SubmissionOutcome::Accepted {
                     self.accepted_ms = self.accepted_ms.or(Some(at_ms));
                 }
             }
-            Happening::Accepted {
+            LogEvent::Accepted {
                 queue,
                 shard,
                 shape,
@@ -177,13 +184,13 @@
         }
     }
 
-    fn note_ordered(&mut self, at_ms: i64, what: &Happening) {
-        let Happening::Ordered {
+    fn note_ordered(&mut self, at_ms: i64, event: &LogEvent) {
+        let LogEvent::StartOrdered {
             run,
             waited_ms,
             took_ms,
             ..
-        } = what
+        } = event
         else {
             return;
         };
@@ -192,7 +199,7 @@
             placed_ms: at_ms - took_ms - waited_ms,
             sent_ms: at_ms - took_ms,
             answered_ms: at_ms,
-            over: None,
+            ended: None,
         };
         let spans = self.runs.entry(run.task).or_default();
         spans.push(span);
@@ -200,11 +207,11 @@
     }
 
     /// Records the end of a run. Only the first end counts: a run that was given up may be reported again later.
-    fn end_run(&mut self, run: RunId, at_ms: i64, how: RunOver) {
+    fn end_run(&mut self, run: RunId, at_ms: i64, how: RunOutcome) {
         let spans = self.runs.entry(run.task).or_default();
         let known = spans.iter_mut().find(|span| span.run == run.run);
         if let Some(span) = known {
-            span.over = span.over.or(Some((at_ms, how)));
+            span.ended = span.ended.or(Some((at_ms, how)));
         }
     }
 
@@ -221,20 +228,20 @@
 
 /// Time at which a task first completed, in Unix milliseconds.
 pub fn done_at(spans: &[RunSpan]) -> Option<i64> {
-    let done = spans.iter().filter_map(|span| span.over);
-    let done = done.filter(|(_, how)| *how == RunOver::Done);
+    let done = spans.iter().filter_map(|span| span.ended);
+    let done = done.filter(|(_, how)| *how == RunOutcome::Done);
     done.map(|(at, _)| at).min()
 }
 
-impl ServiceLine {
+impl ServiceHistory {
     fn taken_over(&mut self, at_ms: i64, token: u64) {
-        let was_serving = self.changes.last().map(|(_, service)| *service);
+        let last_state = self.changes.last().map(|(_, service)| *service);
         // A killed owner does not log its end, so it is taken to have served until its last start order.
-        if was_serving == Some(Service::Serving) {
-            self.changes.push((self.heard_ms, Service::NoOwner));
+        if last_state == Some(Service::Serving) {
+            self.changes.push((self.last_order_ms, Service::NoOwner));
         }
         self.token = token;
-        self.heard_ms = at_ms;
+        self.last_order_ms = at_ms;
         self.changes.push((at_ms, Service::Recovering));
     }
 
--- a/src/lapisdrum/ops/explain.rs
+++ b/src/lapisdrum/ops/explain.rs
@@ -3,10 +3,10 @@
 use super::{Exit, Failure, output::write_lines};
 use crate::{
     attribution::{
-        line,
+        log_line,
         path::{self, Span},
-        story::{Stories, Story},
         totals::{self, By, Row},
+        trace::{JobTrace, Traces},
     },
     sched::job::JobId,
 };
@@ -54,11 +54,11 @@
 
 /// Reads the lines of these files, or of standard input where none is named, and answers.
 pub fn explain(files: &[PathBuf], question: &Question) -> Result<Explained, Failure> {
-    let stories = match files {
+    let traces = match files {
         [] => gather([Ok(Box::new(io::stdin().lock()) as Box<dyn BufRead>)])?,
         some => gather(some.iter().map(|file| open(file)))?,
     };
-    answer(&stories, question)
+    answer(&traces, question)
 }
 
 fn open(file: &Path) -> Result<Box<dyn BufRead>, Failure> {
@@ -73,12 +73,12 @@
 
 fn gather(
     files: impl IntoIterator<Item = Result<Box<dyn BufRead>, Failure>>,
-) -> Result<Stories, Failure> {
+) -> Result<Traces, Failure> {
     let mut lines = Vec::new();
     for file in files {
         for raw in file?.split(b'\n') {
             let raw = raw.map_err(|e| wrong(format!("failed to read a log: {e}")))?;
-            lines.extend(line::read(&String::from_utf8_lossy(&raw)));
+            lines.extend(log_line::read(&String::from_utf8_lossy(&raw)));
         }
     }
     if lines.is_empty() {
@@ -86,24 +86,24 @@
             "no line of a daemon's JSON log tells of a job or of a shard's owner".to_owned(),
         ));
     }
-    Ok(Stories::gather(lines))
+    Ok(Traces::gather(lines))
 }
 
 /// Answers from what the lines say.
-pub fn answer(stories: &Stories, question: &Question) -> Result<Explained, Failure> {
+pub fn answer(traces: &Traces, question: &Question) -> Result<Explained, Failure> {
     match question {
-        Question::Sums(by) => Ok(Explained::Sums(totals::sum(stories, *by))),
+        Question::Sums(by) => Ok(Explained::Sums(totals::sum(traces, *by))),
         Question::Job(raw) => {
             let id: JobId = raw.parse().map_err(|e| wrong(format!("`{raw}`: {e}")))?;
-            let story = stories.jobs.get(&id);
-            let story = story.ok_or_else(|| wrong(format!("no line tells of job {id}")))?;
-            Ok(Explained::Job(job_path(id, story, stories)?))
+            let trace = traces.jobs.get(&id);
+            let trace = trace.ok_or_else(|| wrong(format!("no line tells of job {id}")))?;
+            Ok(Explained::Job(job_path(id, trace, traces)?))
         }
     }
 }
 
-fn job_path(id: JobId, story: &Story, stories: &Stories) -> Result<JobPath, Failure> {
-    let path = path::critical(id, story, stories);
+fn job_path(id: JobId, trace: &JobTrace, traces: &Traces) -> Result<JobPath, Failure> {
+    let path = path::critical(id, trace, traces);
     let path = path.ok_or_else(|| {
         wrong(format!(
             "the line of job {id}'s acceptance is missing; give the lines of all daemons since then"
@@ -111,9 +111,9 @@
     })?;
     Ok(JobPath {
         job: id.to_string(),
-        queue: story.queue.clone(),
-        data_centre: story.data_centre.clone(),
-        objective_ms: story.objective_ms,
+        queue: trace.queue.clone(),
+        data_centre: trace.data_centre.clone(),
+        objective_ms: trace.objective_ms,
         path,
     })
 }
--- a/tests/testsuite/attribution.rs
+++ b/tests/testsuite/attribution.rs
@@ -3,10 +3,10 @@
 use assert_matches::assert_matches;
 use lapisdrum::{
     attribution::{
-        line,
+        log_line,
         path::{Span, Spent},
-        story::Stories,
         totals::By,
+        trace::Traces,
     },
     ops::explain::{Explained, Question, answer, explain},
     sched::shape::{Shape, StepShape},
@@ -96,12 +96,12 @@
     ]
 }
 
-fn stories() -> Stories {
-    Stories::gather(lines().iter().rev().filter_map(|raw| line::read(raw)))
+fn traces() -> Traces {
+    Traces::gather(lines().iter().rev().filter_map(|raw| log_line::read(raw)))
 }
 
-fn path_of(stories: &Stories) -> Vec<Span> {
-    match answer(stories, &Question::Job(JOB.to_owned())) {
+fn path_of(traces: &Traces) -> Vec<Span> {
+    match answer(traces, &Question::Job(JOB.to_owned())) {
         Ok(Explained::Job(job)) => job.path,
         other => panic!("{other:?}"),
     }
@@ -115,19 +115,19 @@
 /// Each moment between the first try and the end is told once, and by its cause.
 #[test]
 fn a_late_job_is_explained() {
-    let stories = stories();
-    let path = path_of(&stories);
+    let traces = traces();
+    let path = path_of(&traces);
     let gapless = path.windows(2).all(|two| two[0].to_ms == two[1].from_ms);
     assert!(gapless, "{path:#?}");
-    assert_eq!(time_on(&path, &Spent::HandIn), 1_005);
+    assert_eq!(time_on(&path, &Spent::Submission), 1_005);
     assert_eq!(time_on(&path, &Spent::Stopped), 500);
     assert_eq!(time_on(&path, &Spent::Run), 1_000 + 400);
-    assert_eq!(time_on(&path, &Spent::Beyond), 500);
+    assert_eq!(time_on(&path, &Spent::Overrun), 500);
     assert_eq!(time_on(&path, &Spent::NoOwner), 6_555 - 5_055);
     assert_eq!(time_on(&path, &Spent::Recovering), 100);
     assert_eq!(time_on(&path, &Spent::Journal), 60);
     assert_eq!(time_on(&path, &Spent::Place("Pressure".to_owned())), 1_000);
-    let shown = answer(&stories, &Question::Job(JOB.to_owned())).expect("an answer");
+    let shown = answer(&traces, &Question::Job(JOB.to_owned())).expect("an answer");
     let shown = shown.to_string();
     assert!(
         shown.contains("renders, submitted at karen: 6.110 s, on time within 5.000 s"),
@@ -144,7 +144,7 @@
         (By::DataCentre, "karen"),
         (By::Second, "    0 s"),
     ] {
-        let answered = answer(&stories(), &Question::Sums(by)).expect("an answer");
+        let answered = answer(&traces(), &Question::Sums(by)).expect("an answer");
         let Explained::Sums(rows) = answered else {
             panic!("no sums");
         };
@@ -170,20 +170,20 @@
             .message
             .contains("no-such.log")
     );
-    let stories = stories();
+    let traces = traces();
     for (id, says) in [
         ("xyz", "16 hexadecimal digits"),
         ("00000000000000bb", "no line tells"),
     ] {
-        let refused = answer(&stories, &Question::Job(id.to_owned())).expect_err("no job");
+        let refused = answer(&traces, &Question::Job(id.to_owned())).expect_err("no job");
         assert!(refused.message.contains(says), "{refused}");
     }
     let without = lines()
         .into_iter()
         .filter(|raw| !raw.contains("job accepted"));
     let without: Vec<String> = without.collect();
-    let stories = Stories::gather(without.iter().filter_map(|raw| line::read(raw)));
-    let refused = answer(&stories, &Question::Job(JOB.to_owned())).expect_err("no path");
+    let traces = Traces::gather(without.iter().filter_map(|raw| log_line::read(raw)));
+    let refused = answer(&traces, &Question::Job(JOB.to_owned())).expect_err("no path");
     assert!(
         refused.message.contains("acceptance is missing"),
         "{refused}"
@@ -199,11 +199,13 @@
         .into_iter()
         .map(|raw| raw.replace("1x1000 1x500@0", "1x1000+"))
         .collect();
-    let stories = Stories::gather(raw.iter().filter_map(|raw| line::read(raw)));
-    let answered = answer(&stories, &Question::Sums(By::Entry)).expect("an answer");
-    assert_matches!(&answered, Explained::Sums(rows) if rows[0].lasting_ms > 0);
+    let traces = Traces::gather(raw.iter().filter_map(|raw| log_line::read(raw)));
+    let answered = answer(&traces, &Question::Sums(By::Entry)).expect("an answer");
+    assert_matches!(&answered, Explained::Sums(rows) if rows[0].long_running_ms > 0);
     assert!(
-        answered.to_string().contains("tasks that last were away"),
+        answered
+            .to_string()
+            .contains("tasks that last were away"),
         "{answered}"
     );
 }
@@ -231,7 +233,7 @@
     /// Whatever a file holds, reading it does not panic.
     #[test]
     fn any_line_is_read_or_passed_over(raw in ".{0,200}") {
-        let _ = line::read(&raw);
+        let _ = log_line::read(&raw);
         let _ = raw.parse::<Shape>();
     }
 }
