--- a/src/lapisdrum/attribution/totals.rs
+++ b/src/lapisdrum/attribution/totals.rs
@@ -178,7 +178,7 @@
             let share = unavailable_ms as f64 / self.long_running_ms as f64;
             write!(
                 f,
-                "\n  tasks that last were away for {:.1} of {:.0} s ({:.1} %)",
+                "\n  long-running tasks were unavailable for {:.1} of {:.0} s ({:.1} %)",
                 unavailable_ms as f64 / 1e3,
                 self.long_running_ms as f64 / 1e3,
                 share * 100.0
--- a/tests/testsuite/attribution.rs
+++ b/tests/testsuite/attribution.rs
@@ -133,7 +133,7 @@
         shown.contains("renders, submitted at karen: 6.110 s, on time within 5.000 s"),
         "{shown}"
     );
-    assert!(shown.contains("waiting for a place: Pressure"), "{shown}");
+    assert!(shown.contains("waiting for placement: Pressure"), "{shown}");
 }
 
 /// Sums count the job once, as late, under its entry, its data centre and its second.
@@ -205,7 +205,7 @@
     assert!(
         answered
             .to_string()
-            .contains("tasks that last were away"),
+            .contains("long-running tasks were unavailable"),
         "{answered}"
     );
 }
