--- a/src/lapisdrum/timeline/event.rs
+++ b/src/lapisdrum/timeline/event.rs
@@ -7,50 +7,50 @@
 use std::fmt;
 use uhlc::NTP64;
 
-/// Length of a time in RFC 3339 up to its milliseconds.
+/// Length of an RFC 3339 time with milliseconds, without the zone suffix.
 const MILLISECOND_LEN: usize = "2026-01-01T00:00:00.000".len();
 
 data! {
-    /// A point in the order of events: hybrid logical time, then the clock's id.
+    /// Timestamp of a hybrid logical clock. Stamps are ordered by time, then by clock id.
     #[derive(Copy, PartialOrd, Ord, Hash, Default)]
     pub struct Stamp {
-        /// Hybrid time in the NTP 64-bit form.
+        /// Hybrid time in the 64-bit NTP format.
         pub time: u64,
-        /// The id of the clock that gave it.
+        /// Id of the clock that created the stamp, derived from the daemon's incarnation.
         pub clock: u64,
     }
 
-    /// What happened.
+    /// Kind and details of an event.
     #[serde(tag = "event", rename_all = "kebab-case")]
     pub enum Happening {
-        /// The daemon began to serve.
+        /// The daemon started to serve.
         DaemonReady {},
-        /// The daemon was told to end.
+        /// The daemon was asked to shut down and finishes the work in flight.
         DaemonDraining {},
-        /// A catalogue revision came into force here.
+        /// This daemon applied a catalogue revision.
         RevisionApplied {
             /// The revision.
             revision: Revision,
         },
-        /// An operator's change was accepted here.
+        /// This daemon accepted an operator's change to a catalogue entry.
         ChangeAccepted {
-            /// The entry.
+            /// The changed entry.
             entry: EntryName,
-            /// The revision that it made.
+            /// The catalogue revision that the change created.
             revision: Revision,
         },
-        /// This daemon took a shard.
+        /// This daemon acquired the lease of a shard.
         ShardTaken {
             /// The shard.
             shard: ShardId,
-            /// The epoch.
+            /// Epoch of the new ownership.
             epoch: Epoch,
         },
         /// This daemon has recovered a shard's ledger and serves it.
         ShardServing {
             /// The shard.
             shard: ShardId,
-            /// The epoch.
+            /// Epoch of the ownership.
             epoch: Epoch,
         },
         /// This daemon released a shard.
@@ -58,22 +58,22 @@
             /// The shard.
             shard: ShardId,
         },
-        /// A lease that this daemon holds has run out; nothing is started under it.
+        /// A shard's lease that this daemon held has lapsed; it starts no tasks under it.
         LeaseLapsed {
             /// The shard.
             shard: ShardId,
         },
-        /// A lease that had run out is renewed; nobody had taken the shard.
+        /// A lapsed lease was renewed; no other daemon had taken the shard.
         LeaseRegained {
             /// The shard.
             shard: ShardId,
         },
-        /// Another daemon is not heard of.
+        /// Another daemon no longer shows signs of life.
         DaemonSilent {
             /// The other daemon.
             daemon: DaemonId,
         },
-        /// Another daemon is heard of again.
+        /// Another daemon shows signs of life again.
         DaemonHeard {
             /// The other daemon.
             daemon: DaemonId,
@@ -87,7 +87,7 @@
         WorkerClaimed {
             /// The worker.
             worker: WorkerId,
-            /// The epoch.
+            /// Epoch of the ownership.
             epoch: Epoch,
         },
         /// A worker no longer answers this owner.
@@ -95,31 +95,31 @@
             /// The worker.
             worker: WorkerId,
         },
-        /// A worker gets no new work for a time.
+        /// A worker was ejected: it gets no new work for a time.
         WorkerSetAside {
             /// The worker.
             worker: WorkerId,
-            /// Why.
+            /// Reason for the ejection, as text.
             reason: String,
         },
         /// The platform stopped answering.
         PlatformAway {},
         /// The platform answers again.
         PlatformBack {},
-        /// A job is durable.
+        /// A job's acceptance is durable.
         JobAccepted {
             /// The job.
             job: JobId,
-            /// Its entry.
+            /// The job's catalogue entry.
             entry: EntryName,
         },
-        /// A job's place is durable and its start is under way.
+        /// A job's placement is durable and its start is in flight.
         TaskPlaced {
             /// The job.
             job: JobId,
             /// The worker.
             worker: WorkerId,
-            /// The attempt.
+            /// Number of the attempt to run the job.
             attempt: Attempt,
         },
         /// A worker runs the task.
@@ -129,71 +129,71 @@
             /// The worker.
             worker: WorkerId,
         },
-        /// A task lost its place.
+        /// A task was evicted from its worker.
         TaskEvicted {
             /// The job.
             job: JobId,
             /// The worker.
             worker: WorkerId,
-            /// Why.
+            /// Reason for the eviction, as text.
             reason: String,
         },
-        /// A task's speed was set.
+        /// A task's CPU limit was set.
         TaskThrottled {
             /// The job.
             job: JobId,
             /// The worker.
             worker: WorkerId,
-            /// Its speed, in thousandths of full speed.
+            /// The limit, in thousandths of full speed.
             permille: u32,
         },
-        /// A job is over.
+        /// A job ended.
         JobEnded {
             /// The job.
             job: JobId,
-            /// How.
+            /// How it ended, as text.
             end: String,
         },
         /// A request was refused.
         RequestRefused {
-            /// The entry as the caller named it.
+            /// The entry as named by the caller, which need not exist.
             entry: String,
-            /// Why.
+            /// Reason for the refusal, as text.
             reason: String,
         },
-        /// A request's end is not known.
+        /// The outcome of a request is unknown.
         RequestUnknown {
             /// The request.
             request: RequestId,
-            /// Why.
+            /// Why the outcome is unknown, as text.
             reason: String,
         },
     }
 
-    /// An event with its place in the order.
+    /// An event with its stamp and the daemon that recorded it.
     pub struct Record {
-        /// Its stamp.
+        /// Position in the causal order.
         pub stamp: Stamp,
-        /// The daemon that saw it.
+        /// The daemon that recorded the event.
         pub daemon: DaemonId,
         /// What happened.
         pub what: Happening,
     }
 }
 
-/// Which events are wanted; what is absent matches every event.
+/// Selects events; a field that is `None` matches every event.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Filter {
     /// Events of this job only.
     pub job: Option<JobId>,
     /// Events of this worker only.
     pub worker: Option<WorkerId>,
-    /// Events at or after this hybrid time only.
+    /// Events at or after this hybrid time only, in the 64-bit NTP format.
     pub since: Option<u64>,
 }
 
 impl Filter {
-    /// Whether an event is wanted.
+    /// Whether an event passes all conditions of the filter.
     pub fn matches(&self, record: &Record) -> bool {
         let job = self.job.as_ref();
         let worker = self.worker.as_ref();
@@ -204,7 +204,7 @@
 }
 
 impl Happening {
-    /// The job that the event is about.
+    /// The job that the event concerns, if any.
     pub fn job(&self) -> Option<&JobId> {
         match self {
             Self::JobAccepted { job, .. }
@@ -217,7 +217,7 @@
         }
     }
 
-    /// The worker that the event is about.
+    /// The worker that the event concerns, if any.
     pub fn worker(&self) -> Option<&WorkerId> {
         match self {
             Self::WorkerClaimed { worker, .. }
@@ -231,7 +231,7 @@
         }
     }
 
-    /// The catalogue entry that the event names.
+    /// The catalogue entry that the event names, if any.
     pub fn entry(&self) -> Option<&str> {
         match self {
             Self::ChangeAccepted { entry, .. } | Self::JobAccepted { entry, .. } => {
@@ -245,7 +245,7 @@
 
 impl fmt::Display for Stamp {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        // Milliseconds: the hybrid clock's lower bits are a counter, no time.
+        // Cut to milliseconds: the low bits of the hybrid time are a logical counter.
         let text = NTP64(self.time).to_string_rfc3339_lossy();
         let shown = text.get(..MILLISECOND_LEN).unwrap_or(&text);
         write!(f, "{shown}Z")
--- a/src/lapisdrum/timeline/mod.rs
+++ b/src/lapisdrum/timeline/mod.rs
@@ -1,8 +1,8 @@
-//! The time line: what happened in a daemon, in an order that holds over all processes.
+//! The time line: events of all daemons in causal order.
 //!
-//! Each daemon keeps a bounded ring of typed events under a hybrid logical clock. Peer calls carry
-//! stamps both ways, so an effect never sorts before its cause, also where the hosts' clocks are
-//! minutes apart.
+//! Each daemon keeps a bounded ring buffer of typed events, stamped by a hybrid logical clock. Calls
+//! between daemons carry stamps both ways, so an effect never sorts before its cause even if the
+//! hosts' clocks differ by minutes.
 
 pub mod event;
 pub mod ring;
--- a/src/lapisdrum/timeline/ring.rs
+++ b/src/lapisdrum/timeline/ring.rs
@@ -1,15 +1,15 @@
-//! The bounded ring of one daemon's events and its hybrid logical clock.
+//! The ring buffer of one daemon's events and its hybrid logical clock.
 
 use super::event::{Happening, Record, Stamp};
 use crate::core::id::{DaemonId, Incarnation};
 use std::{cell::RefCell, collections::VecDeque, time::Duration};
 use uhlc::{HLC, HLCBuilder, ID, NTP64, Timestamp};
 
-/// Greatest lead of another clock that is still taken over. Refusing a stamp would let an effect
-/// sort before its cause, so only absurd ones are refused.
+/// Stamps further ahead of this clock than this are refused. The limit is large because the events
+/// that follow a refused stamp can sort before their causes.
 const MAX_CLOCK_LEAD: Duration = Duration::from_secs(24 * 3_600);
 
-/// One daemon's part of the time line.
+/// Events of one daemon, to be merged with those of others by stamp.
 pub struct Timeline {
     daemon: DaemonId,
     clock: HLC,
@@ -25,12 +25,12 @@
 }
 
 impl Timeline {
-    /// An empty time line that keeps the last `capacity` events, by the host's clock.
+    /// Creates an empty time line that keeps the last `capacity` events and reads the host's clock.
     pub fn new(daemon: &DaemonId, incarnation: Incarnation, capacity: usize) -> Self {
         Self::with_clock(daemon, incarnation, capacity, uhlc::system_time_clock)
     }
 
-    /// One that reads another clock, such as one that runs ahead.
+    /// Like [`Timeline::new`], but reads `clock` instead of the host's clock.
     pub fn with_clock(
         daemon: &DaemonId,
         incarnation: Incarnation,
@@ -53,16 +53,16 @@
         }
     }
 
-    /// Records an event under a new stamp.
+    /// Records an event with a new stamp and returns the stamp.
     pub fn record(&self, what: Happening) -> Stamp {
         let stamp = self.stamp();
         self.record_at(stamp, what);
         stamp
     }
 
-    /// Records an event under a stamp that was taken before the write that made it known to others.
-    /// The writer learns only afterwards that the write took effect; under a new stamp the event
-    /// would sort after what others did because of it.
+    /// Records an event with a stamp taken before the write that made the event visible to others.
+    /// The writer knows only after the write that it took effect. With a new stamp the event would
+    /// sort after the events that it caused at other daemons.
     pub fn record_at(&self, stamp: Stamp, what: Happening) {
         let mut ring = self.ring.borrow_mut();
         if ring.records.len() == self.capacity {
@@ -76,7 +76,7 @@
         });
     }
 
-    /// A stamp after all that this daemon has recorded or heard of.
+    /// Returns a stamp later than all stamps that this daemon has created or observed.
     pub fn stamp(&self) -> Stamp {
         let now = self.clock.new_timestamp();
         Stamp {
@@ -85,18 +85,18 @@
         }
     }
 
-    /// Takes a peer's stamp over: whatever is recorded from now on sorts after it.
+    /// Advances the clock past a peer's stamp, so that later events of this daemon sort after it.
     pub fn observe(&self, stamp: Stamp) {
         let Ok(id) = ID::try_from(u128::from(stamp.clock.max(1))) else {
             return;
         };
-        // An absurd lead is refused by the library; the peer's events then sort by their own time.
+        // The library refuses a stamp beyond `MAX_CLOCK_LEAD`; the clock then stays as it is.
         let _ = self
             .clock
             .update_with_timestamp(&Timestamp::new(NTP64(stamp.time), id));
     }
 
-    /// The events kept, oldest first, and how many fell out of the ring.
+    /// The events kept, oldest first, and the number of older ones that were dropped.
     pub fn read(&self) -> (Vec<Record>, u64) {
         let ring = self.ring.borrow();
         (ring.records.iter().cloned().collect(), ring.dropped)
