--- a/src/lapisdrum/settings/entries.rs
+++ b/src/lapisdrum/settings/entries.rs
@@ -1,8 +1,8 @@
-//! Reads a catalogue file and names every fault with its line and key.
+//! Reads a catalogue file and reports every fault with its line and key.
 //!
-//! serde stops at the first wrong key. Each key of an entry is therefore tried by itself in an entry
-//! that is otherwise good, which finds unknown keys and wrong types all at once without a second
-//! list of the keys; the good keys then go through the checks of [`Entry`].
+//! serde stops at the first wrong key. Each key of an entry is therefore deserialised separately, in
+//! an entry that is otherwise valid. This finds all unknown keys and wrong types without a second
+//! list of the keys. The valid keys then go through the checks of [`Entry`].
 
 use super::{
     lines::KeyLines,
@@ -12,10 +12,10 @@
 use indexmap::IndexSet;
 use toml::{Table, Value};
 
-/// Name of the array of tables that holds the entries.
+/// Key of the array of tables that holds the entries.
 const ENTRIES: &str = "entry";
 
-/// Reads a catalogue file's text; `file` is its name in messages.
+/// Parses the text of a catalogue file; `file` is its name in error messages.
 pub fn parse(file: &str, text: &str) -> Result<Vec<RawEntry>, Faults> {
     let document = text
         .parse::<Table>()
@@ -55,7 +55,7 @@
             };
             let raw = self.read_entry(&at, table);
             if !names.insert(raw.name.clone()) {
-                let what = format!("entry `{}` stands twice in this file", raw.name);
+                let what = format!("entry `{}` is defined twice in this file", raw.name);
                 self.fault(&format!("{at}.name"), what);
             }
             entries.push(raw);
@@ -102,7 +102,7 @@
     }
 }
 
-/// An entry with the keys that every entry must have.
+/// A valid entry that has only the required keys.
 fn good_entry() -> Table {
     let text = |text: &str| Value::String(text.to_owned());
     Table::from_iter([
--- a/src/lapisdrum/settings/lines.rs
+++ b/src/lapisdrum/settings/lines.rs
@@ -1,17 +1,17 @@
-//! Where each key of a TOML document stands, so that a fault can name its line.
+//! Line numbers of the keys of a TOML document, for error messages.
 
 use indexmap::IndexMap;
 use toml::de::{DeArray, DeTable, DeValue};
 
-/// Line numbers by dotted key, from 1. An element of an array of tables has its number in brackets,
-/// such as `entry[0].class`.
+/// Line numbers, from 1, by dotted key. An element of an array of tables has its index, from 0, in
+/// brackets, such as `entry[0].class`.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct KeyLines {
     lines: IndexMap<String, usize>,
 }
 
 impl KeyLines {
-    /// Notes the lines of every key of a document. One that is no TOML has none.
+    /// Collects the line of every key of a document; there are none if the text is not valid TOML.
     pub fn new(text: &str) -> Self {
         let mut lines = IndexMap::new();
         if let Ok(table) = DeTable::parse(text) {
@@ -20,7 +20,7 @@
         Self { lines }
     }
 
-    /// The line of a key, or of the nearest table around it that the document has.
+    /// The line of a key, or of the nearest enclosing table if the document lacks the key.
     pub fn line(&self, key: &str) -> Option<usize> {
         let mut key = key;
         loop {
@@ -57,7 +57,7 @@
     }
 }
 
-/// The line of a byte offset, from 1.
+/// The line, from 1, that contains a byte offset.
 pub fn line_at(text: &str, offset: usize) -> usize {
     let before = text.as_bytes().iter().take(offset);
     before.filter(|byte| **byte == b'\n').count() + 1
--- a/src/lapisdrum/settings/mod.rs
+++ b/src/lapisdrum/settings/mod.rs
@@ -1,7 +1,7 @@
-//! A daemon's settings: one TOML file, checked whole before anything starts.
+//! A daemon's settings, read from one TOML file and fully checked before anything starts.
 //!
-//! Every fault is reported at once with file, key and what is allowed, so that an operator mends a
-//! file in one go. docs/SETTINGS.md lists the keys.
+//! All faults are reported at once with file, line, key and allowed values, so that an operator can
+//! correct a file in one pass. docs/SETTINGS.md lists the keys.
 
 pub mod entries;
 pub mod lines;
@@ -18,138 +18,138 @@
 /// Checked settings of one daemon.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// The daemon itself.
+    /// Identity, addresses and shutdown of the daemon.
     pub daemon: DaemonSettings,
-    /// How to reach the platform.
+    /// Access to the platform.
     pub platform: PlatformSettings,
     /// Shards, leases and the ledger.
     pub shards: ShardSettings,
-    /// The catalogue's follower.
+    /// Polling of the catalogue.
     pub catalogue: CatalogueSettings,
-    /// The request path.
+    /// Forwarding of requests to workers and daemons.
     pub requests: RequestSettings,
-    /// Logs.
+    /// Level and format of the log.
     pub log: LogSettings,
-    /// Events kept for the time line.
+    /// Maximum number of events kept for the time line.
     pub timeline_capacity: usize,
 }
 
-/// The daemon itself.
+/// Identity, addresses and shutdown of the daemon.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DaemonSettings {
-    /// Its name.
+    /// Name, unique over all data centres.
     pub name: DaemonId,
-    /// Its data centre.
+    /// Data centre, as in the platform's list of hosts.
     pub data_centre: DataCentre,
-    /// Where callers and operators reach it.
+    /// HTTP address for callers and operators.
     pub callers: SocketAddr,
-    /// Where other daemons reach it.
+    /// Address for other daemons, which also identifies the daemon's host.
     pub peers: SocketAddr,
-    /// Peers' addresses to ask first while the table is away.
+    /// Peer addresses of other daemons to contact about the catalogue, besides the known members.
     pub ask_first: Vec<SocketAddr>,
-    /// Longest time that a graceful end waits for what is in flight.
+    /// Maximum time that a graceful shutdown waits for requests in flight.
     pub drain: Duration,
 }
 
-/// How to reach the platform.
+/// Access to the platform.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PlatformSettings {
-    /// Its address.
+    /// Address of the platform's service.
     pub address: SocketAddr,
-    /// Time for a call.
+    /// Timeout of one call.
     pub timeout: Duration,
-    /// Time between two reads of the membership list and of the peers' presence.
+    /// Interval between reads of the membership list and of the peers' presence.
     pub poll: Duration,
 }
 
 /// Shards, leases and the ledger.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ShardSettings {
-    /// Shards into which this data centre's racks are divided.
+    /// Number of shards into which the data centre's racks are divided.
     pub count: u32,
-    /// Lease figures.
+    /// Duration of a shard's lease and clock drift to allow for.
     pub terms: LeaseTerms,
-    /// Time between two renewals of shards.
+    /// Interval between renewals of a shard's lease.
     pub renew: Duration,
-    /// Life of a task's lease.
+    /// Time after its last renewal at which a task's lease ends.
     pub task_lease: Duration,
-    /// Time between two renewals of tasks.
+    /// Interval between polls of a worker, which renew the leases of its tasks.
     pub task_renew: Duration,
-    /// Time for a command to a worker.
+    /// Timeout of a command to a worker.
     pub command_timeout: Duration,
-    /// Time that an urgent event waits for company before it is written.
+    /// Time that an urgent event waits to be batched with others before it is written.
     pub linger_urgent: Duration,
-    /// Time that any other event waits.
+    /// Time that any other event waits to be batched.
     pub linger_batch: Duration,
-    /// Least time between two rows of one ledger: bounds a shard's writes under any load.
+    /// Minimum time between two rows of one ledger; bounds a shard's write rate under any load.
     pub write_spacing: Duration,
-    /// Most events in one row of a ledger.
+    /// Maximum number of events in one row of a ledger.
     pub row_events: usize,
-    /// Time between two readings of a worker's measured use.
+    /// Interval between reads of a worker's measured resource usage.
     pub usage: Duration,
-    /// Least time between two checkpoints of one running task in the ledger.
+    /// Minimum time between two checkpoints of one running task in the ledger.
     pub checkpoint: Duration,
     /// Time for which ended jobs are kept.
     pub retention: Duration,
-    /// Most ended jobs that are kept.
+    /// Maximum number of ended jobs that are kept.
     pub retained: usize,
     /// Time for which a long-running task stays on a host that is leaving.
     pub leaving_grace: Duration,
-    /// Batches after which a snapshot is taken.
+    /// Number of ledger rows after which a snapshot is taken.
     pub snapshot_batches: u64,
-    /// Hundredths of each worker that are kept for requests.
+    /// Share of each worker's capacity that is reserved for requests, in percent.
     pub request_share_percent: u32,
 }
 
-/// The catalogue's follower.
+/// Polling of the catalogue.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CatalogueSettings {
-    /// Time between two reads of the revision.
+    /// Interval between reads of the catalogue's revision.
     pub poll: Duration,
 }
 
-/// The request path.
+/// Forwarding of requests to workers and daemons.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RequestSettings {
     /// Largest body of any request, in bytes.
     pub max_body_bytes: u64,
-    /// Connections to one worker.
+    /// Maximum number of connections to one worker.
     pub connections: u32,
-    /// Time for a call to a peer.
+    /// Timeout of a call to another daemon.
     pub peer_timeout: Duration,
-    /// Time between two exchanges about floors.
+    /// Interval between exchanges of request floors (guaranteed capacity) with the shards' owners.
     pub grant_poll: Duration,
-    /// How long the outcome of a request whose caller brought an id is kept for repeats.
+    /// Time for which the outcome of a request with a caller's id is kept to answer repeats.
     pub claim_retention: Duration,
 }
 
-/// Form of log lines.
+/// Format of log lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LogFormat {
-    /// For people.
+    /// Plain text, for people.
     Text,
-    /// For machines.
+    /// One JSON object per line, for log collectors.
     Json,
 }
 
-/// Logs.
+/// Level and format of the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LogSettings {
-    /// The least severe level that is written.
+    /// Least severe level that is written.
     pub level: log::LevelFilter,
-    /// Form of the lines.
+    /// Format of the lines.
     pub format: LogFormat,
 }
 
 impl Settings {
-    /// Reads and checks a file.
+    /// Reads and checks a settings file.
     pub fn load(path: &Path) -> Result<Self, Faults> {
         let file = path.display().to_string();
         let text = fs::read_to_string(path).map_err(|e| Faults::whole_file(&file, e))?;
         Self::parse(&file, &text)
     }
 
-    /// Checks a file's text; `file` is its name in messages.
+    /// Parses and checks the text of a settings file; `file` is its name in error messages.
     pub fn parse(file: &str, text: &str) -> Result<Self, Faults> {
         let mut reader = Reader::new(file, text)?;
         let settings = Self::read(&mut reader);
@@ -215,8 +215,8 @@
     })
 }
 
-/// Other daemons are told both addresses and go by them, so they must lead here from elsewhere, and
-/// one can't serve both protocols.
+/// Both addresses are published to other daemons, so they must be reachable from other hosts. They
+/// must differ because one port can't serve both protocols.
 fn check_addresses(r: &mut Reader, callers: Option<SocketAddr>, peers: Option<SocketAddr>) {
     for (key, address) in [("daemon.callers", callers), ("daemon.peers", peers)] {
         if address.is_some_and(|address| address.ip().is_unspecified() || address.port() == 0) {
@@ -284,7 +284,8 @@
     }
 }
 
-/// A renewal that hangs for as long as the lease lasts would lose it at the first lost packet.
+/// Checks that a renewal that times out leaves part of the lease for a retry. Otherwise one lost
+/// packet would cost the lease.
 fn check_timeout(r: &mut Reader, platform: Option<&PlatformSettings>, shards: &ShardSettings) {
     let left = shards.terms.lease.saturating_sub(shards.renew);
     if platform.is_some_and(|platform| platform.timeout > left) {
@@ -305,12 +306,11 @@
     }
 }
 
-/// A count of things in memory.
 fn count(value: u64) -> usize {
     usize::try_from(value).unwrap_or(usize::MAX)
 }
 
-/// Narrows a value whose range was checked to lie far below the limit.
+/// Narrows a value that the table of settings limits to far less than `u32::MAX`.
 fn small(value: u64) -> u32 {
     u32::try_from(value).unwrap_or(u32::MAX)
 }
--- a/src/lapisdrum/settings/reader.rs
+++ b/src/lapisdrum/settings/reader.rs
@@ -1,6 +1,7 @@
-//! Reads typed values out of a TOML document and collects every fault on the way.
+//! Reads typed values out of a TOML document and collects all faults.
 //!
-//! serde stops at the first wrong key, and an operator would mend a file one fault a try.
+//! serde stops at the first wrong key, so an operator would have to correct a file one fault at a
+//! time.
 
 use super::{
     lines::{KeyLines, line_at},
@@ -10,28 +11,28 @@
 use std::{fmt, net::SocketAddr, time::Duration};
 use toml::{Table, Value};
 
-/// One thing that is wrong with a file.
+/// One error in a file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Fault {
-    /// The line of the key or of its table; none when neither is in the file.
+    /// The line of the key or of its table, from 1; `None` if neither is in the file.
     pub line: Option<usize>,
-    /// The key, with its tables; empty for the whole file.
+    /// The dotted key; empty if the fault concerns the whole file.
     pub key: String,
-    /// What is wrong and what is allowed.
+    /// Error message, which includes the allowed values.
     pub what: String,
 }
 
-/// Everything that is wrong with a file.
+/// All errors in a file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Faults {
-    /// The file's name.
+    /// The file's name, as shown in messages.
     pub file: String,
-    /// The faults, in the order found.
+    /// The faults, ordered by line; those without a line come last.
     pub faults: Vec<Fault>,
 }
 
 impl Faults {
-    /// Faults of a file, by line.
+    /// Sorts the faults of a file by line.
     pub fn new(file: &str, mut faults: Vec<Fault>) -> Self {
         faults.sort_by_key(|fault| fault.line.unwrap_or(usize::MAX));
         Self {
@@ -40,7 +41,7 @@
         }
     }
 
-    /// A file that is no TOML: nothing else can be said about it.
+    /// The only fault of a file that is not valid TOML; its keys can't be checked.
     pub fn not_toml(file: &str, text: &str, e: &toml::de::Error) -> Self {
         let offset = e.span().map(|span| span.start);
         let fault = Fault {
@@ -51,7 +52,7 @@
         Self::new(file, vec![fault])
     }
 
-    /// One fault that concerns the whole file.
+    /// A single fault that concerns the whole file.
     pub fn whole_file(file: &str, what: impl fmt::Display) -> Self {
         let fault = Fault {
             line: None,
@@ -83,7 +84,7 @@
 
 impl std::error::Error for Faults {}
 
-/// A document of which values are taken one by one; what is left at the end is unknown.
+/// Takes values out of a document one by one. Keys left at the end are reported as unknown.
 pub struct Reader {
     file: String,
     table: Table,
@@ -92,7 +93,7 @@
 }
 
 impl Reader {
-    /// Parses a document.
+    /// Parses a document; `file` is its name in error messages.
     pub fn new(file: &str, text: &str) -> Result<Self, Faults> {
         let table = text
             .parse::<Table>()
@@ -105,7 +106,7 @@
         })
     }
 
-    /// Notes a fault of `key`.
+    /// Records a fault of `key`.
     pub fn fault(&mut self, key: &str, what: impl fmt::Display) {
         self.faults.push(Fault {
             line: self.lines.line(key),
@@ -114,7 +115,7 @@
         });
     }
 
-    /// All faults, unknown keys among them; none when the file is good.
+    /// Returns all faults, including unknown keys; `None` if the file is valid.
     pub fn finish(mut self) -> Option<Faults> {
         let mut unknown = Vec::new();
         for (section, value) in &self.table {
@@ -131,7 +132,8 @@
         (!self.faults.is_empty()).then(|| Faults::new(&self.file, self.faults))
     }
 
-    /// A whole number within the range that the table of settings gives.
+    /// Takes a whole number. Returns the default if the key is absent, or if the value is not in the
+    /// range of the table of settings, which is recorded as a fault.
     pub fn integer(&mut self, key: &str) -> u64 {
         let Kind::Number {
             default,
@@ -158,12 +160,12 @@
         }
     }
 
-    /// A span in whole milliseconds within the range that the table of settings gives.
+    /// Takes a duration in whole milliseconds; otherwise like [`Reader::integer`].
     pub fn duration(&mut self, key: &str) -> Duration {
         Duration::from_millis(self.integer(key))
     }
 
-    /// One of the words that the table of settings gives.
+    /// Takes one of the words of the table of settings; otherwise like [`Reader::integer`].
     pub fn word(&mut self, key: &str) -> &'static str {
         let Kind::Word { default, words } = Setting::named(key).kind else {
             unreachable!("`{key}` is not a word in the table of settings");
@@ -179,7 +181,7 @@
         default
     }
 
-    /// A name that must be there.
+    /// Takes a required name; `None` after a fault.
     pub fn required_name<T>(&mut self, key: &str) -> Option<T>
     where
         T: TryFrom<String, Error = InvalidName>,
@@ -188,13 +190,13 @@
         T::try_from(text).map_err(|e| self.fault(key, e)).ok()
     }
 
-    /// An address that must be there.
+    /// Takes a required address; `None` after a fault.
     pub fn required_address(&mut self, key: &str) -> Option<SocketAddr> {
         let text = self.required_text(key)?;
         self.address(key, &text)
     }
 
-    /// A list of addresses; empty when absent.
+    /// Takes a list of addresses, which is empty if the key is absent.
     pub fn addresses(&mut self, key: &str) -> Vec<SocketAddr> {
         let Some(value) = self.take(key) else {
             return Vec::new();
--- a/src/lapisdrum/settings/table.rs
+++ b/src/lapisdrum/settings/table.rs
@@ -1,13 +1,12 @@
-//! Every setting with its unit, default, range and meaning: the one table that the reader and
-//! docs/SETTINGS.md both follow.
+//! The table of settings: unit, default, range and meaning of each.
 //!
-//! A range in the code and another on the page would send an operator in circles. The reader takes
-//! defaults and ranges from here, and a test holds the page against [`markdown`].
+//! The reader takes defaults and ranges from this table, and a test compares docs/SETTINGS.md with
+//! [`markdown`], so the page can't differ from the code.
 
 use crate::core::catalogue::{DEFAULT_BODY_BYTES, MAX_BODY_BYTES};
 use std::fmt::Write;
 
-/// What a setting may hold.
+/// Type, default and range of a setting.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
     /// A name; required.
@@ -18,32 +17,32 @@
     Addresses,
     /// A whole number.
     Number {
-        /// What it counts.
+        /// Unit, as shown on the page.
         unit: &'static str,
-        /// Its value when absent.
+        /// Value if the key is absent.
         default: u64,
-        /// Least value.
+        /// Minimum value.
         least: u64,
-        /// Greatest value.
+        /// Maximum value.
         most: u64,
     },
     /// One of a closed set of words.
     Word {
-        /// Its value when absent.
+        /// Value if the key is absent.
         default: &'static str,
-        /// The words.
+        /// The allowed words.
         words: &'static [&'static str],
     },
 }
 
-/// One setting.
+/// A row of the table of settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Setting {
-    /// Its key: table, dot, name.
+    /// Dotted key, such as `log.level`.
     pub key: &'static str,
-    /// What it may hold.
+    /// Type, default and range.
     pub kind: Kind,
-    /// What it does, in a phrase.
+    /// Description for the page, one phrase.
     pub about: &'static str,
 }
 
@@ -64,7 +63,7 @@
     number("ms", default, least, most)
 }
 
-/// All settings, in the order of the page.
+/// All settings, in the order of docs/SETTINGS.md.
 pub const SETTINGS: &[Setting] = &[
     of(
         "daemon.name",
@@ -255,14 +254,14 @@
     ///
     /// # Panics
     ///
-    /// If the table has none: the reader asks only for keys that are in the table, and every start
-    /// of a daemon asks for all of them.
+    /// If the table has no such key. This is a programming error that shows at the first start, since
+    /// every start of a daemon reads all settings.
     pub fn named(key: &str) -> &'static Self {
         let found = SETTINGS.iter().find(|setting| setting.key == key);
         found.unwrap_or_else(|| panic!("`{key}` is not in the table of settings"))
     }
 
-    /// Unit, default and allowed values, as the page shows them.
+    /// Unit, default and allowed values, as shown on the page.
     fn columns(&self) -> (String, String, String) {
         let required = || "required".to_owned();
         match self.kind {
@@ -299,14 +298,14 @@
     }
 }
 
-/// The page's table of settings.
+/// Renders the table of docs/SETTINGS.md.
 pub fn markdown() -> String {
     let mut page = String::from("| key | unit | default | allowed | what it does |\n");
     page.push_str("|---|---|---|---|---|\n");
     for setting in SETTINGS {
         let (unit, default, allowed) = setting.columns();
         let (key, about) = (setting.key, setting.about);
-        // Writing to a string does not fail.
+        // Writing to a string can't fail.
         let _ = writeln!(
             page,
             "| `{key}` | {unit} | {default} | {allowed} | {about} |"
--- a/tests/testsuite/settings/faults.rs
+++ b/tests/testsuite/settings/faults.rs
@@ -136,7 +136,7 @@
             (6, "entry[0].memory_mb", "invalid type"),
             (7, "entry[0].deadline", "unknown field"),
             (9, "entry[1].millicores", "is missing"),
-            (10, "entry[1].name", "stands twice"),
+            (10, "entry[1].name", "is defined twice"),
             (11, "entry[1].owner", "1 to 96 characters"),
         ],
     );
