--- a/src/lapisdrum/lib.rs
+++ b/src/lapisdrum/lib.rs
@@ -1,10 +1,11 @@
-//! The scheduler's library: everything that the `lapisdrum` binary does.
+//! The scheduler's library, which implements everything but the command line of the `lapisdrum`
+//! binary.
 //!
-//! Modules are layered. [`core`] holds checked types, [`policy`] the decisions under load and
-//! [`state`] the transitions of what must last; none of the three performs I/O or reads a clock.
-//! [`daemon`] drives them. [`store`], [`worker`], [`peer`] and [`api`] are the edges, each with
-//! wire types of its own, so that a second wire form touches nothing behind it. [`ops`] is what the
-//! command line calls; [`attribution`] reads log lines back.
+//! Modules are layered. [`core`] holds validated types, [`policy`] the scheduling decisions and
+//! [`state`] the transitions of durable state; none of the three performs I/O or reads a clock.
+//! [`daemon`] drives them. [`store`], [`worker`], [`peer`] and [`api`] are the edges. Each has its
+//! own wire types, so that another wire format changes nothing behind it. [`ops`] implements the
+//! commands of the command line, and [`attribution`] analyses log lines.
 
 #[macro_use]
 mod macros;
--- a/src/lapisdrum/macros.rs
+++ b/src/lapisdrum/macros.rs
@@ -1,6 +1,6 @@
-//! Derive sets that recur, as macros, so that a type's head shows only what is particular to it.
+//! Macros for recurring sets of derives, so that a type lists only its additional ones.
 
-/// Derives the common set of a plain value: cloned, compared, printed and serialised.
+/// Derives the traits of a plain value type: clone, comparison, debug output and serialisation.
 macro_rules! data {
     ($($item:item)*) => {
         $(
@@ -10,7 +10,7 @@
     };
 }
 
-/// Derives the common set of a small `Copy` value that is also ordered and hashed.
+/// Derives the traits of a small `Copy` type, which is also ordered and hashed.
 macro_rules! scalar {
     ($($item:item)*) => {
         $(
@@ -23,7 +23,7 @@
     };
 }
 
-/// Declares checked names: a string of 1 to 96 characters out of `a-z`, `0-9`, `.`, `_` and `-`.
+/// Declares types of validated names: 1 to 96 characters out of `a-z`, `0-9`, `.`, `_` and `-`.
 macro_rules! name_type {
     ($($(#[$doc:meta])* $name:ident)*) => {
         $(
@@ -36,7 +36,7 @@
             pub struct $name(std::sync::Arc<str>);
 
             impl $name {
-                /// The name as text.
+                /// The name as a string slice.
                 pub fn as_str(&self) -> &str {
                     &self.0
                 }
--- a/src/lapisdrum/util/backoff.rs
+++ b/src/lapisdrum/util/backoff.rs
@@ -1,13 +1,13 @@
-//! Waiting between tries: doubled each time up to a cap, spread at random.
+//! Exponential backoff with jitter.
 //!
-//! Load pattern: many daemons lose the platform at the same moment. Without the spread they all
-//! return at the same moment too, and a table that has just come back meets its worst burst first.
-//! A wait drawn evenly between half and all of the doubled step keeps them apart.
+//! When the platform becomes unavailable, many daemons lose it at the same time. Without jitter they
+//! would also retry at the same time, and the platform's table would get its largest burst just after
+//! its recovery. Each wait is drawn uniformly from between half of the step and the full step.
 
 use rand::Rng;
 use std::time::Duration;
 
-/// Doubling waits with a cap.
+/// Produces waits whose step doubles up to a cap.
 #[derive(Clone, Debug)]
 pub struct Backoff {
     first: Duration,
@@ -16,7 +16,7 @@
 }
 
 impl Backoff {
-    /// Waits that begin near `first` and end near `cap`.
+    /// Starts with a step of `first` and doubles it up to `cap`.
     pub fn new(first: Duration, cap: Duration) -> Self {
         Self {
             first,
@@ -25,14 +25,14 @@
         }
     }
 
-    /// The next wait.
+    /// Returns the time to wait before the next attempt, and doubles the step.
     pub fn next_wait(&mut self, rng: &mut impl Rng) -> Duration {
         let step = self.step;
         self.step = (step * 2).min(self.cap);
         step.mul_f64(rng.random_range(0.5..=1.0))
     }
 
-    /// Begins again after a success.
+    /// Sets the step back to the first one, after a success.
     pub fn reset(&mut self) {
         self.step = self.first;
     }
--- a/src/lapisdrum/util/error.rs
+++ b/src/lapisdrum/util/error.rs
@@ -1,8 +1,9 @@
-//! Turning failed outcomes into text for people.
+//! Formats errors for log lines and messages.
 
 use std::error::Error;
 
-/// The error and all of its causes on one line, the outermost first.
+/// Formats an error and all of its sources on one line, outermost first. Leaves out a source whose
+/// text already ends the line.
 pub fn chain(e: &(dyn Error + 'static)) -> String {
     let mut text = e.to_string();
     let mut cause = e.source();
--- a/src/lapisdrum/util/http.rs
+++ b/src/lapisdrum/util/http.rs
@@ -1,8 +1,8 @@
-//! Serving and asking over HTTP/1.1 with whole bodies, for every edge and for the stand-ins.
+//! HTTP/1.1 server with buffered bodies, used by the daemon's servers and by the stand-ins.
 //!
-//! The accept loop runs on the caller's own thread: a handler may hold `Rc` state without locks,
-//! and a test that pauses the runtime's clock pauses the server with it. Bodies are bounded; one
-//! beyond the bound is refused before it is held in memory.
+//! The accept loop runs on the caller's thread, so a handler can hold `Rc` state without locks, and a
+//! test that pauses the runtime's clock also pauses the server. The size of bodies is limited; a body
+//! beyond the limit is refused before it is buffered whole.
 
 use actix_http::{
     HttpService, Method, Request, Response, StatusCode,
@@ -26,43 +26,44 @@
 };
 use tokio::sync::watch;
 
-/// Time for a client to send its request's head.
+/// Timeout for a client to send the head of a request.
 const REQUEST_HEAD_TIMEOUT: Duration = Duration::from_secs(10);
-/// Time for connections to close after the last request in flight was answered. An idle keep-alive
-/// connection does not close by itself, and waiting for all of them would never end.
+/// Maximum time to wait for connections to close after the last request in flight is answered. It is
+/// limited because idle keep-alive connections don't close by themselves.
 const CLOSE_GRACE: Duration = Duration::from_millis(500);
-/// Time for which a body that was answered before its end is read on and thrown away. Without it the
-/// connection is closed at once, and a client that is still sending gets a reset in place of the answer.
+/// Time for which the rest of a request body is read and discarded after an early response. Without
+/// it the connection closes at once, and a client that is still sending gets a reset instead of the
+/// response.
 const LINGER: Duration = Duration::from_secs(2);
-/// Time between two looks at what is still open.
+/// Interval between checks for open requests and connections, and delay after a failed accept.
 const CLOSE_POLL: Duration = Duration::from_millis(5);
-/// Time for which an idle connection is kept.
+/// Time after which an idle connection is closed.
 const KEEP_ALIVE: Duration = Duration::from_secs(75);
 
-/// A request with its body read whole.
+/// A request with its complete body.
 #[derive(Debug)]
 pub struct HttpRequest {
-    /// The method.
+    /// The request method.
     pub method: Method,
     /// The path, without the query.
     pub path: String,
     /// The query, without the question mark; empty when there is none.
     pub query: String,
-    /// The headers.
+    /// Header names and values.
     pub headers: HeaderMap,
-    /// The body.
+    /// The complete body.
     pub body: Bytes,
-    /// The client's address.
+    /// The client's IP address, if known.
     pub peer: Option<IpAddr>,
 }
 
 impl HttpRequest {
-    /// A header's value, if it is there and is text.
+    /// A header's value; `None` if it is absent or not visible ASCII.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name)?.to_str().ok()
     }
 
-    /// A query parameter's value as written; names and percent signs are not decoded.
+    /// The value of a query parameter, without percent-decoding of names or values.
     pub fn query(&self, name: &str) -> Option<&str> {
         let pairs = self
             .query
@@ -73,36 +74,36 @@
             .find_map(|(key, value)| (key == name).then_some(value))
     }
 
-    /// The body read as JSON.
+    /// Parses the body as JSON.
     pub fn json<T: DeserializeOwned>(&self) -> Result<T, serde_json::Error> {
         serde_json::from_slice(&self.body)
     }
 }
 
-/// An answer with a whole body.
+/// A response with a complete body.
 #[derive(Clone, Debug)]
 pub struct HttpResponse {
-    /// The status.
+    /// Status code.
     pub status: StatusCode,
     /// Header names and values.
     pub headers: Vec<(&'static str, String)>,
-    /// The body.
+    /// The complete body.
     pub body: Bytes,
-    /// The length that is declared when it isn't the body's: the connection is closed after a body
-    /// that falls short of it. For stand-ins that cut their answers off.
+    /// `Content-Length` to declare if it is not the body's length. The connection is closed after a
+    /// shorter body. Stand-ins use it to truncate their responses.
     pub declared_len: Option<u64>,
-    /// Whether the connection is closed after it.
+    /// Whether the connection is closed after the response.
     pub closes: bool,
 }
 
 impl HttpResponse {
-    /// An answer with `body` as JSON.
+    /// A response with `body` as JSON.
     pub fn json(status: StatusCode, body: &impl Serialize) -> Self {
         let body = serde_json::to_vec(body).unwrap_or_default();
         Self::bytes(status, body.into()).with("content-type", "application/json")
     }
 
-    /// An answer with these bytes.
+    /// A response with `body` and no headers.
     pub fn bytes(status: StatusCode, body: Bytes) -> Self {
         Self {
             status,
@@ -113,7 +114,7 @@
         }
     }
 
-    /// An answer without a body.
+    /// A response without a body.
     pub fn empty(status: StatusCode) -> Self {
         Self::bytes(status, Bytes::new())
     }
@@ -125,14 +126,14 @@
         self
     }
 
-    /// Has the connection closed after the answer.
+    /// Closes the connection after the response.
     #[must_use]
     pub fn closing(mut self) -> Self {
         self.closes = true;
         self
     }
 
-    /// A header's value.
+    /// The value of the first header with this name.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers
             .iter()
@@ -141,20 +142,21 @@
     }
 }
 
-/// What a handler is given when the body could not be read whole.
+/// Why a request's body could not be read; passed to the handler instead of the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BodyFault {
-    /// The body is beyond the bound.
+    /// The body exceeds the limit.
     TooLarge {
-        /// The bound in bytes.
+        /// The limit in bytes.
         limit: usize,
     },
-    /// The client went away or broke off.
+    /// The connection failed before the end of the body.
     Incomplete,
 }
 
-/// Serves `handler` on `listener` until `stop` turns true; then accepts no more, lets requests in
-/// flight finish, and returns once the last of them is answered. Bodies are bounded by `body_limit`.
+/// Serves requests on `listener` until `stop` becomes true. Then accepts no more connections, lets
+/// requests in flight finish, and returns once connections are closed, at most `CLOSE_GRACE` after
+/// the last response. Limits bodies to `body_limit` bytes.
 pub async fn serve<H, F>(
     listener: TcpListener,
     body_limit: usize,
@@ -167,7 +169,7 @@
     serve_with(listener, move |_, _| body_limit, stop, handler).await;
 }
 
-/// Like [`serve`], with a bound on the body that is asked for by method and path, before any of the
+/// Like [`serve`], but `body_limit` gives the limit in bytes by method and path, before any of the
 /// body is read.
 pub async fn serve_with<L, H, F>(
     listener: TcpListener,
@@ -218,7 +220,7 @@
 ) where
     S: Service<TcpStream> + 'static,
 {
-    // The service itself holds one token.
+    // Clones of the token that are held even while no request is in flight.
     let idle_tokens = Rc::strong_count(in_flight);
     let open = Rc::new(());
     loop {
@@ -226,7 +228,7 @@
             accepted = listener.accept() => accepted,
             () = wait_true(stop.clone()) => break,
         };
-        // A failed accept (out of file handles, client gone) must not end the server.
+        // A failed accept (out of file descriptors, client disconnected) must not stop the server.
         let Ok((stream, _)) = accepted else {
             tokio::time::sleep(CLOSE_POLL).await;
             continue;
@@ -249,7 +251,7 @@
     let _ = tokio::time::timeout(CLOSE_GRACE, all_closed).await;
 }
 
-/// Completes once the watched value is true; never, if its sender goes away while it is false.
+/// Completes once the watched value is true. Never completes if the sender is dropped before.
 pub async fn wait_true(mut stop: watch::Receiver<bool>) {
     if stop.wait_for(|stopped| *stopped).await.is_err() {
         std::future::pending::<()>().await;
@@ -302,7 +304,8 @@
         .map_into_boxed_body()
 }
 
-/// A body that keeps its request counted as in flight until it has been handed to the socket.
+/// A response body that keeps its request counted as in flight until the server drops the body after
+/// sending it.
 struct InFlightBody {
     declared_len: u64,
     body: Bytes,
--- a/src/lapisdrum/util/mod.rs
+++ b/src/lapisdrum/util/mod.rs
@@ -1,4 +1,4 @@
-//! Helpers without a subject of their own.
+//! Helpers shared by all modules: backoff, error formatting and the HTTP server.
 
 pub mod backoff;
 pub mod error;
