--- a/src/lapisdrum/settings/entries.rs
+++ b/src/lapisdrum/settings/entries.rs
@@ -64,8 +64,8 @@
     }
 
     fn read_entry(&mut self, at: &str, table: &Table) -> RawEntry {
-        let base = good_entry();
-        let mut whole = base.clone();
+        let base = minimal_entry();
+        let mut complete = base.clone();
         for required in base.keys().filter(|key| !table.contains_key(*key)) {
             self.fault(&format!("{at}.{required}"), "is missing");
         }
@@ -74,7 +74,7 @@
             trial.insert(key.clone(), value.clone());
             match trial.try_into::<RawEntry>() {
                 Ok(_) => {
-                    whole.insert(key.clone(), value.clone());
+                    complete.insert(key.clone(), value.clone());
                 }
                 Err(e) => {
                     let what = e.message().lines().next().unwrap_or_default().to_owned();
@@ -82,7 +82,7 @@
                 }
             }
         }
-        let raw: RawEntry = whole
+        let raw: RawEntry = complete
             .try_into()
             .unwrap_or_else(|e| unreachable!("each key was tried: {e}"));
         if let Err(faults) = Entry::try_from(raw.clone()) {
@@ -103,7 +103,7 @@
 }
 
 /// A valid entry that has only the required keys.
-fn good_entry() -> Table {
+fn minimal_entry() -> Table {
     let text = |text: &str| Value::String(text.to_owned());
     Table::from_iter([
         ("name".to_owned(), text("name")),
--- a/src/lapisdrum/settings/mod.rs
+++ b/src/lapisdrum/settings/mod.rs
@@ -181,7 +181,7 @@
             catalogue,
             requests,
             log,
-            timeline_capacity: count(capacity),
+            timeline_capacity: to_usize(capacity),
         })
     }
 }
@@ -261,10 +261,10 @@
         );
     }
     ShardSettings {
-        count: small(r.integer("shards.count")),
+        count: to_u32(r.integer("shards.count")),
         terms: LeaseTerms {
             lease,
-            drift_permille: small(drift),
+            drift_permille: to_u32(drift),
         },
         renew,
         task_lease,
@@ -273,14 +273,14 @@
         linger_urgent: r.duration("shards.linger_urgent_ms"),
         linger_batch: r.duration("shards.linger_batch_ms"),
         write_spacing: r.duration("shards.write_spacing_ms"),
-        row_events: count(r.integer("shards.row_events")),
+        row_events: to_usize(r.integer("shards.row_events")),
         usage: r.duration("shards.usage_ms"),
         checkpoint: r.duration("shards.checkpoint_ms"),
         retention: r.duration("shards.retention_ms"),
-        retained: count(r.integer("shards.retained")),
+        retained: to_usize(r.integer("shards.retained")),
         leaving_grace: r.duration("shards.leaving_grace_ms"),
         snapshot_batches: r.integer("shards.snapshot_batches"),
-        request_share_percent: small(r.integer("shards.request_share_percent")),
+        request_share_percent: to_u32(r.integer("shards.request_share_percent")),
     }
 }
 
@@ -299,18 +299,18 @@
 fn read_requests(r: &mut Reader) -> RequestSettings {
     RequestSettings {
         max_body_bytes: r.integer("requests.max_body_bytes"),
-        connections: small(r.integer("requests.connections")),
+        connections: to_u32(r.integer("requests.connections")),
         peer_timeout: r.duration("requests.peer_timeout_ms"),
         grant_poll: r.duration("requests.grant_poll_ms"),
         claim_retention: r.duration("requests.claim_retention_ms"),
     }
 }
 
-fn count(value: u64) -> usize {
+fn to_usize(value: u64) -> usize {
     usize::try_from(value).unwrap_or(usize::MAX)
 }
 
 /// Narrows a value that the table of settings limits to far less than `u32::MAX`.
-fn small(value: u64) -> u32 {
+fn to_u32(value: u64) -> u32 {
     u32::try_from(value).unwrap_or(u32::MAX)
 }
--- a/src/lapisdrum/settings/reader.rs
+++ b/src/lapisdrum/settings/reader.rs
@@ -136,10 +136,7 @@
     /// range of the table of settings, which is recorded as a fault.
     pub fn integer(&mut self, key: &str) -> u64 {
         let Kind::Number {
-            default,
-            least,
-            most,
-            ..
+            default, min, max, ..
         } = Setting::named(key).kind
         else {
             unreachable!("`{key}` is not a number in the table of settings");
@@ -149,11 +146,11 @@
         };
         let number = value.as_integer().and_then(|n| u64::try_from(n).ok());
         match number {
-            Some(n) if (least..=most).contains(&n) => n,
+            Some(n) if (min..=max).contains(&n) => n,
             _ => {
                 self.fault(
                     key,
-                    format!("{value} is not a whole number from {least} to {most}"),
+                    format!("{value} is not a whole number from {min} to {max}"),
                 );
                 default
             }
--- a/src/lapisdrum/settings/table.rs
+++ b/src/lapisdrum/settings/table.rs
@@ -22,9 +22,9 @@
         /// Value if the key is absent.
         default: u64,
         /// Minimum value.
-        least: u64,
+        min: u64,
         /// Maximum value.
-        most: u64,
+        max: u64,
     },
     /// One of a closed set of words.
     Word {
@@ -46,187 +46,187 @@
     pub about: &'static str,
 }
 
-const fn of(key: &'static str, kind: Kind, about: &'static str) -> Setting {
+const fn setting(key: &'static str, kind: Kind, about: &'static str) -> Setting {
     Setting { key, kind, about }
 }
 
-const fn number(unit: &'static str, default: u64, least: u64, most: u64) -> Kind {
+const fn number(unit: &'static str, default: u64, min: u64, max: u64) -> Kind {
     Kind::Number {
         unit,
         default,
-        least,
-        most,
+        min,
+        max,
     }
 }
 
-const fn ms(default: u64, least: u64, most: u64) -> Kind {
-    number("ms", default, least, most)
+const fn ms(default: u64, min: u64, max: u64) -> Kind {
+    number("ms", default, min, max)
 }
 
 /// All settings, in the order of docs/SETTINGS.md.
 pub const SETTINGS: &[Setting] = &[
-    of(
+    setting(
         "daemon.name",
         Kind::Name,
         "the daemon's name, unique over all data centres",
     ),
-    of(
+    setting(
         "daemon.data_centre",
         Kind::Name,
         "its data centre, as in the platform's list of hosts",
     ),
-    of(
+    setting(
         "daemon.callers",
         Kind::Address,
         "where callers and operators reach it (HTTP)",
     ),
-    of(
+    setting(
         "daemon.peers",
         Kind::Address,
         "where other daemons reach it; tells its host from others",
     ),
-    of(
+    setting(
         "daemon.ask_first",
         Kind::Addresses,
         "`daemon.peers` of some others, asked at the start while the table is away",
     ),
-    of(
+    setting(
         "daemon.drain_ms",
         ms(30_000, 100, 3_600_000),
         "longest time that a graceful end waits for requests in flight",
     ),
-    of("platform.address", Kind::Address, "the platform's service"),
-    of(
+    setting("platform.address", Kind::Address, "the platform's service"),
+    setting(
         "platform.timeout_ms",
         ms(1_000, 10, 60_000),
         "time for one call to the platform; at most `shards.lease_ms` less `shards.renew_ms`",
     ),
-    of(
+    setting(
         "platform.poll_ms",
         ms(1_000, 10, 60_000),
         "time between two reads of the list of hosts",
     ),
-    of(
+    setting(
         "shards.count",
         number("shards", 1, 1, 64),
         "shards of the data centre; the same at all its daemons",
     ),
-    of(
+    setting(
         "shards.lease_ms",
         ms(4_000, 100, 600_000),
         "life of a shard's lease without renewal; the same at all its daemons",
     ),
-    of(
+    setting(
         "shards.drift_permille",
         number("thousandths", 10, 0, 200),
         "greatest difference in speed between two hosts' clocks",
     ),
-    of(
+    setting(
         "shards.renew_ms",
         ms(1_000, 10, 60_000),
         "time between two renewals; at most half of `shards.lease_ms`",
     ),
-    of(
+    setting(
         "shards.task_lease_ms",
         ms(15_000, 100, 600_000),
         "life of a task's lease without renewal",
     ),
-    of(
+    setting(
         "shards.task_renew_ms",
         ms(3_000, 10, 60_000),
         "time between two visits of a worker; at most half of `shards.task_lease_ms`",
     ),
-    of(
+    setting(
         "shards.command_timeout_ms",
         ms(1_000, 10, 60_000),
         "time for one command to a worker",
     ),
-    of(
+    setting(
         "shards.linger_urgent_ms",
         ms(20, 0, 1_000),
         "time that an urgent event waits for others before its ledger row is written",
     ),
-    of(
+    setting(
         "shards.linger_batch_ms",
         ms(100, 0, 10_000),
         "time that any other event waits",
     ),
-    of(
+    setting(
         "shards.write_spacing_ms",
         ms(50, 0, 10_000),
         "least time between two rows of one ledger; bounds a shard's writes under any load",
     ),
-    of(
+    setting(
         "shards.row_events",
         number("events", 1_000, 1, 100_000),
         "most events in one row of a ledger",
     ),
-    of(
+    setting(
         "shards.usage_ms",
         ms(15_000, 100, 600_000),
         "time between two readings of a worker's measured use",
     ),
-    of(
+    setting(
         "shards.checkpoint_ms",
         ms(15_000, 0, 600_000),
         "least time between two checkpoints of one running task in the ledger",
     ),
-    of(
+    setting(
         "shards.retention_ms",
         ms(3_600_000, 0, 86_400_000),
         "time for which ended jobs are kept",
     ),
-    of(
+    setting(
         "shards.retained",
         number("jobs", 20_000, 1, 1_000_000),
         "most ended jobs that are kept; beyond it the oldest are forgotten early",
     ),
-    of(
+    setting(
         "shards.leaving_grace_ms",
         ms(30_000, 0, 3_600_000),
         "time for which a long-running task stays on a host that is leaving",
     ),
-    of(
+    setting(
         "shards.snapshot_batches",
         number("rows", 1_024, 1, 1_000_000),
         "ledger rows after which a snapshot is taken",
     ),
-    of(
+    setting(
         "shards.request_share_percent",
         number("%", 50, 0, 100),
         "part of each worker that is kept for requests",
     ),
-    of(
+    setting(
         "catalogue.poll_ms",
         ms(1_000, 10, 60_000),
         "time between two reads of the catalogue's revision",
     ),
-    of(
+    setting(
         "requests.max_body_bytes",
         number("bytes", DEFAULT_BODY_BYTES, 1_024, MAX_BODY_BYTES),
         "largest body of any request",
     ),
-    of(
+    setting(
         "requests.connections",
         number("connections", 16, 1, 10_000),
         "connections to one worker",
     ),
-    of(
+    setting(
         "requests.peer_timeout_ms",
         ms(1_000, 10, 60_000),
         "time for one call to another daemon",
     ),
-    of(
+    setting(
         "requests.grant_poll_ms",
         ms(1_000, 10, 60_000),
         "time between two exchanges about floors",
     ),
-    of(
+    setting(
         "requests.claim_retention_ms",
         ms(3_600_000, 1_000, 86_400_000),
         "time for which the outcome of a request whose caller brought an id is kept for repeats",
     ),
-    of(
+    setting(
         "log.level",
         Kind::Word {
             default: "info",
@@ -234,7 +234,7 @@
         },
         "least severe level that is written",
     ),
-    of(
+    setting(
         "log.format",
         Kind::Word {
             default: "text",
@@ -242,7 +242,7 @@
         },
         "form of the lines on standard error",
     ),
-    of(
+    setting(
         "timeline.capacity",
         number("events", 10_000, 100, 1_000_000),
         "events that the daemon keeps for the time line",
@@ -283,12 +283,12 @@
             Kind::Number {
                 unit,
                 default,
-                least,
-                most,
+                min,
+                max,
             } => (
                 unit.to_owned(),
                 default.to_string(),
-                format!("{least} to {most}"),
+                format!("{min} to {max}"),
             ),
             Kind::Word { default, words } => {
                 let quoted: Vec<String> = words.iter().map(|word| format!("`{word}`")).collect();
--- a/src/lapisdrum/util/http.rs
+++ b/src/lapisdrum/util/http.rs
@@ -286,19 +286,19 @@
     declared.to_str().ok()?.parse().ok()
 }
 
-fn to_actix(answer: HttpResponse, token: Rc<()>) -> Response<BoxBody> {
-    let mut builder = Response::build(answer.status);
-    for (name, value) in answer.headers {
+fn to_actix(response: HttpResponse, token: Rc<()>) -> Response<BoxBody> {
+    let mut builder = Response::build(response.status);
+    for (name, value) in response.headers {
         builder.insert_header((name, value));
     }
-    if answer.closes {
+    if response.closes {
         builder.force_close();
     }
-    let declared_len = answer.declared_len.unwrap_or(answer.body.len() as u64);
+    let declared_len = response.declared_len.unwrap_or(response.body.len() as u64);
     builder
         .body(InFlightBody {
             declared_len,
-            body: answer.body,
+            body: response.body,
             _token: token,
         })
         .map_into_boxed_body()
--- a/tests/testsuite/settings/faults.rs
+++ b/tests/testsuite/settings/faults.rs
@@ -183,14 +183,14 @@
         value in prop_oneof![0_u64..200, 0_u64..20_000, any::<u32>().prop_map(u64::from)],
     ) {
         let numbers: Vec<_> = SETTINGS.iter().filter_map(|setting| match setting.kind {
-            Kind::Number { least, most, .. } => Some((setting.key, least, most)),
+            Kind::Number { min, max, .. } => Some((setting.key, min, max)),
             _ => None,
         }).collect();
-        let (key, least, most) = numbers[which.index(numbers.len())];
+        let (key, min, max) = numbers[which.index(numbers.len())];
         let checked = Settings::parse("some.toml", &with_setting(key, value));
         let named = checked.err().map(|e| e.to_string()).unwrap_or_default();
-        let range = format!("`{key}`: {value} is not a whole number from {least} to {most}");
-        prop_assert_eq!(named.contains(&range), !(least..=most).contains(&value), "{}", named);
+        let range = format!("`{key}`: {value} is not a whole number from {min} to {max}");
+        prop_assert_eq!(named.contains(&range), !(min..=max).contains(&value), "{}", named);
     }
 
     /// No text makes the readers panic, and what they refuse they name.
