--- a/src/lapisdrum/attribution/path.rs
+++ b/src/lapisdrum/attribution/path.rs
@@ -130,7 +130,8 @@
     }
 }
 
-/// The task that determines the job's end: the last to complete, or the first incomplete one of an unfinished job.
+/// The task that determines the job's end: the last to complete, or the first incomplete one if the job did not
+/// complete.
 fn last_task(id: JobId, trace: &JobTrace, shape: &Shape) -> Option<TaskId> {
     let is_first = |(task, _): &(&TaskId, &Vec<RunSpan>)| task.occurrence == 0;
     let first_occurrence = trace.runs.iter().filter(is_first);
--- a/src/lapisdrum/attribution/trace.rs
+++ b/src/lapisdrum/attribution/trace.rs
@@ -78,7 +78,7 @@
     pub changes: Vec<(i64, Service)>,
     /// Fencing token of the latest owner.
     token: u64,
-    /// Time at which that owner last logged a start order, in Unix milliseconds.
+    /// Time of that owner's last logged start order, or of its take-over before the first, in Unix milliseconds.
     last_order_ms: i64,
 }
 
