--- a/src/lapisdrum/settings/entries.rs
+++ b/src/lapisdrum/settings/entries.rs
@@ -1,8 +1,8 @@
-//! Reads a catalogue file and names every fault with its line and key.
+//! Reads a catalogue file and reports every fault with its line and key.
 //!
-//! serde stops at the first wrong key. Each key of an entry is therefore tried by itself in an entry
-//! that is otherwise good, which finds unknown keys and wrong types all at once without a second
-//! list of the keys; the good keys then go through the checks of [`Entry`].
+//! serde stops at the first wrong key. Each key of an entry is therefore deserialised separately, in
+//! an entry that is otherwise valid. This finds all unknown keys and wrong types without a second
+//! list of the keys. The valid keys then go through the checks of [`Entry`].
 
 use super::{
     lines::KeyLines,
@@ -12,10 +12,10 @@
 use indexmap::IndexSet;
 use toml::{Table, Value};
 
-/// Name of the array of tables that holds the entries.
+/// Key of the array of tables that holds the entries.
 const ENTRIES: &str = "entry";
 
-/// Reads a catalogue file's text; `file` is its name in messages.
+/// Parses the text of a catalogue file; `file` is its name in error messages.
 pub fn parse(file: &str, text: &str) -> Result<Vec<RawEntry>, Faults> {
     let document = text
         .parse::<Table>()
@@ -55,7 +55,7 @@
             };
             let raw = self.read_entry(&at, table);
             if !names.insert(raw.name.clone()) {
-                let what = format!("entry `{}` stands twice in this file", raw.name);
+                let what = format!("entry `{}` is defined twice in this file", raw.name);
                 self.fault(&format!("{at}.name"), what);
             }
             entries.push(raw);
@@ -64,8 +64,8 @@
     }
 
     fn read_entry(&mut self, at: &str, table: &Table) -> RawEntry {
-        let base = good_entry();
-        let mut whole = base.clone();
+        let base = minimal_entry();
+        let mut complete = base.clone();
         for required in base.keys().filter(|key| !table.contains_key(*key)) {
             self.fault(&format!("{at}.{required}"), "is missing");
         }
@@ -74,7 +74,7 @@
             trial.insert(key.clone(), value.clone());
             match trial.try_into::<RawEntry>() {
                 Ok(_) => {
-                    whole.insert(key.clone(), value.clone());
+                    complete.insert(key.clone(), value.clone());
                 }
                 Err(e) => {
                     let what = e.message().lines().next().unwrap_or_default().to_owned();
@@ -82,7 +82,7 @@
                 }
             }
         }
-        let raw: RawEntry = whole
+        let raw: RawEntry = complete
             .try_into()
             .unwrap_or_else(|e| unreachable!("each key was tried: {e}"));
         if let Err(faults) = Entry::try_from(raw.clone()) {
@@ -102,8 +102,8 @@
     }
 }
 
-/// An entry with the keys that every entry must have.
-fn good_entry() -> Table {
+/// A valid entry that has only the required keys.
+fn minimal_entry() -> Table {
     let text = |text: &str| Value::String(text.to_owned());
     Table::from_iter([
         ("name".to_owned(), text("name")),
