--- a/src/bin/lapisdrum/cli.rs
+++ b/src/bin/lapisdrum/cli.rs
@@ -1,4 +1,4 @@
-//! The command line's definition, from which help, completions and the man pages are made.
+//! Definition of the command line, from which help, completions and man pages are generated.
 
 use crate::commands::{catalogue, check, completions, explain, jobs, man, run, status, timeline};
 use clap::{Args, Parser, Subcommand, ValueEnum};
@@ -44,14 +44,14 @@
     /// Read and change the catalogue.
     #[command(subcommand)]
     Catalogue(catalogue::CatalogueCommand),
-    /// Hand in, read and cancel jobs.
+    /// Submit, read and cancel jobs.
     #[command(subcommand)]
     Jobs(jobs::JobsCommand),
     /// Show daemons, shards, workers, the platform and the revision on each daemon.
     Status(status::StatusArgs),
     /// Show what happened, merged over all daemons.
     Timeline(timeline::TimelineArgs),
-    /// Tell from log lines where jobs' time went.
+    /// Show from log lines where jobs' time went.
     Explain(explain::ExplainArgs),
     /// Print shell completions.
     Completions(completions::CompletionsArgs),
@@ -87,7 +87,7 @@
 }
 
 impl WaitArgs {
-    /// The longest time; none when no wait was asked for.
+    /// Time limit of the wait; none without `--wait`.
     pub(crate) fn limit(&self) -> Option<Duration> {
         self.wait.map(Duration::from_secs)
     }
@@ -102,7 +102,7 @@
 }
 
 impl DaemonArgs {
-    /// A client of that daemon.
+    /// Creates a client of the daemon named by `--daemon`.
     pub(crate) fn client(&self) -> DaemonClient {
         ops::connect(&self.daemon.to_string())
     }
--- a/src/bin/lapisdrum/commands/catalogue.rs
+++ b/src/bin/lapisdrum/commands/catalogue.rs
@@ -1,4 +1,4 @@
-//! `lapisdrum catalogue`.
+//! Arguments of `lapisdrum catalogue`.
 
 use crate::cli::{DaemonArgs, WaitArgs};
 use clap::Subcommand;
@@ -13,7 +13,7 @@
 Entries that differ from the file are added or changed; entries that the file does not name stay as
 they are. With --wait the command ends once every daemon that answers has the change. A lost answer
 is repeated under the same change id, so a change is made at most once. Of two operators who change
-one entry at a time, one is told of the conflict and changes nothing.";
+the same entry at once, one gets a conflict and changes nothing.";
 
 const RETIRE_EXAMPLES: &str = "\
 Example:
@@ -70,7 +70,7 @@
     },
 }
 
-/// Runs one of them.
+/// Runs a `catalogue` subcommand and prints its result.
 pub(crate) async fn run(command: CatalogueCommand, output: Output) -> Result<(), Failure> {
     match command {
         CatalogueCommand::Apply {
--- a/src/bin/lapisdrum/commands/check.rs
+++ b/src/bin/lapisdrum/commands/check.rs
@@ -1,4 +1,4 @@
-//! `lapisdrum check`.
+//! Arguments of `lapisdrum check`.
 
 use clap::Args;
 use lapisdrum::ops::{self, Failure, output::Output};
@@ -20,7 +20,7 @@
     file: PathBuf,
 }
 
-/// Checks a file.
+/// Validates the file and prints what it is.
 pub(crate) fn run(args: &CheckArgs, output: Output) -> Result<(), Failure> {
     super::print(output, &ops::check::check(&args.file)?)
 }
--- a/src/bin/lapisdrum/commands/completions.rs
+++ b/src/bin/lapisdrum/commands/completions.rs
@@ -1,4 +1,4 @@
-//! `lapisdrum completions`.
+//! Arguments of `lapisdrum completions`.
 
 use crate::cli::Cli;
 use clap::{Args, CommandFactory};
@@ -18,7 +18,7 @@
     shell: Shell,
 }
 
-/// Prints the completions.
+/// Prints the completion script for the shell.
 pub(crate) fn run(args: &CompletionsArgs) -> Result<(), Failure> {
     let mut script = Vec::new();
     clap_complete::generate(args.shell, &mut Cli::command(), "lapisdrum", &mut script);
--- a/src/bin/lapisdrum/commands/explain.rs
+++ b/src/bin/lapisdrum/commands/explain.rs
@@ -1,4 +1,4 @@
-//! `lapisdrum explain`.
+//! Arguments of `lapisdrum explain`.
 
 use clap::{Args, ValueEnum};
 use lapisdrum::{
@@ -14,8 +14,8 @@
   cat *.log | lapisdrum explain
 
 Reads the JSON lines that daemons write to standard output, of all of them and in any order, and follows
-each job's critical path from its end back to its submission. Of tasks that last it tells for how long they
-were away. What stands before a line's first brace is passed over.";
+each job's critical path from its end back to its submission. For long-running tasks it shows how
+long they were unavailable. Text before a line's first brace is ignored.";
 
 /// Arguments of `explain`.
 #[derive(Debug, Args)]
@@ -31,7 +31,7 @@
     by: ByArg,
 }
 
-/// What to sum by.
+/// Key that the sums are grouped by.
 #[derive(Clone, Copy, Debug, ValueEnum)]
 enum ByArg {
     /// The entry.
@@ -52,7 +52,7 @@
     }
 }
 
-/// Prints where the time went.
+/// Prints the critical path of one job, or sums over all jobs.
 pub(crate) fn run(args: ExplainArgs, output: Output) -> Result<(), Failure> {
     let question = match args.job {
         Some(job) => Question::Job(job),
--- a/src/bin/lapisdrum/commands/jobs.rs
+++ b/src/bin/lapisdrum/commands/jobs.rs
@@ -1,4 +1,4 @@
-//! `lapisdrum jobs`.
+//! Arguments of `lapisdrum jobs`.
 
 use crate::cli::{DaemonArgs, WaitArgs};
 use clap::Subcommand;
@@ -10,8 +10,8 @@
   lapisdrum jobs submit catalogue-render --key opening-of-14-march --wait
 
 The job is durable when the command ends with status 0. A lost answer is repeated under the same key,
-so there is one job at most; with a key of your own that also holds over several calls. With --wait a refusal that says when to come
-back is obeyed.";
+so there is one job at most; with a key of your own that also holds over several calls. With --wait
+a refusal that says when to retry is retried then.";
 
 const LIST_EXAMPLES: &str = "\
 Examples:
@@ -23,7 +23,7 @@
 /// What to do with a job.
 #[derive(Debug, Subcommand)]
 pub(crate) enum JobsCommand {
-    /// Hand a job in.
+    /// Submit a job.
     #[command(after_help = SUBMIT_EXAMPLES)]
     Submit {
         /// The catalogue entry.
@@ -66,7 +66,7 @@
     },
 }
 
-/// Runs one of them.
+/// Runs a `jobs` subcommand and prints its result.
 pub(crate) async fn run(command: JobsCommand, output: Output) -> Result<(), Failure> {
     let job = match command {
         JobsCommand::Submit {
--- a/src/bin/lapisdrum/commands/man.rs
+++ b/src/bin/lapisdrum/commands/man.rs
@@ -1,4 +1,4 @@
-//! `lapisdrum man`.
+//! Arguments of `lapisdrum man`.
 
 use crate::cli::Cli;
 use clap::{Args, CommandFactory};
@@ -19,7 +19,7 @@
     dir: Option<PathBuf>,
 }
 
-/// Prints the man page or writes all of them.
+/// Prints the main man page, or writes the pages of all subcommands into a folder.
 pub(crate) fn run(args: &ManArgs) -> Result<(), Failure> {
     let failed = |e: io::Error| Failure::new(Exit::Failed, format!("the man page: {e}"));
     match &args.dir {
--- a/src/bin/lapisdrum/commands/mod.rs
+++ b/src/bin/lapisdrum/commands/mod.rs
@@ -1,4 +1,4 @@
-//! One file a subcommand: its arguments and one call into the library.
+//! Arguments of the subcommands; each calls one function of the library.
 
 pub(crate) mod catalogue;
 pub(crate) mod check;
@@ -18,7 +18,7 @@
     io::{self, Write},
 };
 
-/// Runs the subcommand that was asked for.
+/// Runs a subcommand.
 pub(crate) async fn run(command: Command, output: Output) -> Result<(), Failure> {
     match command {
         Command::Run(args) => run::run(args).await,
@@ -33,7 +33,8 @@
     }
 }
 
-/// Prints a report. A reader that went away, such as `head`, is a failure and no panic.
+/// Prints a report. A closed standard output, such as a pipe to `head`, gives an error instead of
+/// the panic of `println!`.
 fn print<T: Display + Serialize>(output: Output, report: &T) -> Result<(), Failure> {
     write_out(format!("{}\n", output.render(report)).as_bytes())
 }
@@ -43,7 +44,7 @@
     written.map_err(|e| Failure::new(Exit::Failed, format!("standard output: {e}")))
 }
 
-/// Prints a report that came with a failure, and hands the failure on.
+/// Prints a report, then returns the failure that came with it, if any.
 fn print_with<T: Display + Serialize>(
     output: Output,
     (report, failure): (T, Option<Failure>),
--- a/src/bin/lapisdrum/commands/run.rs
+++ b/src/bin/lapisdrum/commands/run.rs
@@ -1,4 +1,4 @@
-//! `lapisdrum run`.
+//! Arguments of `lapisdrum run`.
 
 use clap::Args;
 use lapisdrum::ops::{self, Failure};
@@ -20,7 +20,7 @@
     config: PathBuf,
 }
 
-/// Runs a daemon.
+/// Runs a daemon until SIGTERM or SIGINT.
 pub(crate) async fn run(args: RunArgs) -> Result<(), Failure> {
     ops::run::run(&args.config).await
 }
--- a/src/bin/lapisdrum/commands/status.rs
+++ b/src/bin/lapisdrum/commands/status.rs
@@ -1,4 +1,4 @@
-//! `lapisdrum status`.
+//! Arguments of `lapisdrum status`.
 
 use crate::cli::DaemonArgs;
 use clap::Args;
@@ -19,7 +19,7 @@
     daemon: DaemonArgs,
 }
 
-/// Prints the status of everything that answers.
+/// Prints the merged status of all daemons.
 pub(crate) async fn run(args: StatusArgs, output: Output) -> Result<(), Failure> {
     let report = ops::status::gather(&args.daemon.client()).await?;
     super::print(output, &report)
--- a/src/bin/lapisdrum/commands/timeline.rs
+++ b/src/bin/lapisdrum/commands/timeline.rs
@@ -1,4 +1,4 @@
-//! `lapisdrum timeline`.
+//! Arguments of `lapisdrum timeline`.
 
 use crate::cli::DaemonArgs;
 use clap::Args;
@@ -12,7 +12,7 @@
   lapisdrum timeline --entry catalogue-render
 
 Asks the daemon, then every other that it knows of, and merges the answers into one order in which no
-effect stands before its cause. Daemons that do not answer, and events that a daemon no longer has,
+effect comes before its cause. Daemons that do not answer, and events that a daemon no longer has,
 are named at the end.";
 
 /// Arguments of `timeline`.
@@ -35,7 +35,7 @@
     daemon: DaemonArgs,
 }
 
-/// Prints the merged time line.
+/// Prints the merged time line of all daemons.
 pub(crate) async fn run(args: TimelineArgs, output: Output) -> Result<(), Failure> {
     let client = args.daemon.client();
     let query = Query {
--- a/src/bin/lapisdrum/main.rs
+++ b/src/bin/lapisdrum/main.rs
@@ -1,4 +1,4 @@
-//! The `lapisdrum` binary: arguments in, one call out, an exit status.
+//! The `lapisdrum` binary: parses the arguments, runs the subcommand and sets the exit status.
 
 mod cli;
 mod commands;
--- a/src/lapisdrum/api/client.rs
+++ b/src/lapisdrum/api/client.rs
@@ -1,4 +1,4 @@
-//! The client of a daemon's HTTP interface, for the command line, tests and load driver.
+//! Client of a daemon's HTTP API, for the command line, the tests and the load driver.
 
 use super::{
     status::StatusBody,
@@ -22,17 +22,18 @@
 use serde::{Serialize, de::DeserializeOwned};
 use std::{fmt, time::Duration};
 
-/// Largest answer that is read, in bytes.
+/// Largest response body that the client reads.
 const MAX_ANSWER_BYTES: usize = 256 * 1024 * 1024;
-/// Header with the revision that a change was made from.
+/// Header with the revision that a change is based on.
 const IF_MATCH: &str = "if-match";
 
 /// A call that failed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClientError {
-    /// The daemon answered with a fault, and perhaps with the time to come back.
+    /// The daemon replied with an error status and an error body.
     Fault(StatusCode, ErrorBody),
-    /// The daemon did not answer.
+    /// No usable reply arrived: no connection, a time-out, or a body that can't be decoded. The
+    /// daemon may have carried out the call.
     Silent(String),
 }
 
@@ -56,7 +57,7 @@
 impl std::error::Error for ClientError {}
 
 impl ClientError {
-    /// Whether the call may have taken effect all the same.
+    /// Whether the call may have taken effect although it failed.
     pub fn is_unknown(&self) -> bool {
         match self {
             Self::Silent(_) => true,
@@ -64,7 +65,7 @@
         }
     }
 
-    /// When the daemon, which did nothing, asks to be asked again.
+    /// Delay after which to retry, if the daemon refused the call and named one.
     pub fn retry_after(&self) -> Option<Duration> {
         match self {
             Self::Fault(_, body) => body.retry_after_s.map(Duration::from_secs),
@@ -73,19 +74,19 @@
     }
 }
 
-/// A change id that nobody else draws.
+/// Returns a random change id, unique with near certainty.
 pub fn new_change_id() -> ChangeId {
     let text = format!("{:016x}", rand::random::<u64>());
     ChangeId::try_from(text).unwrap_or_else(|e| unreachable!("a drawn id is valid: {e}"))
 }
 
-/// The whole seconds of a `retry-after` header.
+/// Seconds given by the `retry-after` header; none if it is absent or an HTTP date.
 fn retry_after(headers: &HeaderMap) -> Option<u64> {
     headers.get(RETRY_AFTER)?.to_str().ok()?.parse().ok()
 }
 
-/// The query of these parameters, with its question mark; empty when all are absent. The values are
-/// names and numbers, in which nothing needs an escape.
+/// Builds a query string that starts with `?`; empty if all parameters are absent. Values are not
+/// escaped: they are names and numbers, which need none.
 fn query(parameters: &[(&str, Option<&str>)]) -> String {
     let present = parameters
         .iter()
@@ -97,7 +98,7 @@
     }
 }
 
-/// Speaks to one daemon.
+/// Calls the HTTP API of one daemon.
 #[derive(Clone)]
 pub struct DaemonClient {
     http: Client,
@@ -105,7 +106,7 @@
 }
 
 impl DaemonClient {
-    /// A client of the daemon at `address` that gives each call `timeout`.
+    /// Creates a client of the daemon at `address` (host and port); each call may take `timeout`.
     pub fn new(address: &str, timeout: Duration) -> Self {
         let http = Client::builder()
             .timeout(timeout)
@@ -117,7 +118,7 @@
         }
     }
 
-    /// Adds or changes an entry under a change id of its own.
+    /// Adds or changes an entry under a new change id.
     pub async fn put_entry(
         &self,
         raw: &RawEntry,
@@ -126,7 +127,8 @@
         self.put_entry_as(raw, if_match, &new_change_id()).await
     }
 
-    /// Adds or changes an entry; a repeat under the same change id is made at most once.
+    /// Adds or changes an entry. Repeating the call with the same change id is safe: the change is
+    /// made at most once.
     pub async fn put_entry_as(
         &self,
         raw: &RawEntry,
@@ -140,7 +142,7 @@
         self.call(Method::PUT, &path, &headers, Some(raw)).await
     }
 
-    /// Retires an entry under a change id of its own.
+    /// Retires an entry under a new change id.
     pub async fn retire_entry(
         &self,
         name: &str,
@@ -149,7 +151,8 @@
         self.retire_entry_as(name, if_match, &new_change_id()).await
     }
 
-    /// Retires an entry; a repeat under the same change id is made at most once.
+    /// Retires an entry. Repeating the call with the same change id is safe: the change is made at
+    /// most once.
     pub async fn retire_entry_as(
         &self,
         name: &str,
@@ -163,27 +166,27 @@
             .await
     }
 
-    /// Reads an entry.
+    /// Reads a catalogue entry and the revision that wrote it.
     pub async fn entry(&self, name: &str) -> Result<EntryBody, ClientError> {
         self.get(&format!("/v1/catalogue/{name}")).await
     }
 
-    /// Reads the catalogue.
+    /// Reads the catalogue in force at the daemon.
     pub async fn catalogue(&self) -> Result<CatalogueBody, ClientError> {
         self.get("/v1/catalogue").await
     }
 
-    /// Reads the accepted changes.
+    /// Reads the accepted changes of the catalogue, newest first.
     pub async fn history(&self) -> Result<HistoryBody, ClientError> {
         self.get("/v1/history").await
     }
 
-    /// Hands a job in.
+    /// Submits a job of `entry`. A repeat submits another job.
     pub async fn submit_job(&self, entry: &str) -> Result<JobBody, ClientError> {
         self.submit(entry, &[]).await
     }
 
-    /// Hands a job in; a repeat under the same key finds the first one's job.
+    /// Submits a job of `entry`. A repeat with the same key returns the job of the first call.
     pub async fn submit_job_as(
         &self,
         entry: &str,
@@ -197,12 +200,12 @@
         self.call::<_, ()>(Method::POST, &path, headers, None).await
     }
 
-    /// Reads a job.
+    /// Reads the present state of a job.
     pub async fn job(&self, job: &str) -> Result<JobBody, ClientError> {
         self.get(&format!("/v1/jobs/{job}")).await
     }
 
-    /// Lists jobs; what is absent matches every job.
+    /// Lists jobs of an entry, in a state, or both; an absent filter matches every job.
     pub async fn jobs(
         &self,
         entry: Option<&str>,
@@ -212,23 +215,23 @@
         self.get(&format!("/v1/jobs{query}")).await
     }
 
-    /// Cancels a job.
+    /// Cancels a job; a second cancel of the same job changes nothing.
     pub async fn cancel_job(&self, job: &str) -> Result<JobBody, ClientError> {
         self.call::<_, ()>(Method::DELETE, &format!("/v1/jobs/{job}"), &[], None)
             .await
     }
 
-    /// Reads what the daemon knows of daemons, shards, workers and the platform.
+    /// Reads what the daemon itself knows about daemons, shards, workers and the platform.
     pub async fn status(&self) -> Result<StatusBody, ClientError> {
         self.get("/v1/status").await
     }
 
-    /// Reads the daemon's part of the time line.
+    /// Reads all events that this daemon recorded in its time line.
     pub async fn timeline(&self) -> Result<TimelineBody, ClientError> {
         self.timeline_of(&Filter::default()).await
     }
 
-    /// Reads the wanted events of the daemon's part of the time line.
+    /// Reads the events in this daemon's time line that match `filter`.
     pub async fn timeline_of(&self, filter: &Filter) -> Result<TimelineBody, ClientError> {
         let since = filter.since.map(|since| since.to_string());
         let query = query(&[
@@ -239,7 +242,7 @@
         self.get(&format!("/v1/timeline{query}")).await
     }
 
-    /// Whether the daemon may be sent callers.
+    /// Whether the daemon reports that it accepts requests from callers.
     pub async fn is_ready(&self) -> bool {
         let answer = self.http.get(format!("{}/readyz", self.base)).send().await;
         answer.is_ok_and(|answer| answer.status().is_success())
--- a/src/lapisdrum/api/jobs.rs
+++ b/src/lapisdrum/api/jobs.rs
@@ -1,4 +1,4 @@
-//! Callers' calls about jobs.
+//! HTTP handlers for jobs: submit, show, cancel, list.
 
 use super::{
     server::note_refusal,
@@ -15,7 +15,7 @@
 };
 use actix_http::StatusCode;
 
-/// `POST /v1/jobs/ENTRY`: 202 once the job is durable.
+/// `POST /v1/jobs/ENTRY`: replies 202 once the job is durable.
 pub async fn submit(cx: &Cx, entry: EntryName, req: &HttpRequest) -> HttpResponse {
     let key = match req.header(KEY_HEADER).map(RequestId::try_from).transpose() {
         Ok(key) => key,
@@ -25,19 +25,19 @@
     answer(cx, StatusCode::ACCEPTED, end)
 }
 
-/// `GET /v1/jobs/ID`.
+/// `GET /v1/jobs/ID`: the present state of a job.
 pub async fn show(cx: &Cx, job: JobId) -> HttpResponse {
     let end = jobs::show(cx, job).await;
     answer(cx, StatusCode::OK, end)
 }
 
-/// `DELETE /v1/jobs/ID`: 202 once the cancel is durable.
+/// `DELETE /v1/jobs/ID`: replies 202 once the cancellation is durable.
 pub async fn cancel(cx: &Cx, job: JobId) -> HttpResponse {
     let end = jobs::cancel(cx, job).await;
     answer(cx, StatusCode::ACCEPTED, end)
 }
 
-/// `GET /v1/jobs?entry=&state=`.
+/// `GET /v1/jobs?entry=&state=`: the matching jobs of all shards whose owners answer.
 pub async fn list(cx: &Cx, req: &HttpRequest) -> HttpResponse {
     match job_filter(req) {
         Ok(filter) => {
--- a/src/lapisdrum/api/mod.rs
+++ b/src/lapisdrum/api/mod.rs
@@ -1,4 +1,4 @@
-//! The edge to callers and operators: HTTP/1.1 with JSON.
+//! HTTP/1.1 API with JSON bodies for callers and operators, and its client.
 
 pub mod client;
 pub mod jobs;
--- a/src/lapisdrum/api/operators.rs
+++ b/src/lapisdrum/api/operators.rs
@@ -1,4 +1,4 @@
-//! Operators' calls: the catalogue and the time line.
+//! HTTP handlers for operators: the catalogue and the time line.
 
 use super::wire::{
     CHANGE_HEADER, CatalogueBody, ChangeBody, ChangeLine, EntryBody, HistoryBody, TimelineBody,
@@ -19,9 +19,9 @@
 };
 use actix_http::StatusCode;
 
-/// When an operator should come back while the table is away, in seconds.
+/// Value of `retry-after`, in seconds, while the platform's table is unavailable.
 const STORE_RETRY_S: &str = "2";
-/// Most changes that a history shows.
+/// Maximum number of changes in a reply to `GET /v1/history`.
 const HISTORY_LIMIT: usize = 1_000;
 
 /// `PUT /v1/catalogue/ENTRY`: adds or changes an entry.
@@ -44,7 +44,7 @@
     change(cx, raw, req).await
 }
 
-/// `DELETE /v1/catalogue/ENTRY`: retires an entry; what was accepted is finished.
+/// `DELETE /v1/catalogue/ENTRY`: retires an entry; work that was already accepted is finished.
 pub async fn retire_entry(cx: &Cx, name: EntryName, req: &HttpRequest) -> HttpResponse {
     let row = cx.catalogue.borrow().rows.get(&name).cloned();
     match row {
@@ -63,7 +63,7 @@
     }
 }
 
-/// `GET /v1/catalogue/ENTRY`.
+/// `GET /v1/catalogue/ENTRY`: the entry, with its revision also as `etag`.
 pub fn get_entry(cx: &Cx, name: &EntryName) -> HttpResponse {
     match cx.catalogue.borrow().rows.get(name) {
         Some(row) => HttpResponse::json(StatusCode::OK, &EntryBody::from(row))
@@ -72,7 +72,7 @@
     }
 }
 
-/// `GET /v1/catalogue`.
+/// `GET /v1/catalogue`: all entries, retired ones included.
 pub fn list(cx: &Cx) -> HttpResponse {
     let catalogue = cx.catalogue.borrow();
     let entries = catalogue.rows.values().map(EntryBody::from).collect();
@@ -85,7 +85,8 @@
     )
 }
 
-/// `GET /v1/timeline?job=&worker=&since=`; `since` is a stamp's time.
+/// `GET /v1/timeline?job=&worker=&since=`: the matching events that this daemon recorded. `since`
+/// is the time of an event's stamp, as an integer.
 pub fn timeline(cx: &Cx, req: &HttpRequest) -> HttpResponse {
     let filter = match event_filter(req) {
         Ok(filter) => filter,
@@ -109,11 +110,16 @@
     Ok(Filter {
         job: job.map_err(|e| bad(e.to_string(), "correct `job`"))?,
         worker: worker.map_err(|e| bad(e.to_string(), "correct `worker`"))?,
-        since: since.map_err(|e| bad(e.to_string(), "`since` is the time of a stamp"))?,
+        since: since.map_err(|e| {
+            bad(
+                e.to_string(),
+                "`since` is the time of an event's stamp, an integer",
+            )
+        })?,
     })
 }
 
-/// `GET /v1/history`: the accepted changes that the table still has, the latest first.
+/// `GET /v1/history`: the accepted changes that the table still has, newest first.
 pub async fn history(cx: &Cx) -> HttpResponse {
     match catalogue::history(cx, HISTORY_LIMIT).await {
         Ok(rows) => {
@@ -188,7 +194,7 @@
         .with("retry-after", STORE_RETRY_S),
         ChangeEnd::Unknown => error(
             StatusCode::BAD_GATEWAY,
-            "the change may be in: its answer was lost",
+            "the change may have been made: the answer of the platform's table was lost",
             "repeat it with the same `lapisdrum-change` header; it is made at most once",
         ),
     }
--- a/src/lapisdrum/api/server.rs
+++ b/src/lapisdrum/api/server.rs
@@ -1,4 +1,4 @@
-//! Serves callers and operators: routes, and the answers that need no more than a line.
+//! HTTP server for callers and operators: routing, request handling, metrics and health checks.
 
 use super::{
     jobs, operators, status,
@@ -25,7 +25,7 @@
 use std::{rc::Rc, time::Duration};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Serves until the daemon drains and the last request in flight is answered.
+/// Serves until the daemon drains and the last request in flight has its response.
 pub async fn serve(cx: Cx, listener: TcpListener) {
     let stop = cx.draining.subscribe();
     let limits = Rc::clone(&cx);
@@ -42,7 +42,8 @@
     .await;
 }
 
-/// The bound on a body: the entry's own for a request, so that what would be refused is not held.
+/// Maximum body size in bytes for a call to `path`. For a request it is at most the entry's own
+/// limit, so that a body that would be refused is not buffered.
 fn body_limit(cx: &Cx, path: &str) -> usize {
     let most = cx.cfg.requests.max_body_bytes;
     let entry = path.strip_prefix("/v1/run/").map(EntryName::try_from);
@@ -65,7 +66,7 @@
         ),
         BodyFault::Incomplete => error(
             StatusCode::BAD_REQUEST,
-            "the body broke off",
+            "the request body is incomplete",
             "send the request again; it was not run",
         ),
     };
@@ -114,7 +115,7 @@
     }
 }
 
-/// Runs `then` with a checked name out of the path.
+/// Parses a name from the path and calls `then` with it; replies 400 if the name is invalid.
 async fn with_name<T, F>(raw: &str, then: impl FnOnce(T) -> F) -> HttpResponse
 where
     T: for<'a> TryFrom<&'a str, Error = crate::core::id::InvalidName>,
@@ -149,7 +150,8 @@
     };
     let known = EntryName::try_from(entry).ok();
     let known = known.filter(|name| cx.catalogue.borrow().rows.contains_key(name));
-    // Only known entries become labels: callers must not be able to grow the metrics.
+    // Only entries of the catalogue become labels: else callers could add label values without
+    // bound.
     if let Some(entry) = known.map(String::from) {
         let seconds = cx.clock.now().since(began).as_secs_f64();
         cx.metrics
@@ -192,7 +194,8 @@
     })
 }
 
-/// Who asks, for fairness between callers: by the name that a gateway passes on, else by address.
+/// Identifies the caller for fairness between callers: a hash of the name that a gateway passes
+/// on, else of the peer address.
 fn caller_of(req: &HttpRequest) -> u64 {
     match (req.header(CALLER_HEADER), req.peer) {
         (Some(name), _) => xxh3_64(name.as_bytes()),
@@ -238,8 +241,8 @@
     }
 }
 
-/// Counts a refusal and makes its answer. Refusals for load are counted only: a line or event for
-/// each would grow with the overload that they answer.
+/// Counts a refusal and returns its response. Refusals because of load get no log line or event:
+/// their number would grow with the overload.
 pub fn note_refusal(cx: &Cx, refusal: &Refusal) -> HttpResponse {
     let reason = refusal.reason();
     cx.metrics
--- a/src/lapisdrum/api/status.rs
+++ b/src/lapisdrum/api/status.rs
@@ -1,8 +1,8 @@
-//! What an operator sees of a daemon: its peers, shards and workers, the platform, the revision.
+//! Status of a daemon for operators: its peers, shards, workers, platform and catalogue revision.
 //!
-//! A daemon reports what it knows itself and asks nobody, so the answer comes also while the
-//! platform or its peers are away. `lapisdrum status` asks every daemon that the first one names
-//! and puts the answers together.
+//! A daemon reports only what it knows itself and calls no other service, so it also replies while
+//! the platform or its peers are unavailable. `lapisdrum status` queries every daemon that the
+//! first one lists and merges the replies.
 
 use crate::{
     core::{
@@ -18,15 +18,15 @@
 use std::fmt;
 
 data! {
-    /// Whether a daemon's presence row keeps changing.
+    /// Whether a daemon keeps renewing its presence row.
     #[derive(Copy)]
     #[serde(rename_all = "kebab-case")]
     pub enum Liveness {
-        /// Its row changes.
+        /// The row is being renewed.
         Live,
-        /// Its row has not changed for longer than a shard's lease.
+        /// The row has not changed for longer than a shard's lease and one read interval.
         Silent,
-        /// The platform is away, so nobody's row can be read.
+        /// The platform is unavailable, so no row can be read.
         Unknown,
     }
 
@@ -34,9 +34,9 @@
     #[derive(Copy)]
     #[serde(rename_all = "kebab-case")]
     pub enum WorkerCondition {
-        /// It answers its shard's owner under the present epoch.
+        /// Its shard's owner has claimed it and it answers.
         Live,
-        /// The platform's list says that it is on its way out.
+        /// The platform lists it as leaving.
         Leaving,
         /// It does not answer its shard's owner.
         Silent,
@@ -46,25 +46,25 @@
 
     /// A daemon as the answering daemon sees it.
     pub struct DaemonLine {
-        /// Its name.
+        /// Name of the daemon.
         pub daemon: DaemonId,
-        /// Its data centre.
+        /// Data centre that the daemon runs in.
         pub data_centre: String,
-        /// Where callers and operators reach it.
+        /// Address (`host:port`) at which it serves callers and operators.
         pub callers: String,
-        /// Whether it is there.
+        /// Whether the answering daemon considers it live.
         pub liveness: Liveness,
-        /// The catalogue revision in force there, as last heard.
+        /// Catalogue revision in force there, as of its last presence row.
         pub revision: Revision,
     }
 
-    /// A shard's row as last read.
+    /// The lease row of a shard as last read.
     pub struct ShardLine {
-        /// The shard.
+        /// Name of the shard.
         pub shard: ShardId,
-        /// Its owner; none after a release.
+        /// Daemon that holds the lease; none after a release.
         pub owner: Option<DaemonId>,
-        /// Counts its owners.
+        /// Lease epoch; rises with each new owner.
         pub epoch: Epoch,
         /// Milliseconds since the row was last seen to change.
         pub unchanged_ms: u64,
@@ -72,35 +72,35 @@
 
     /// A worker of a shard that the answering daemon owns.
     pub struct WorkerLine {
-        /// The worker.
+        /// Name of the worker.
         pub worker: WorkerId,
-        /// Its rack.
+        /// Rack that the worker's host is in.
         pub rack: String,
-        /// Its shard.
+        /// Shard that the worker belongs to.
         pub shard: ShardId,
         /// Whether it takes new work.
         pub condition: WorkerCondition,
-        /// What its shard's ledger commits on it, tasks and requests together.
+        /// Resources that the shard's ledger has committed on it, for tasks and requests together.
         pub committed: Size,
-        /// What it has.
+        /// Total resources of the worker.
         pub capacity: Size,
     }
 
-    /// One daemon's answer.
+    /// Reply to `GET /v1/status`.
     pub struct StatusBody {
-        /// The daemon that answers.
+        /// Name of the answering daemon.
         pub daemon: DaemonId,
-        /// The catalogue revision in force here.
+        /// Catalogue revision in force at this daemon.
         pub revision: Revision,
-        /// Whether it takes callers.
+        /// Whether this daemon accepts requests from callers.
         pub ready: bool,
-        /// Whether the platform answered the last time it was asked.
+        /// Whether the platform answered this daemon's last call.
         pub platform_up: bool,
-        /// Every daemon whose presence row was seen.
+        /// Daemons whose presence rows this daemon has read.
         pub daemons: Vec<DaemonLine>,
-        /// Every shard whose row was seen.
+        /// Shards whose lease rows this daemon has read.
         pub shards: Vec<ShardLine>,
-        /// Workers of the shards owned here.
+        /// Workers of the shards that this daemon owns.
         pub workers: Vec<WorkerLine>,
     }
 }
@@ -126,12 +126,11 @@
     }
 }
 
-/// `GET /v1/status`.
+/// `GET /v1/status`: the status as this daemon knows it, without calls to others.
 pub fn show(cx: &Cx) -> HttpResponse {
     HttpResponse::json(StatusCode::OK, &status(cx))
 }
 
-/// What this daemon knows.
 fn status(cx: &Cx) -> StatusBody {
     let now = cx.clock.now();
     let members = cx.members.borrow();
--- a/src/lapisdrum/api/wire.rs
+++ b/src/lapisdrum/api/wire.rs
@@ -1,4 +1,4 @@
-//! Wire types towards callers and operators.
+//! Bodies and headers of the HTTP API for callers and operators.
 
 use crate::{
     core::{
@@ -15,54 +15,55 @@
 };
 use actix_http::StatusCode;
 
-/// Header with the outcome of every answer to a caller: `done`, `refused` or `unknown`.
+/// Header of each response to a caller with the outcome: `done`, `refused` or `unknown`.
 pub const OUTCOME_HEADER: &str = "lapisdrum-outcome";
-/// Header with the id of a request.
+/// Header of a response with the id of the request.
 pub const REQUEST_HEADER: &str = "lapisdrum-request";
-/// Header with the milliseconds within which a caller wants its answer.
+/// Header with the time in milliseconds within which the caller needs the response.
 pub const DEADLINE_HEADER: &str = "lapisdrum-deadline-ms";
-/// Header with the caller's own id for a request or job.
+/// Header with the caller's own id for a request or job, by which a repeat is recognised.
 pub const KEY_HEADER: &str = "idempotency-key";
-/// Header by which a gateway names the caller that it asks for.
+/// Header in which a gateway names the caller on whose behalf it sends the request.
 pub const CALLER_HEADER: &str = "lapisdrum-caller";
-/// Header with an operator's id for a change.
+/// Header with the operator's id for a catalogue change, by which a repeat is recognised.
 pub const CHANGE_HEADER: &str = "lapisdrum-change";
 
 data! {
-    /// The body of every answer that reports a fault.
+    /// Body of each error response.
     pub struct ErrorBody {
-        /// What is wrong.
+        /// Description of the error.
         pub error: String,
-        /// What to do about it.
+        /// What the reader can do about it.
         pub help: String,
-        /// Seconds after which to come back: the answer's `retry-after` header, noted by the client.
+        /// Seconds after which to retry: the client copies it here from the `retry-after` header.
         #[serde(skip)]
         pub retry_after_s: Option<u64>,
     }
 
-    /// A job as callers see it.
+    /// State of a job as shown to callers.
     pub struct JobBody {
-        /// Its id.
+        /// Id of the job.
         pub job: JobId,
-        /// Its entry.
+        /// Name of the catalogue entry that the job was submitted to.
         pub entry: String,
         /// `waiting`, `running`, `done`, `failed` or `cancelled`.
         pub state: String,
-        /// The worker, while it is placed.
+        /// Worker that the job is placed on; none while it is not placed.
         pub worker: Option<String>,
-        /// Attempts so far.
+        /// Number of attempts so far.
         pub attempts: u32,
-        /// Progress of the last checkpoint in thousandths.
+        /// Progress at the last checkpoint, in thousandths; 0 without one.
         pub progress_permille: u32,
-        /// Why it failed.
+        /// Reason of the failure; only for failed jobs.
         pub message: Option<String>,
     }
 
-    /// Jobs over all shards.
+    /// Jobs of all shards that were reached.
     pub struct JobsBody {
-        /// The jobs, by shard, oldest first in each.
+        /// Jobs grouped by shard, oldest first within a shard.
         pub jobs: Vec<JobBody>,
-        /// How many more match and are left out, the oldest of each shard.
+        /// Number of matching jobs that are not in `jobs`: the oldest of each shard, beyond the limit
+        /// per shard.
         pub omitted: usize,
         /// Shards whose owners did not answer; their jobs are not in the list.
         pub missing: Vec<ShardId>,
@@ -70,51 +71,51 @@
 
     /// An accepted change of the catalogue.
     pub struct ChangeLine {
-        /// The revision that it made.
+        /// Catalogue revision that the change created.
         pub revision: Revision,
-        /// The entry.
+        /// Name of the changed entry.
         pub entry: EntryName,
         /// The operator's id for the change.
         pub change: ChangeId,
-        /// Whether the entry is retired since then.
+        /// Whether the change left the entry retired.
         pub retired: bool,
     }
 
-    /// Accepted changes, the latest first.
+    /// Reply to `GET /v1/history`.
     pub struct HistoryBody {
-        /// The changes that the table still has.
+        /// Changes that the platform's table still has, newest first.
         pub changes: Vec<ChangeLine>,
     }
 
-    /// A catalogue entry as operators see it.
+    /// A catalogue entry with its revision.
     pub struct EntryBody {
-        /// The entry as written.
+        /// The entry as the operator wrote it.
         pub entry: RawEntry,
-        /// The revision that wrote it; the value for `if-match`.
+        /// Revision that last changed the entry; send it as `if-match` to change the entry.
         pub revision: Revision,
     }
 
     /// The whole catalogue.
     pub struct CatalogueBody {
-        /// The revision in force at the daemon that answered.
+        /// Revision in force at the answering daemon.
         pub revision: Revision,
-        /// The entries.
+        /// All entries, retired ones included.
         pub entries: Vec<EntryBody>,
     }
 
-    /// The answer to an accepted change.
+    /// Reply to an accepted change of the catalogue.
     pub struct ChangeBody {
-        /// The revision that it made.
+        /// Catalogue revision that the change created.
         pub revision: Revision,
     }
 
-    /// One daemon's part of the time line.
+    /// Reply to `GET /v1/timeline`: the events that one daemon recorded.
     pub struct TimelineBody {
-        /// The daemon that saw them.
+        /// Daemon that recorded the events.
         pub daemon: DaemonId,
-        /// Events, oldest first.
+        /// Matching events, oldest first.
         pub events: Vec<Record>,
-        /// How many fell out of the ring.
+        /// Number of events that newer ones have overwritten in the daemon's ring buffer.
         pub dropped: u64,
     }
 }
@@ -173,7 +174,7 @@
     }
 }
 
-/// An answer that reports a fault in one line of JSON.
+/// Builds an error response with an [`ErrorBody`].
 pub fn error(status: StatusCode, error: impl ToString, help: impl ToString) -> HttpResponse {
     HttpResponse::json(
         status,
@@ -185,7 +186,7 @@
     )
 }
 
-/// The answer to a refused caller.
+/// Builds the response to a refused call, with `retry-after` if a retry can succeed.
 pub fn refused(refusal: &Refusal) -> HttpResponse {
     let status = match refusal {
         Refusal::UnknownEntry(_) | Refusal::UnknownJob(_) => StatusCode::NOT_FOUND,
@@ -202,7 +203,7 @@
     };
     let answer = error(status, refusal, refusal.help()).with(OUTCOME_HEADER, "refused");
     match refusal.retry_after() {
-        // Whole seconds, rounded up: a caller that comes back early is refused again.
+        // Rounded up to whole seconds: a caller that retries early would be refused again.
         Some(wait) => answer.with(
             "retry-after",
             millis(wait).div_ceil(1_000).max(1).to_string(),
--- a/src/lapisdrum/ops/catalogue.rs
+++ b/src/lapisdrum/ops/catalogue.rs
@@ -1,4 +1,4 @@
-//! `lapisdrum catalogue`: apply, list, show, retire, history.
+//! `lapisdrum catalogue`: apply, list, show, retire and history.
 
 use super::{
     Exit, Failure, check,
@@ -21,87 +21,90 @@
 use std::{fmt, path::Path, time::Duration};
 use tokio::time::Instant;
 
-/// Time between two looks at which daemons have a revision.
+/// Interval at which the daemons are polled for the revision in force.
 const IN_FORCE_POLL: Duration = Duration::from_millis(200);
 
 data! {
-    /// One key of an entry that differs.
+    /// A key of an entry whose value in the file differs from the catalogue's.
     pub struct KeyChange {
-        /// The key.
+        /// Name of the key.
         pub key: String,
-        /// Its value before; null when it had none.
+        /// Value in the catalogue; null if it has none.
         pub from: Value,
-        /// Its value in the file; null when it has none.
+        /// Value in the file; null if it has none.
         pub to: Value,
     }
 
-    /// What became of one entry of an applied file.
+    /// Outcome of applying one entry of a file.
     #[serde(rename_all = "kebab-case")]
     pub enum Applied {
-        /// It was as written already.
+        /// The catalogue already had the entry as written.
         Unchanged,
-        /// It would be added or changed.
+        /// Dry run: the entry would be added or changed.
         WouldChange,
-        /// It was added or changed; the revision that it made.
+        /// The entry was added or changed, which created this revision.
         Changed(Revision),
-        /// It was not changed; why.
+        /// The change failed with this error message.
         Failed(String),
-        /// It was not tried, since one before it failed.
+        /// Skipped because an earlier entry of the file failed.
         NotTried,
     }
 
     /// One entry of an applied file.
     pub struct AppliedEntry {
-        /// The entry.
+        /// Name of the entry.
         pub entry: String,
-        /// What became of it.
+        /// Outcome for this entry.
         pub applied: Applied,
-        /// What differed.
+        /// Keys whose values differed.
         pub changes: Vec<KeyChange>,
     }
 
-    /// How far a revision has come.
+    /// Which daemons have a revision in force.
     pub struct InForce {
-        /// The revision.
+        /// The revision asked about.
         pub revision: Revision,
-        /// Daemons that answered and have it in force.
+        /// Number of answering daemons that have it, or a later one, in force.
         pub on: usize,
-        /// Daemons that answered.
+        /// Number of daemons that answered.
         pub answered: usize,
-        /// Daemons that answered and have it not yet.
+        /// Daemons that answered and don't have it yet.
         pub behind: Vec<DaemonId>,
         /// Daemons that did not answer.
         pub silent: Vec<DaemonId>,
     }
 
-    /// What became of an applied file.
+    /// Result of `catalogue apply`.
     pub struct ApplyReport {
-        /// Its entries in order.
+        /// Outcomes of the entries, in the order of the file.
         pub entries: Vec<AppliedEntry>,
-        /// How far the last change has come; none when nothing was changed.
+        /// Which daemons have the last change in force; none if nothing was changed.
         pub in_force: Option<InForce>,
     }
 
-    /// What became of a retired entry.
+    /// Result of `catalogue retire`.
     pub struct RetireReport {
-        /// The entry.
+        /// Name of the retired entry.
         pub entry: String,
-        /// How far the change has come.
+        /// Which daemons have the change in force.
         pub in_force: InForce,
     }
 }
 
-/// How a file is applied.
+/// Options of `catalogue apply`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ApplyOptions {
-    /// Show the differences and change nothing.
+    /// Reports the differences and changes nothing.
     pub dry_run: bool,
-    /// Wait as long as this until the change is in force on every daemon that answers.
+    /// Time limit for waiting until every daemon that answers has the change in force; no wait if
+    /// none.
     pub wait: Option<Duration>,
 }
 
-/// Brings the catalogue in line with a file: entries that differ are added or changed, in order, up
-/// to the first that fails. Entries that the file does not name stay as they are.
+/// Adds or changes the entries of the catalogue that differ from a file, in the file's order, up to
+/// the first that fails. Entries that the file does not name are left unchanged.
+///
+/// The report comes with a failure if an entry failed or the wait timed out.
 pub async fn apply(
     client: &DaemonClient,
     file: &Path,
@@ -185,19 +188,19 @@
     })
 }
 
-/// Names the change id, by which `catalogue history` tells whether a change whose answers were all
-/// lost is in.
+/// Adds the change id to the error of a change that may have been made, so that the operator can
+/// look it up in `catalogue history`.
 fn lost_change(e: ClientError, change: &ChangeId) -> Failure {
     match e.is_unknown() {
         true => Failure::new(
             Exit::Failed,
-            format!("{e}; `lapisdrum catalogue history` has change {change} if it is in"),
+            format!("{e}; `lapisdrum catalogue history` has change {change} if it was made"),
         ),
         false => e.into(),
     }
 }
 
-/// Keys whose values differ.
+/// Returns the keys whose values differ; all keys that have a value if `before` is none.
 fn differences(before: Option<&RawEntry>, after: &RawEntry) -> Vec<KeyChange> {
     let object = |raw: &RawEntry| match serde_json::to_value(raw) {
         Ok(Value::Object(map)) => map,
@@ -205,7 +208,7 @@
     };
     let before = before.map(object).unwrap_or_default();
     let keys = object(after).into_iter();
-    // An entry serialises all of its keys, absent ones as null, so none is missed.
+    // An entry serialises all of its keys, absent ones as null, so removed keys are found too.
     let changes = keys.map(|(key, to)| KeyChange {
         from: before.get(&key).cloned().unwrap_or_default(),
         key,
@@ -214,7 +217,8 @@
     changes.filter(|change| change.from != change.to).collect()
 }
 
-/// Looks how far a revision has come, until all that answer have it or `wait` is over.
+/// Polls the daemons until all that answer have the revision in force or `wait` has passed; polls
+/// once if `wait` is none. A wait that times out is reported as a failure beside the result.
 async fn follow(
     client: &DaemonClient,
     revision: Revision,
@@ -228,7 +232,8 @@
         }
         if Instant::now() >= end {
             let late = wait.map(|wait| {
-                let what = format!("not in force on all daemons within {wait:?}; it still spreads");
+                let what =
+                    format!("not in force on all daemons within {wait:?}; it is still propagating");
                 Failure::new(Exit::Failed, what)
             });
             return Ok((reached, late));
@@ -264,12 +269,12 @@
     Ok(client.entry(name).await?)
 }
 
-/// Reads the accepted changes.
+/// Reads the accepted changes, newest first.
 pub async fn history(client: &DaemonClient) -> Result<HistoryBody, Failure> {
     Ok(client.history().await?)
 }
 
-/// Retires an entry as it stands now.
+/// Retires an entry, provided that it does not change between the read and the write.
 pub async fn retire(
     client: &DaemonClient,
     name: &str,
--- a/src/lapisdrum/ops/check.rs
+++ b/src/lapisdrum/ops/check.rs
@@ -1,4 +1,4 @@
-//! `lapisdrum check`: settings or catalogue files, all faults at once.
+//! `lapisdrum check`: validates a settings or catalogue file and reports all errors at once.
 
 use super::{Exit, Failure};
 use crate::{
@@ -8,23 +8,23 @@
 use std::{fmt, fs, path::Path};
 
 data! {
-    /// What a file without faults holds.
+    /// Kind of a valid file.
     #[serde(rename_all = "kebab-case")]
     pub enum Content {
-        /// A daemon's settings.
+        /// Settings of a daemon.
         Settings,
-        /// A catalogue.
+        /// Entries of the catalogue.
         Catalogue {
-            /// How many entries it has.
+            /// Number of entries in the file.
             entries: usize,
         },
     }
 
-    /// A file without faults.
+    /// Result for a valid file.
     pub struct CheckReport {
-        /// Its name.
+        /// Path as given on the command line.
         pub file: String,
-        /// What it holds.
+        /// Kind of the file.
         pub content: Content,
     }
 }
@@ -42,7 +42,7 @@
     }
 }
 
-/// Checks a file and says what it is.
+/// Validates a file. A TOML file with an `entry` key is read as a catalogue, any other as settings.
 pub fn check(file: &Path) -> Result<CheckReport, Failure> {
     let name = file.display().to_string();
     let text = read(file)?;
@@ -62,7 +62,7 @@
     })
 }
 
-/// Reads and checks a catalogue file.
+/// Reads and validates a catalogue file.
 pub fn load_catalogue(file: &Path) -> Result<Vec<RawEntry>, Failure> {
     let text = read(file)?;
     entries::parse(&file.display().to_string(), &text).map_err(wrong)
--- a/src/lapisdrum/ops/explain.rs
+++ b/src/lapisdrum/ops/explain.rs
@@ -1,4 +1,4 @@
-//! `lapisdrum explain`: where jobs' time went, from the daemons' log lines.
+//! `lapisdrum explain`: breaks down where the time of jobs went, from the log lines of the daemons.
 
 use super::{Exit, Failure, output::write_lines};
 use crate::{
@@ -18,41 +18,41 @@
     path::{Path, PathBuf},
 };
 
-/// What was asked for.
+/// What to explain.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Question {
-    /// The path of one job, by its id as written.
+    /// Critical path of the job with this id, not yet parsed.
     Job(String),
-    /// Sums over all jobs.
+    /// Time of all jobs, summed by this key.
     Sums(By),
 }
 
-/// The path of one job.
+/// Critical path of one job.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct JobPath {
-    /// The job.
+    /// Id of the job.
     pub job: String,
-    /// Its queue.
+    /// Queue that the job was submitted to.
     pub queue: String,
-    /// Where it was submitted.
+    /// Data centre where the job was submitted.
     pub data_centre: String,
-    /// Time within which it is on time, in milliseconds.
+    /// Target time from submission to completion, in milliseconds.
     pub objective_ms: i64,
-    /// Its critical path.
+    /// Spans of the critical path, earliest first.
     pub path: Vec<Span>,
 }
 
-/// The answer.
+/// Result of `lapisdrum explain`.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(untagged)]
 pub enum Explained {
-    /// Of one job.
+    /// Critical path of one job.
     Job(JobPath),
-    /// Of all.
+    /// Sums over all jobs, one row per key.
     Sums(Vec<Row>),
 }
 
-/// Reads the lines of these files, or of standard input where none is named, and answers.
+/// Reads log lines from `files`, or from standard input if `files` is empty, and explains them.
 pub fn explain(files: &[PathBuf], question: &Question) -> Result<Explained, Failure> {
     let stories = match files {
         [] => gather([Ok(Box::new(io::stdin().lock()) as Box<dyn BufRead>)])?,
@@ -89,7 +89,7 @@
     Ok(Stories::gather(lines))
 }
 
-/// Answers from what the lines say.
+/// Explains job traces that were already gathered from log lines.
 pub fn answer(stories: &Stories, question: &Question) -> Result<Explained, Failure> {
     match question {
         Question::Sums(by) => Ok(Explained::Sums(totals::sum(stories, *by))),
--- a/src/lapisdrum/ops/jobs.rs
+++ b/src/lapisdrum/ops/jobs.rs
@@ -1,4 +1,4 @@
-//! `lapisdrum jobs`: submit, show, list, cancel.
+//! `lapisdrum jobs`: submit, show, list and cancel.
 
 use super::{Exit, Failure, output::write_lines, repeat_lost};
 use crate::{
@@ -11,8 +11,9 @@
 use std::{fmt, time::Duration};
 use tokio::time::Instant;
 
-/// Hands a job in. A lost answer is repeated under the same key, so there is one job at most. A
-/// refusal that says when to come back is obeyed for as long as `wait`; the key makes that safe too.
+/// Submits a job. If the answer is lost, the call is repeated with the same key, so at most one job
+/// is created. A refusal with `retry-after` is retried after that time as long as `wait` allows;
+/// the key makes that safe too.
 pub async fn submit(
     client: &DaemonClient,
     entry: &str,
@@ -33,12 +34,12 @@
     }
 }
 
-/// Reads a job.
+/// Reads the present state of a job.
 pub async fn show(client: &DaemonClient, job: &str) -> Result<JobBody, Failure> {
     Ok(client.job(job).await?)
 }
 
-/// Lists jobs of all shards that can be reached.
+/// Lists jobs of all shards whose owners answer; an absent filter matches every job.
 pub async fn list(
     client: &DaemonClient,
     entry: Option<&str>,
@@ -47,7 +48,8 @@
     Ok(client.jobs(entry, state).await?)
 }
 
-/// Cancels a job. A second cancel of the same job changes nothing, so a lost answer is repeated.
+/// Cancels a job. Cancelling twice has no further effect, so the call is repeated if its answer is
+/// lost.
 pub async fn cancel(client: &DaemonClient, job: &str) -> Result<JobBody, Failure> {
     Ok(repeat_lost(async || client.cancel_job(job).await).await?)
 }
--- a/src/lapisdrum/ops/logging.rs
+++ b/src/lapisdrum/ops/logging.rs
@@ -1,11 +1,11 @@
-//! Structured logs on standard output, where the people on call read them.
+//! Structured logs on standard output.
 //!
-//! Libraries are held to warnings, since tarpc logs a line for every call, and the hybrid clock to
-//! errors, since it warns at every call of a peer whose clock is a day ahead.
+//! Libraries log warnings and errors only, since tarpc logs a line for each call. The hybrid clock
+//! logs errors only, since it warns at each call of a peer whose clock is a day ahead.
 //!
-//! Whoever logs never waits: lines go through a bounded channel to a thread that writes them. A reader of
-//! standard output that stands still would otherwise hold up every order to every worker. What finds the
-//! channel full, or comes beyond [`LINES_A_SECOND`], is left out and counted, and the count is a line.
+//! Logging never blocks: lines go through a bounded channel to a thread that writes them. Otherwise
+//! a stalled reader of standard output would delay all orders to workers. Lines that find the
+//! channel full or exceed [`LINES_A_SECOND`] are dropped and counted, and the count is logged.
 
 use crate::settings::{LogFormat, LogSettings};
 use logforth::{
@@ -25,14 +25,15 @@
     time::{Duration, Instant},
 };
 
-/// Lines that may wait to be written: two seconds of the busiest owner that was measured, some 1 MB.
+/// Capacity of the channel in lines, about 1 MB: holds 2 s of output of the busiest owner.
 const WAITING_LINES: usize = 4_096;
-/// Most lines written in a second: three times what an owner of 200 starts a second writes.
+/// Maximum number of lines written per second: three times what an owner writes that starts 200
+/// tasks per second.
 const LINES_A_SECOND: u64 = 2_000;
-/// Span over which the lines are counted.
+/// Time window of the rate limit.
 const COUNTED_SPAN: Duration = Duration::from_secs(1);
 
-/// Starts logging as the settings say. Called once, before the daemon begins.
+/// Installs the global logger. Call it once, before the daemon starts.
 pub fn start(cfg: &LogSettings) {
     let level = cfg.level.as_str().to_lowercase();
     let filter =
@@ -46,12 +47,12 @@
         .apply();
 }
 
-/// Hands lines to the thread that writes them.
+/// Log appender that sends formatted lines to the writer thread and drops them if it lags.
 #[derive(Debug)]
 struct BoundedStdout {
     layout: Box<dyn Layout>,
     tx: SyncSender<Vec<u8>>,
-    /// Lines left out since the last one that said so.
+    /// Number of lines dropped since the last line that reported the count.
     left_out: Arc<AtomicU64>,
 }
 
@@ -60,7 +61,7 @@
         let (tx, rx) = sync_channel(WAITING_LINES);
         let left_out = Arc::new(AtomicU64::new(0));
         let counted = Arc::clone(&left_out);
-        // Ends with the process; what is still waiting then is lost.
+        // Ends with the process; lines that are still queued then are lost.
         thread::spawn(move || write_lines(&rx, &counted));
         Self {
             layout: layout.into(),
@@ -98,7 +99,7 @@
             left_out.fetch_add(1, Ordering::Relaxed);
             continue;
         }
-        // Nobody reads any more; there is nowhere left to say so.
+        // Fails if standard output is closed; there is nowhere left to report that.
         let _ = out.write_all(&line);
     }
 }
@@ -108,7 +109,7 @@
     if count > 0 {
         let line =
             format!("{{\"level\":\"WARN\",\"message\":\"lines left out\",\"count\":{count}}}\n");
-        // As above.
+        // Fails if standard output is closed, as in `write_lines`.
         let _ = out.write_all(line.as_bytes());
     }
 }
--- a/src/lapisdrum/ops/mod.rs
+++ b/src/lapisdrum/ops/mod.rs
@@ -1,4 +1,4 @@
-//! What the command line does: one function a subcommand, called with parsed arguments.
+//! Implementation of the subcommands, called with parsed arguments.
 
 pub mod catalogue;
 pub mod check;
@@ -13,22 +13,22 @@
 use crate::api::client::{ClientError, DaemonClient};
 use std::{fmt, time::Duration};
 
-/// Time for one call to the daemon that was named.
+/// Timeout of a call to the daemon named on the command line.
 const CALL_TIMEOUT: Duration = Duration::from_secs(10);
-/// Time for one call to each of the others, which may be gone.
+/// Timeout of a call to any other daemon; shorter, since some of them may have ended.
 const OTHERS_TIMEOUT: Duration = Duration::from_secs(3);
-/// Tries of a call whose answer is lost.
+/// Maximum attempts at a call whose answers are lost.
 const LOST_ANSWER_TRIES: u32 = 4;
-/// Wait before such a call is repeated.
+/// Delay before a call whose answer was lost is repeated.
 const LOST_ANSWER_WAIT: Duration = Duration::from_millis(500);
 
-/// A client of the daemon at `address`, as a person names it.
+/// Creates a client of the daemon at `address` (IP address and port).
 pub fn connect(address: &str) -> DaemonClient {
     DaemonClient::new(address, CALL_TIMEOUT)
 }
 
-/// Repeats a call whose answer was lost. Only for calls that carry an id by which the daemon knows
-/// a repeat; without one a repeat could take effect twice.
+/// Repeats a call while its answer is lost. Only for idempotent calls, such as those with an id by
+/// which the daemon recognises a repeat; any other could take effect twice.
 async fn repeat_lost<T>(
     mut call: impl AsyncFnMut() -> Result<T, ClientError>,
 ) -> Result<T, ClientError> {
@@ -41,25 +41,25 @@
     call().await
 }
 
-/// How a subcommand ended, as its exit status.
+/// Exit status of a subcommand.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Exit {
-    /// Done.
+    /// The subcommand did what was asked.
     Done = 0,
-    /// It failed.
+    /// It failed, or its outcome is unknown.
     Failed = 1,
-    /// The input was wrong.
+    /// The input was invalid.
     WrongInput = 2,
-    /// It was refused; nothing was changed.
+    /// The daemon refused the call, which changed nothing.
     Refused = 3,
 }
 
-/// A subcommand that did not do what was asked: the exit status and what to print.
+/// Error of a subcommand.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Failure {
-    /// The exit status.
+    /// Exit status of the process.
     pub exit: Exit,
-    /// What is wrong and what to do about it.
+    /// Error message for the operator, with what to do about it.
     pub message: String,
 }
 
@@ -72,7 +72,7 @@
 impl std::error::Error for Failure {}
 
 impl Failure {
-    /// A failure of this kind.
+    /// Creates a failure with the text of `message`.
     pub fn new(exit: Exit, message: impl fmt::Display) -> Self {
         Self {
             exit,
--- a/src/lapisdrum/ops/output.rs
+++ b/src/lapisdrum/ops/output.rs
@@ -1,21 +1,21 @@
-//! How the command line shows what came of a subcommand: text for people or one line of JSON.
+//! Output formats of the command line: text or one line of JSON.
 
 use super::Failure;
 use serde::Serialize;
 use std::fmt::{self, Display};
 
-/// The form that was asked for.
+/// Output format.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Output {
-    /// For people.
+    /// Text for people.
     #[default]
     Text,
-    /// For programs: one JSON value on one line.
+    /// One JSON value on one line, for programs.
     Json,
 }
 
 impl Output {
-    /// A report in this form, without a line's end.
+    /// Formats a report, without a trailing newline.
     pub fn render<T: Display + Serialize>(self, report: &T) -> String {
         match self {
             Self::Text => report.to_string(),
@@ -23,7 +23,7 @@
         }
     }
 
-    /// A failure in this form.
+    /// Formats a failure, without a trailing newline.
     pub fn render_failure(self, failure: &Failure) -> String {
         match self {
             Self::Text => format!("error: {failure}"),
@@ -38,7 +38,7 @@
     }
 }
 
-/// Joins lines without one after the last, for reports of several parts.
+/// Writes lines separated by newlines, without a trailing one.
 pub(super) fn write_lines<T: Display>(
     f: &mut fmt::Formatter<'_>,
     lines: impl IntoIterator<Item = T>,
--- a/src/lapisdrum/ops/run.rs
+++ b/src/lapisdrum/ops/run.rs
@@ -1,4 +1,4 @@
-//! `lapisdrum run`: a daemon until SIGTERM or SIGINT.
+//! `lapisdrum run`: runs a daemon until SIGTERM or SIGINT.
 
 use super::{Exit, Failure, logging};
 use crate::{
@@ -12,7 +12,7 @@
 };
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
-/// Checks the settings and runs the daemon, behind the adapter that they choose.
+/// Validates the settings and runs the daemon, with the platform adapter if they choose one.
 pub async fn run(config: &Path) -> Result<(), Failure> {
     let is_adapted =
         fs::read_to_string(config).is_ok_and(|text| platform::settings::is_chosen(&text));
@@ -39,8 +39,8 @@
     ended.map_err(|e| Failure::new(Exit::Failed, format!("{e:#}")))
 }
 
-/// Reads the settings again at each SIGHUP and says what they are worth. A change takes effect at the next
-/// start: every address of the process is in use until then.
+/// Validates the settings file at each SIGHUP and logs the result. A change takes effect only at the
+/// next start, since the addresses of the running process are in use until then.
 async fn check_again(config: PathBuf, cfg: PlatformSettings, mut hangups: Signal) {
     while hangups.recv().await.is_some() {
         match PlatformSettings::load(&config) {
--- a/src/lapisdrum/ops/status.rs
+++ b/src/lapisdrum/ops/status.rs
@@ -1,4 +1,4 @@
-//! `lapisdrum status`: every daemon that the one asked knows of, put together.
+//! `lapisdrum status`: merges the status of all daemons that the queried one knows of.
 
 use super::{Failure, OTHERS_TIMEOUT, output::write_lines};
 use crate::{
@@ -15,43 +15,43 @@
 use std::fmt;
 
 data! {
-    /// A daemon and its own answer.
+    /// A daemon and its own reply.
     pub struct DaemonReport {
-        /// Its name.
+        /// Name of the daemon.
         pub daemon: DaemonId,
-        /// Its data centre.
+        /// Data centre that the daemon runs in.
         pub data_centre: String,
-        /// Where it was asked.
+        /// Address (`host:port`) at which it was queried.
         pub callers: String,
-        /// Whether the daemon that was asked first takes it for live.
+        /// Whether the daemon that was queried first considers it live.
         pub liveness: Liveness,
-        /// What it said; none when it did not answer.
+        /// Its reply; none if it did not answer.
         pub answer: Option<DaemonAnswer>,
     }
 
-    /// What a daemon says of itself.
+    /// What a daemon reports about itself.
     pub struct DaemonAnswer {
-        /// The catalogue revision in force there.
+        /// Catalogue revision in force at the daemon.
         pub revision: Revision,
-        /// Whether it takes callers.
+        /// Whether it accepts requests from callers.
         pub ready: bool,
         /// Whether the platform answers it.
         pub platform_up: bool,
     }
 
-    /// The whole system as far as it answers.
+    /// Merged status of all daemons that answered.
     pub struct StatusReport {
-        /// Daemons by name.
+        /// All known daemons, sorted by name.
         pub daemons: Vec<DaemonReport>,
-        /// Shards by name.
+        /// Shards sorted by name, each with its newest known row.
         pub shards: Vec<ShardLine>,
-        /// Workers of the shards whose owners answered.
+        /// Workers of the shards whose owners answered, sorted by name.
         pub workers: Vec<WorkerLine>,
     }
 }
 
 impl StatusReport {
-    /// Daemons that answered.
+    /// Daemons that answered, with their replies.
     pub fn answered(&self) -> impl Iterator<Item = (&DaemonReport, &DaemonAnswer)> {
         self.daemons
             .iter()
@@ -64,7 +64,7 @@
     }
 }
 
-/// Asks one daemon, then every other that it names, all at once.
+/// Queries one daemon, then all others that it lists, concurrently.
 pub async fn gather(client: &DaemonClient) -> Result<StatusReport, Failure> {
     let first = client.status().await?;
     let others = first.daemons.iter().map(|line| ask(line, &first));
@@ -104,8 +104,8 @@
     }
 }
 
-/// Of each shard the row with the greatest epoch, and of those the one seen to change last: a
-/// daemon that is cut off from the platform still shows the row of long ago.
+/// Selects the newest row of each shard: the highest epoch, then the latest change. A daemon that
+/// can't reach the platform still reports an outdated row.
 fn freshest_shards(bodies: &[&StatusBody]) -> Vec<ShardLine> {
     let mut freshest: IndexMap<ShardId, ShardLine> = IndexMap::new();
     for line in bodies.iter().flat_map(|body| &body.shards) {
--- a/src/lapisdrum/ops/timeline.rs
+++ b/src/lapisdrum/ops/timeline.rs
@@ -1,4 +1,4 @@
-//! `lapisdrum timeline`: the daemons' events merged into one order.
+//! `lapisdrum timeline`: merges the events of all daemons in the order of their stamps.
 
 use super::{Exit, Failure, OTHERS_TIMEOUT, output::write_lines};
 use crate::{
@@ -11,40 +11,41 @@
 use uhlc::NTP64;
 
 data! {
-    /// Events that a daemon no longer has.
+    /// Number of events that a daemon no longer has.
     pub struct Dropped {
-        /// The daemon.
+        /// Name of the daemon.
         pub daemon: DaemonId,
-        /// How many, all older than those that it has.
+        /// Number of events overwritten by newer ones; all are older than the remaining ones.
         pub events: u64,
     }
 
-    /// The merged time line and what is missing from it.
+    /// Merged time line, with notes on what is missing from it.
     #[derive(Default)]
     pub struct Merged {
-        /// Events of all daemons that answered, in order.
+        /// Events of all daemons that answered, ordered by stamp.
         pub events: Vec<Record>,
-        /// Events that fell out of the daemons' rings.
+        /// Events that daemons no longer have, since their ring buffers were full.
         pub dropped: Vec<Dropped>,
-        /// Daemons that did not answer, by address.
+        /// Daemons that did not answer, with their addresses except for the one queried first.
         pub silent: Vec<String>,
     }
 }
 
-/// Which events a person asked for, as written.
+/// Filter for events as given on the command line, not yet parsed.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Query {
-    /// Events of this job only.
+    /// Only events of this job.
     pub job: Option<String>,
-    /// Events of this worker only.
+    /// Only events of this worker.
     pub worker: Option<String>,
-    /// Events of this entry and of its jobs only.
+    /// Only events of this entry and of its jobs.
     pub entry: Option<String>,
-    /// A time such as `2026-01-31T12:00:00Z`, or a span before now such as `10m`.
+    /// Only events since this time, such as `2026-01-31T12:00:00Z`, or within a span before now,
+    /// such as `10m`.
     pub since: Option<String>,
 }
 
-/// Asks one daemon which others there are, and merges the time lines of all of them.
+/// Queries one daemon for the other daemons and merges the time lines of all.
 pub async fn gather(client: &DaemonClient, query: &Query) -> Result<Merged, Failure> {
     let filter = filter(query)?;
     let status = client.status().await?;
@@ -62,7 +63,7 @@
     Ok(merged)
 }
 
-/// Reads and merges the wanted events of these daemons, all at once.
+/// Reads the events that match `filter` from these daemons concurrently and merges them.
 pub async fn merge(daemons: &[(String, DaemonClient)], filter: &Filter) -> Merged {
     let calls = daemons.iter().map(|(_, client)| client.timeline_of(filter));
     let answers = futures::future::join_all(calls).await;
@@ -89,8 +90,8 @@
     }
 }
 
-/// Keeps the events of an entry and of its jobs. Which jobs are the entry's is told by the events
-/// of their acceptance and, for those that fell out of a ring, by the list of jobs.
+/// Keeps only the events of an entry and of its jobs. The jobs are found by their acceptance events
+/// and, where those were overwritten, by the list of jobs.
 async fn keep_entry(merged: &mut Merged, client: &DaemonClient, entry: &str) {
     let mut jobs: IndexSet<JobId> = IndexSet::new();
     if let Ok(listed) = client.jobs(Some(entry), None).await {
