--- a/src/bin/lapisdrum/commands/catalogue.rs
+++ b/src/bin/lapisdrum/commands/catalogue.rs
@@ -84,7 +84,7 @@
                 wait: wait.limit(),
             };
             let applied = ops::catalogue::apply(&daemon.client(), &file, options).await?;
-            super::print_with(output, applied)
+            super::print_with_failure(output, applied)
         }
         CatalogueCommand::List { daemon } => {
             super::print(output, &ops::catalogue::list(&daemon.client()).await?)
@@ -99,7 +99,7 @@
             daemon,
         } => {
             let retired = ops::catalogue::retire(&daemon.client(), &entry, wait.limit()).await?;
-            super::print_with(output, retired)
+            super::print_with_failure(output, retired)
         }
         CatalogueCommand::History { daemon } => {
             super::print(output, &ops::catalogue::history(&daemon.client()).await?)
--- a/src/bin/lapisdrum/commands/completions.rs
+++ b/src/bin/lapisdrum/commands/completions.rs
@@ -22,5 +22,5 @@
 pub(crate) fn run(args: &CompletionsArgs) -> Result<(), Failure> {
     let mut script = Vec::new();
     clap_complete::generate(args.shell, &mut Cli::command(), "lapisdrum", &mut script);
-    super::write_out(&script)
+    super::write_stdout(&script)
 }
--- a/src/bin/lapisdrum/commands/man.rs
+++ b/src/bin/lapisdrum/commands/man.rs
@@ -28,7 +28,7 @@
             let mut page = Vec::new();
             let man = clap_mangen::Man::new(Cli::command());
             man.render(&mut page).map_err(failed)?;
-            super::write_out(&page)
+            super::write_stdout(&page)
         }
     }
 }
--- a/src/bin/lapisdrum/commands/mod.rs
+++ b/src/bin/lapisdrum/commands/mod.rs
@@ -36,16 +36,16 @@
 /// Prints a report. A closed standard output, such as a pipe to `head`, gives an error instead of
 /// the panic of `println!`.
 fn print<T: Display + Serialize>(output: Output, report: &T) -> Result<(), Failure> {
-    write_out(format!("{}\n", output.render(report)).as_bytes())
+    write_stdout(format!("{}\n", output.render(report)).as_bytes())
 }
 
-fn write_out(text: &[u8]) -> Result<(), Failure> {
+fn write_stdout(text: &[u8]) -> Result<(), Failure> {
     let written = io::stdout().write_all(text);
     written.map_err(|e| Failure::new(Exit::Failed, format!("standard output: {e}")))
 }
 
 /// Prints a report, then returns the failure that came with it, if any.
-fn print_with<T: Display + Serialize>(
+fn print_with_failure<T: Display + Serialize>(
     output: Output,
     (report, failure): (T, Option<Failure>),
 ) -> Result<(), Failure> {
--- a/src/lapisdrum/api/client.rs
+++ b/src/lapisdrum/api/client.rs
@@ -23,7 +23,7 @@
 use std::{fmt, time::Duration};
 
 /// Largest response body that the client reads.
-const MAX_ANSWER_BYTES: usize = 256 * 1024 * 1024;
+const MAX_RESPONSE_BYTES: usize = 256 * 1024 * 1024;
 /// Header with the revision that a change is based on.
 const IF_MATCH: &str = "if-match";
 
@@ -34,7 +34,7 @@
     Fault(StatusCode, ErrorBody),
     /// No usable reply arrived: no connection, a time-out, or a body that can't be decoded. The
     /// daemon may have carried out the call.
-    Silent(String),
+    Unanswered(String),
 }
 
 impl fmt::Display for ClientError {
@@ -49,7 +49,7 @@
                     body.help
                 )
             }
-            Self::Silent(what) => write!(f, "the daemon did not answer: {what}"),
+            Self::Unanswered(reason) => write!(f, "the daemon did not answer: {reason}"),
         }
     }
 }
@@ -58,9 +58,9 @@
 
 impl ClientError {
     /// Whether the call may have taken effect although it failed.
-    pub fn is_unknown(&self) -> bool {
+    pub fn is_outcome_unknown(&self) -> bool {
         match self {
-            Self::Silent(_) => true,
+            Self::Unanswered(_) => true,
             Self::Fault(status, _) => *status == StatusCode::BAD_GATEWAY,
         }
     }
@@ -69,7 +69,7 @@
     pub fn retry_after(&self) -> Option<Duration> {
         match self {
             Self::Fault(_, body) => body.retry_after_s.map(Duration::from_secs),
-            Self::Silent(_) => None,
+            Self::Unanswered(_) => None,
         }
     }
 }
@@ -228,11 +228,11 @@
 
     /// Reads all events that this daemon recorded in its time line.
     pub async fn timeline(&self) -> Result<TimelineBody, ClientError> {
-        self.timeline_of(&Filter::default()).await
+        self.filtered_timeline(&Filter::default()).await
     }
 
     /// Reads the events in this daemon's time line that match `filter`.
-    pub async fn timeline_of(&self, filter: &Filter) -> Result<TimelineBody, ClientError> {
+    pub async fn filtered_timeline(&self, filter: &Filter) -> Result<TimelineBody, ClientError> {
         let since = filter.since.map(|since| since.to_string());
         let query = query(&[
             ("job", filter.job.as_ref().map(JobId::as_str)),
@@ -267,12 +267,12 @@
             Some(body) => req.send_json(body).await,
             None => req.send().await,
         };
-        let silent = |e: String| ClientError::Silent(e);
-        let mut answer = sent.map_err(|e| silent(e.to_string()))?;
-        let bytes = answer.body().limit(MAX_ANSWER_BYTES).await;
-        let bytes = bytes.map_err(|e| silent(e.to_string()))?;
+        let unanswered = |e: String| ClientError::Unanswered(e);
+        let mut answer = sent.map_err(|e| unanswered(e.to_string()))?;
+        let bytes = answer.body().limit(MAX_RESPONSE_BYTES).await;
+        let bytes = bytes.map_err(|e| unanswered(e.to_string()))?;
         if answer.status().is_success() {
-            return serde_json::from_slice(&bytes).map_err(|e| silent(e.to_string()));
+            return serde_json::from_slice(&bytes).map_err(|e| unanswered(e.to_string()));
         }
         match serde_json::from_slice(&bytes) {
             Ok(fault) => {
@@ -283,7 +283,7 @@
                 };
                 Err(ClientError::Fault(answer.status(), fault))
             }
-            Err(_) => Err(silent(answer.status().to_string())),
+            Err(_) => Err(unanswered(answer.status().to_string())),
         }
     }
 }
--- a/src/lapisdrum/api/jobs.rs
+++ b/src/lapisdrum/api/jobs.rs
@@ -22,19 +22,19 @@
         Err(e) => return error(StatusCode::BAD_REQUEST, e, "correct `idempotency-key`"),
     };
     let end = jobs::submit(cx, &entry, key.as_ref()).await;
-    answer(cx, StatusCode::ACCEPTED, end)
+    job_response(cx, StatusCode::ACCEPTED, end)
 }
 
 /// `GET /v1/jobs/ID`: the present state of a job.
 pub async fn show(cx: &Cx, job: JobId) -> HttpResponse {
     let end = jobs::show(cx, job).await;
-    answer(cx, StatusCode::OK, end)
+    job_response(cx, StatusCode::OK, end)
 }
 
 /// `DELETE /v1/jobs/ID`: replies 202 once the cancellation is durable.
 pub async fn cancel(cx: &Cx, job: JobId) -> HttpResponse {
     let end = jobs::cancel(cx, job).await;
-    answer(cx, StatusCode::ACCEPTED, end)
+    job_response(cx, StatusCode::ACCEPTED, end)
 }
 
 /// `GET /v1/jobs?entry=&state=`: the matching jobs of all shards whose owners answer.
@@ -44,7 +44,7 @@
             let listing = listing::list(cx, &filter).await;
             HttpResponse::json(StatusCode::OK, &JobsBody::from(listing))
         }
-        Err(answer) => answer,
+        Err(response) => response,
     }
 }
 
@@ -52,27 +52,27 @@
     let entry = req.query("entry").map(EntryName::try_from).transpose();
     let entry = entry.map_err(|e| error(StatusCode::BAD_REQUEST, e, "correct `entry`"))?;
     let state = match req.query("state") {
-        Some(word) => Some(job_state(word)?),
+        Some(name) => Some(job_state(name)?),
         None => None,
     };
     Ok(JobFilter { entry, state })
 }
 
-fn job_state(word: &str) -> Result<JobState, HttpResponse> {
+fn job_state(name: &str) -> Result<JobState, HttpResponse> {
     let found = JobState::ALL
         .into_iter()
-        .find(|state| state.as_str() == word);
+        .find(|state| state.as_str() == name);
     found.ok_or_else(|| {
-        let words = JobState::ALL.map(JobState::as_str).join(", ");
+        let names = JobState::ALL.map(JobState::as_str).join(", ");
         error(
             StatusCode::BAD_REQUEST,
-            format!("`{word}` is no state of a job"),
-            format!("use one of {words}"),
+            format!("`{name}` is no state of a job"),
+            format!("use one of {names}"),
         )
     })
 }
 
-fn answer(cx: &Cx, status: StatusCode, end: JobAnswer) -> HttpResponse {
+fn job_response(cx: &Cx, status: StatusCode, end: JobAnswer) -> HttpResponse {
     match end {
         JobAnswer::Job(id, job) => {
             HttpResponse::json(status, &JobBody::from((id, job))).with(OUTCOME_HEADER, "done")
--- a/src/lapisdrum/api/operators.rs
+++ b/src/lapisdrum/api/operators.rs
@@ -1,7 +1,7 @@
 //! HTTP handlers for operators: the catalogue and the time line.
 
 use super::wire::{
-    CHANGE_HEADER, CatalogueBody, ChangeBody, ChangeLine, EntryBody, HistoryBody, TimelineBody,
+    CHANGE_HEADER, CatalogueBody, ChangeBody, ChangeSummary, EntryBody, HistoryBody, TimelineBody,
     error,
 };
 use crate::{
@@ -20,7 +20,7 @@
 use actix_http::StatusCode;
 
 /// Value of `retry-after`, in seconds, while the platform's table is unavailable.
-const STORE_RETRY_S: &str = "2";
+const STORE_RETRY_AFTER_S: &str = "2";
 /// Maximum number of changes in a reply to `GET /v1/history`.
 const HISTORY_LIMIT: usize = 1_000;
 
@@ -38,8 +38,12 @@
         }
     };
     if raw.name != name.as_str() {
-        let what = format!("the path names `{name}` and the body `{}`", raw.name);
-        return error(StatusCode::BAD_REQUEST, what, "name the same entry in both");
+        let message = format!("the path names `{name}` and the body `{}`", raw.name);
+        return error(
+            StatusCode::BAD_REQUEST,
+            message,
+            "name the same entry in both",
+        );
     }
     change(cx, raw, req).await
 }
@@ -59,7 +63,7 @@
             )
             .await
         }
-        None => no_entry(&name),
+        None => entry_not_found(&name),
     }
 }
 
@@ -68,7 +72,7 @@
     match cx.catalogue.borrow().rows.get(name) {
         Some(row) => HttpResponse::json(StatusCode::OK, &EntryBody::from(row))
             .with("etag", format!("\"{}\"", row.revision)),
-        None => no_entry(name),
+        None => entry_not_found(name),
     }
 }
 
@@ -90,7 +94,7 @@
 pub fn timeline(cx: &Cx, req: &HttpRequest) -> HttpResponse {
     let filter = match event_filter(req) {
         Ok(filter) => filter,
-        Err(answer) => return answer,
+        Err(response) => return response,
     };
     let (mut events, dropped) = cx.timeline.read();
     events.retain(|record| filter.matches(record));
@@ -123,7 +127,7 @@
 pub async fn history(cx: &Cx) -> HttpResponse {
     match catalogue::history(cx, HISTORY_LIMIT).await {
         Ok(rows) => {
-            let changes = rows.into_iter().map(ChangeLine::from);
+            let changes = rows.into_iter().map(ChangeSummary::from);
             let changes = changes.collect();
             HttpResponse::json(StatusCode::OK, &HistoryBody { changes })
         }
@@ -132,15 +136,15 @@
             e,
             "come back after the time in retry-after",
         )
-        .with("retry-after", STORE_RETRY_S),
+        .with("retry-after", STORE_RETRY_AFTER_S),
     }
 }
 
-fn no_entry(name: &EntryName) -> HttpResponse {
-    let what = format!("no entry `{name}` in the catalogue");
+fn entry_not_found(name: &EntryName) -> HttpResponse {
+    let message = format!("no entry `{name}` in the catalogue");
     error(
         StatusCode::NOT_FOUND,
-        what,
+        message,
         "`lapisdrum catalogue list` shows the entries",
     )
 }
@@ -162,10 +166,10 @@
         Ok(change) => change,
         Err(e) => return error(StatusCode::BAD_REQUEST, e, "correct `lapisdrum-change`"),
     };
-    change_answer(catalogue::change(cx, raw, if_match, change).await)
+    change_response(catalogue::change(cx, raw, if_match, change).await)
 }
 
-fn change_answer(end: ChangeEnd) -> HttpResponse {
+fn change_response(end: ChangeEnd) -> HttpResponse {
     match end {
         ChangeEnd::Accepted(revision) => {
             HttpResponse::json(StatusCode::OK, &ChangeBody { revision })
@@ -191,7 +195,7 @@
             "the platform's table can't be reached; nothing was changed",
             "come back after the time in retry-after",
         )
-        .with("retry-after", STORE_RETRY_S),
+        .with("retry-after", STORE_RETRY_AFTER_S),
         ChangeEnd::Unknown => error(
             StatusCode::BAD_GATEWAY,
             "the change may have been made: the answer of the platform's table was lost",
--- a/src/lapisdrum/api/server.rs
+++ b/src/lapisdrum/api/server.rs
@@ -3,7 +3,8 @@
 use super::{
     jobs, operators, status,
     wire::{
-        CALLER_HEADER, DEADLINE_HEADER, KEY_HEADER, OUTCOME_HEADER, REQUEST_HEADER, error, refused,
+        CALLER_HEADER, DEADLINE_HEADER, KEY_HEADER, OUTCOME_HEADER, REQUEST_HEADER, error,
+        refusal_response,
     },
 };
 use crate::{
@@ -30,12 +31,12 @@
     let stop = cx.draining.subscribe();
     let limits = Rc::clone(&cx);
     let limit = move |_: &Method, path: &str| body_limit(&limits, path);
-    http::serve_with(listener, limit, stop, move |read| {
+    http::serve_with(listener, limit, stop, move |received| {
         let cx = Rc::clone(&cx);
         async move {
-            match read {
+            match received {
                 Ok(req) => route(&cx, req).await,
-                Err(fault) => body_fault(fault),
+                Err(fault) => body_fault_response(fault),
             }
         }
     })
@@ -45,19 +46,19 @@
 /// Maximum body size in bytes for a call to `path`. For a request it is at most the entry's own
 /// limit, so that a body that would be refused is not buffered.
 fn body_limit(cx: &Cx, path: &str) -> usize {
-    let most = cx.cfg.requests.max_body_bytes;
+    let server_limit = cx.cfg.requests.max_body_bytes;
     let entry = path.strip_prefix("/v1/run/").map(EntryName::try_from);
-    let own = match entry {
+    let entry_limit = match entry {
         Some(Ok(name)) => {
             let entry = cx.catalogue.borrow().entry(&name);
-            entry.map_or(most, |entry| entry.limits.body_bytes)
+            entry.map_or(server_limit, |entry| entry.limits.body_bytes)
         }
-        _ => most,
+        _ => server_limit,
     };
-    usize::try_from(own.min(most)).unwrap_or(usize::MAX)
+    usize::try_from(entry_limit.min(server_limit)).unwrap_or(usize::MAX)
 }
 
-fn body_fault(fault: BodyFault) -> HttpResponse {
+fn body_fault_response(fault: BodyFault) -> HttpResponse {
     let answer = match fault {
         BodyFault::TooLarge { limit } => error(
             StatusCode::PAYLOAD_TOO_LARGE,
@@ -115,14 +116,14 @@
     }
 }
 
-/// Parses a name from the path and calls `then` with it; replies 400 if the name is invalid.
-async fn with_name<T, F>(raw: &str, then: impl FnOnce(T) -> F) -> HttpResponse
+/// Parses a name from the path and calls `handler` with it; replies 400 if the name is invalid.
+async fn with_name<T, F>(raw: &str, handler: impl FnOnce(T) -> F) -> HttpResponse
 where
     T: for<'a> TryFrom<&'a str, Error = crate::core::id::InvalidName>,
     F: Future<Output = HttpResponse>,
 {
     match T::try_from(raw) {
-        Ok(name) => then(name).await,
+        Ok(name) => handler(name).await,
         Err(e) => error(StatusCode::BAD_REQUEST, e, "correct the name in the path"),
     }
 }
@@ -143,9 +144,9 @@
 }
 
 async fn run(cx: &Cx, entry: &str, req: HttpRequest) -> HttpResponse {
-    let began = cx.clock.now();
+    let started = cx.clock.now();
     let (answer, outcome) = match run_request(entry, &req) {
-        Ok(parsed) => run_answer(cx, router::run(cx, parsed).await),
+        Ok(parsed) => run_response(cx, router::run(cx, parsed).await),
         Err(answer) => (answer.with(OUTCOME_HEADER, "refused"), "refused"),
     };
     let known = EntryName::try_from(entry).ok();
@@ -153,7 +154,7 @@
     // Only entries of the catalogue become labels: else callers could add label values without
     // bound.
     if let Some(entry) = known.map(String::from) {
-        let seconds = cx.clock.now().since(began).as_secs_f64();
+        let seconds = cx.clock.now().since(started).as_secs_f64();
         cx.metrics
             .request_seconds
             .get_or_create(&EntryLabel {
@@ -190,13 +191,13 @@
         content_type: req.header("content-type").map(str::to_owned),
         deadline,
         key,
-        caller: caller_of(req),
+        caller: caller_hash(req),
     })
 }
 
 /// Identifies the caller for fairness between callers: a hash of the name that a gateway passes
 /// on, else of the peer address.
-fn caller_of(req: &HttpRequest) -> u64 {
+fn caller_hash(req: &HttpRequest) -> u64 {
     match (req.header(CALLER_HEADER), req.peer) {
         (Some(name), _) => xxh3_64(name.as_bytes()),
         (None, Some(peer)) => xxh3_64(peer.to_string().as_bytes()),
@@ -204,7 +205,7 @@
     }
 }
 
-fn run_answer(cx: &Cx, end: RunEnd) -> (HttpResponse, &'static str) {
+fn run_response(cx: &Cx, end: RunEnd) -> (HttpResponse, &'static str) {
     match end {
         RunEnd::Done(id, answer) => {
             let status = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::BAD_GATEWAY);
@@ -255,5 +256,5 @@
             reason: reason.to_owned(),
         });
     }
-    refused(refusal)
+    refusal_response(refusal)
 }
--- a/src/lapisdrum/api/status.rs
+++ b/src/lapisdrum/api/status.rs
@@ -45,7 +45,7 @@
     }
 
     /// A daemon as the answering daemon sees it.
-    pub struct DaemonLine {
+    pub struct DaemonStatus {
         /// Name of the daemon.
         pub daemon: DaemonId,
         /// Data centre that the daemon runs in.
@@ -59,7 +59,7 @@
     }
 
     /// The lease row of a shard as last read.
-    pub struct ShardLine {
+    pub struct ShardStatus {
         /// Name of the shard.
         pub shard: ShardId,
         /// Daemon that holds the lease; none after a release.
@@ -71,7 +71,7 @@
     }
 
     /// A worker of a shard that the answering daemon owns.
-    pub struct WorkerLine {
+    pub struct WorkerStatus {
         /// Name of the worker.
         pub worker: WorkerId,
         /// Rack that the worker's host is in.
@@ -97,11 +97,11 @@
         /// Whether the platform answered this daemon's last call.
         pub platform_up: bool,
         /// Daemons whose presence rows this daemon has read.
-        pub daemons: Vec<DaemonLine>,
+        pub daemons: Vec<DaemonStatus>,
         /// Shards whose lease rows this daemon has read.
-        pub shards: Vec<ShardLine>,
+        pub shards: Vec<ShardStatus>,
         /// Workers of the shards that this daemon owns.
-        pub workers: Vec<WorkerLine>,
+        pub workers: Vec<WorkerStatus>,
     }
 }
 
@@ -134,8 +134,8 @@
 fn status(cx: &Cx) -> StatusBody {
     let now = cx.clock.now();
     let members = cx.members.borrow();
-    let daemon_line = |seen: &SeenPresence| daemon_line(cx, seen, now);
-    let shards = members.shards.iter().map(|(id, seen)| ShardLine {
+    let daemon_status = |seen: &SeenPresence| daemon_status(cx, seen, now);
+    let shards = members.shards.iter().map(|(id, seen)| ShardStatus {
         shard: id.clone(),
         owner: seen.row.holder.as_ref().map(|holder| holder.daemon.clone()),
         epoch: seen.row.epoch,
@@ -144,26 +144,26 @@
     let mut workers = Vec::new();
     for shard in cx.shards.borrow().values() {
         let hosts = members.shard_hosts(&shard.id, cx.cfg.shards.count);
-        workers.extend(hosts.into_iter().map(|host| worker_line(shard, host)));
+        workers.extend(hosts.into_iter().map(|host| worker_status(shard, host)));
     }
     StatusBody {
         daemon: cx.me.daemon.clone(),
         revision: cx.catalogue.borrow().revision,
         ready: cx.is_ready(),
         platform_up: status::platform_answers(cx),
-        daemons: members.daemons.values().map(daemon_line).collect(),
+        daemons: members.daemons.values().map(daemon_status).collect(),
         shards: shards.collect(),
         workers,
     }
 }
 
-fn daemon_line(cx: &Cx, seen: &SeenPresence, now: Millis) -> DaemonLine {
+fn daemon_status(cx: &Cx, seen: &SeenPresence, now: Millis) -> DaemonStatus {
     let liveness = match status::is_live(cx, seen, now) {
         Some(true) => Liveness::Live,
         Some(false) => Liveness::Silent,
         None => Liveness::Unknown,
     };
-    DaemonLine {
+    DaemonStatus {
         daemon: seen.row.holder.daemon.clone(),
         data_centre: seen.row.data_centre.to_string(),
         callers: seen.row.callers.clone(),
@@ -172,7 +172,7 @@
     }
 }
 
-fn worker_line(shard: &Shard, host: &Host) -> WorkerLine {
+fn worker_status(shard: &Shard, host: &Host) -> WorkerStatus {
     let sessions = shard.sessions.borrow();
     let condition = match sessions.get(&host.worker) {
         _ if host.leaving => WorkerCondition::Leaving,
@@ -180,7 +180,7 @@
         Some(session) if session.claimed => WorkerCondition::Live,
         _ => WorkerCondition::Unclaimed,
     };
-    WorkerLine {
+    WorkerStatus {
         worker: host.worker.clone(),
         rack: host.rack.to_string(),
         shard: shard.id.clone(),
--- a/src/lapisdrum/api/wire.rs
+++ b/src/lapisdrum/api/wire.rs
@@ -70,7 +70,7 @@
     }
 
     /// An accepted change of the catalogue.
-    pub struct ChangeLine {
+    pub struct ChangeSummary {
         /// Catalogue revision that the change created.
         pub revision: Revision,
         /// Name of the changed entry.
@@ -84,7 +84,7 @@
     /// Reply to `GET /v1/history`.
     pub struct HistoryBody {
         /// Changes that the platform's table still has, newest first.
-        pub changes: Vec<ChangeLine>,
+        pub changes: Vec<ChangeSummary>,
     }
 
     /// A catalogue entry with its revision.
@@ -154,7 +154,7 @@
     }
 }
 
-impl From<ChangeRow> for ChangeLine {
+impl From<ChangeRow> for ChangeSummary {
     fn from(change: ChangeRow) -> Self {
         Self {
             revision: change.revision,
@@ -187,7 +187,7 @@
 }
 
 /// Builds the response to a refused call, with `retry-after` if a retry can succeed.
-pub fn refused(refusal: &Refusal) -> HttpResponse {
+pub fn refusal_response(refusal: &Refusal) -> HttpResponse {
     let status = match refusal {
         Refusal::UnknownEntry(_) | Refusal::UnknownJob(_) => StatusCode::NOT_FOUND,
         Refusal::Retired(_) => StatusCode::GONE,
@@ -201,13 +201,13 @@
         | Refusal::NoOwner { .. }
         | Refusal::Draining { .. } => StatusCode::SERVICE_UNAVAILABLE,
     };
-    let answer = error(status, refusal, refusal.help()).with(OUTCOME_HEADER, "refused");
+    let response = error(status, refusal, refusal.help()).with(OUTCOME_HEADER, "refused");
     match refusal.retry_after() {
         // Rounded up to whole seconds: a caller that retries early would be refused again.
-        Some(wait) => answer.with(
+        Some(wait) => response.with(
             "retry-after",
             millis(wait).div_ceil(1_000).max(1).to_string(),
         ),
-        None => answer,
+        None => response,
     }
 }
--- a/src/lapisdrum/ops/catalogue.rs
+++ b/src/lapisdrum/ops/catalogue.rs
@@ -3,13 +3,13 @@
 use super::{
     Exit, Failure, check,
     output::write_lines,
-    repeat_lost,
+    retry_lost_answers,
     status::{self, StatusReport},
 };
 use crate::{
     api::{
         client::{ClientError, DaemonClient, new_change_id},
-        wire::{CatalogueBody, ChangeLine, EntryBody, HistoryBody},
+        wire::{CatalogueBody, ChangeSummary, EntryBody, HistoryBody},
     },
     core::{
         catalogue::RawEntry,
@@ -22,7 +22,7 @@
 use tokio::time::Instant;
 
 /// Interval at which the daemons are polled for the revision in force.
-const IN_FORCE_POLL: Duration = Duration::from_millis(200);
+const IN_FORCE_POLL_INTERVAL: Duration = Duration::from_millis(200);
 
 data! {
     /// A key of an entry whose value in the file differs from the catalogue's.
@@ -110,12 +110,12 @@
     file: &Path,
     options: ApplyOptions,
 ) -> Result<(ApplyReport, Option<Failure>), Failure> {
-    let wanted = check::load_catalogue(file)?;
+    let file_entries = check::load_catalogue(file)?;
     let mut entries = Vec::new();
     let mut failure = None;
-    for raw in wanted {
+    for raw in file_entries {
         entries.push(match failure {
-            None => apply_or_fail(client, raw, options.dry_run, &mut failure).await,
+            None => try_apply_entry(client, raw, options.dry_run, &mut failure).await,
             Some(_) => AppliedEntry {
                 entry: raw.name,
                 applied: Applied::NotTried,
@@ -129,8 +129,8 @@
     });
     let in_force = match last {
         Some(revision) => {
-            let (reached, late) = follow(client, revision, options.wait).await?;
-            failure = failure.or(late);
+            let (reached, timeout) = wait_until_in_force(client, revision, options.wait).await?;
+            failure = failure.or(timeout);
             Some(reached)
         }
         None => None,
@@ -138,7 +138,7 @@
     Ok((ApplyReport { entries, in_force }, failure))
 }
 
-async fn apply_or_fail(
+async fn try_apply_entry(
     client: &DaemonClient,
     raw: RawEntry,
     dry_run: bool,
@@ -148,11 +148,11 @@
     match apply_entry(client, raw, dry_run).await {
         Ok(applied) => applied,
         Err(e) => {
-            let shown = e.message.clone();
+            let message = e.message.clone();
             *failure = Some(Failure::new(e.exit, format!("entry `{entry}`: {e}")));
             AppliedEntry {
                 entry,
-                applied: Applied::Failed(shown),
+                applied: Applied::Failed(message),
                 changes: Vec::new(),
             }
         }
@@ -175,11 +175,11 @@
     } else if dry_run {
         Applied::WouldChange
     } else {
-        let seen = current.map(|current| current.revision);
+        let revision_read = current.map(|current| current.revision);
         let change = new_change_id();
-        let put = async || client.put_entry_as(&raw, seen, &change).await;
-        let done = repeat_lost(put).await;
-        Applied::Changed(done.map_err(|e| lost_change(e, &change))?.revision)
+        let put = async || client.put_entry_as(&raw, revision_read, &change).await;
+        let result = retry_lost_answers(put).await;
+        Applied::Changed(result.map_err(|e| unconfirmed_change(e, &change))?.revision)
     };
     Ok(AppliedEntry {
         entry: raw.name,
@@ -190,8 +190,8 @@
 
 /// Adds the change id to the error of a change that may have been made, so that the operator can
 /// look it up in `catalogue history`.
-fn lost_change(e: ClientError, change: &ChangeId) -> Failure {
-    match e.is_unknown() {
+fn unconfirmed_change(e: ClientError, change: &ChangeId) -> Failure {
+    match e.is_outcome_unknown() {
         true => Failure::new(
             Exit::Failed,
             format!("{e}; `lapisdrum catalogue history` has change {change} if it was made"),
@@ -219,26 +219,26 @@
 
 /// Polls the daemons until all that answer have the revision in force or `wait` has passed; polls
 /// once if `wait` is none. A wait that times out is reported as a failure beside the result.
-async fn follow(
+async fn wait_until_in_force(
     client: &DaemonClient,
     revision: Revision,
     wait: Option<Duration>,
 ) -> Result<(InForce, Option<Failure>), Failure> {
-    let end = Instant::now() + wait.unwrap_or_default();
+    let deadline = Instant::now() + wait.unwrap_or_default();
     loop {
         let reached = in_force(&status::gather(client).await?, revision);
         if reached.behind.is_empty() {
             return Ok((reached, None));
         }
-        if Instant::now() >= end {
-            let late = wait.map(|wait| {
-                let what =
+        if Instant::now() >= deadline {
+            let timeout = wait.map(|wait| {
+                let message =
                     format!("not in force on all daemons within {wait:?}; it is still propagating");
-                Failure::new(Exit::Failed, what)
+                Failure::new(Exit::Failed, message)
             });
-            return Ok((reached, late));
+            return Ok((reached, timeout));
         }
-        tokio::time::sleep(IN_FORCE_POLL).await;
+        tokio::time::sleep(IN_FORCE_POLL_INTERVAL).await;
     }
 }
 
@@ -280,17 +280,17 @@
     name: &str,
     wait: Option<Duration>,
 ) -> Result<(RetireReport, Option<Failure>), Failure> {
-    let seen = client.entry(name).await?.revision;
+    let revision_read = client.entry(name).await?.revision;
     let change = new_change_id();
-    let retire = async || client.retire_entry_as(name, seen, &change).await;
-    let done = repeat_lost(retire).await;
-    let revision = done.map_err(|e| lost_change(e, &change))?.revision;
-    let (in_force, late) = follow(client, revision, wait).await?;
+    let retire = async || client.retire_entry_as(name, revision_read, &change).await;
+    let result = retry_lost_answers(retire).await;
+    let revision = result.map_err(|e| unconfirmed_change(e, &change))?.revision;
+    let (in_force, timeout) = wait_until_in_force(client, revision, wait).await?;
     let report = RetireReport {
         entry: name.to_owned(),
         in_force,
     };
-    Ok((report, late))
+    Ok((report, timeout))
 }
 
 impl fmt::Display for AppliedEntry {
@@ -300,7 +300,7 @@
             Applied::Unchanged => write!(f, "{entry}: unchanged")?,
             Applied::WouldChange => write!(f, "{entry}: would change")?,
             Applied::Changed(revision) => write!(f, "{entry}: revision {revision}")?,
-            Applied::Failed(what) => write!(f, "{entry}: not changed: {what}")?,
+            Applied::Failed(message) => write!(f, "{entry}: not changed: {message}")?,
             Applied::NotTried => write!(f, "{entry}: not tried")?,
         }
         for KeyChange { key, from, to } in &self.changes {
@@ -320,10 +320,10 @@
             "revision {} is in force on {} of {} daemons that answer",
             self.revision, self.on, self.answered
         )?;
-        for (word, daemons) in [("behind", &self.behind), ("no answer", &self.silent)] {
+        for (label, daemons) in [("behind", &self.behind), ("no answer", &self.silent)] {
             let names: Vec<&str> = daemons.iter().map(DaemonId::as_str).collect();
             if !names.is_empty() {
-                write!(f, "; {word}: {}", names.join(", "))?;
+                write!(f, "; {label}: {}", names.join(", "))?;
             }
         }
         Ok(())
@@ -373,7 +373,7 @@
     }
 }
 
-impl fmt::Display for ChangeLine {
+impl fmt::Display for ChangeSummary {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let name = self.entry.as_str();
         write!(
--- a/src/lapisdrum/ops/check.rs
+++ b/src/lapisdrum/ops/check.rs
@@ -46,14 +46,14 @@
 pub fn check(file: &Path) -> Result<CheckReport, Failure> {
     let name = file.display().to_string();
     let text = read(file)?;
-    let looks_like_catalogue = text
+    let is_catalogue = text
         .parse::<toml::Table>()
         .is_ok_and(|t| t.contains_key("entry"));
-    let content = if looks_like_catalogue {
-        let entries = entries::parse(&name, &text).map_err(wrong)?.len();
+    let content = if is_catalogue {
+        let entries = entries::parse(&name, &text).map_err(invalid_input)?.len();
         Content::Catalogue { entries }
     } else {
-        Settings::parse(&name, &text).map_err(wrong)?;
+        Settings::parse(&name, &text).map_err(invalid_input)?;
         Content::Settings
     };
     Ok(CheckReport {
@@ -65,13 +65,13 @@
 /// Reads and validates a catalogue file.
 pub fn load_catalogue(file: &Path) -> Result<Vec<RawEntry>, Failure> {
     let text = read(file)?;
-    entries::parse(&file.display().to_string(), &text).map_err(wrong)
+    entries::parse(&file.display().to_string(), &text).map_err(invalid_input)
 }
 
 fn read(file: &Path) -> Result<String, Failure> {
-    fs::read_to_string(file).map_err(|e| wrong(format!("{}: {e}", file.display())))
+    fs::read_to_string(file).map_err(|e| invalid_input(format!("{}: {e}", file.display())))
 }
 
-fn wrong(what: impl fmt::Display) -> Failure {
-    Failure::new(Exit::WrongInput, what)
+fn invalid_input(message: impl fmt::Display) -> Failure {
+    Failure::new(Exit::WrongInput, message)
 }
--- a/src/lapisdrum/ops/explain.rs
+++ b/src/lapisdrum/ops/explain.rs
@@ -45,7 +45,7 @@
 /// Result of `lapisdrum explain`.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(untagged)]
-pub enum Explained {
+pub enum Explanation {
     /// Critical path of one job.
     Job(JobPath),
     /// Sums over all jobs, one row per key.
@@ -53,36 +53,37 @@
 }
 
 /// Reads log lines from `files`, or from standard input if `files` is empty, and explains them.
-pub fn explain(files: &[PathBuf], question: &Question) -> Result<Explained, Failure> {
-    let stories = match files {
-        [] => gather([Ok(Box::new(io::stdin().lock()) as Box<dyn BufRead>)])?,
-        some => gather(some.iter().map(|file| open(file)))?,
+pub fn explain(files: &[PathBuf], question: &Question) -> Result<Explanation, Failure> {
+    let traces = match files {
+        [] => read_traces([Ok(Box::new(io::stdin().lock()) as Box<dyn BufRead>)])?,
+        some => read_traces(some.iter().map(|file| open(file)))?,
     };
-    answer(&stories, question)
+    explain_traces(&traces, question)
 }
 
 fn open(file: &Path) -> Result<Box<dyn BufRead>, Failure> {
     let opened = File::open(file);
-    let opened = opened.map_err(|e| wrong(format!("failed to open {}: {e}", file.display())))?;
+    let opened =
+        opened.map_err(|e| invalid_input(format!("failed to open {}: {e}", file.display())))?;
     Ok(Box::new(BufReader::new(opened)))
 }
 
-fn wrong(message: String) -> Failure {
+fn invalid_input(message: String) -> Failure {
     Failure::new(Exit::WrongInput, message)
 }
 
-fn gather(
+fn read_traces(
     files: impl IntoIterator<Item = Result<Box<dyn BufRead>, Failure>>,
 ) -> Result<Stories, Failure> {
     let mut lines = Vec::new();
     for file in files {
         for raw in file?.split(b'\n') {
-            let raw = raw.map_err(|e| wrong(format!("failed to read a log: {e}")))?;
+            let raw = raw.map_err(|e| invalid_input(format!("failed to read a log: {e}")))?;
             lines.extend(line::read(&String::from_utf8_lossy(&raw)));
         }
     }
     if lines.is_empty() {
-        return Err(wrong(
+        return Err(invalid_input(
             "no line of a daemon's JSON log tells of a job or of a shard's owner".to_owned(),
         ));
     }
@@ -90,30 +91,32 @@
 }
 
 /// Explains job traces that were already gathered from log lines.
-pub fn answer(stories: &Stories, question: &Question) -> Result<Explained, Failure> {
+pub fn explain_traces(traces: &Stories, question: &Question) -> Result<Explanation, Failure> {
     match question {
-        Question::Sums(by) => Ok(Explained::Sums(totals::sum(stories, *by))),
+        Question::Sums(by) => Ok(Explanation::Sums(totals::sum(traces, *by))),
         Question::Job(raw) => {
-            let id: JobId = raw.parse().map_err(|e| wrong(format!("`{raw}`: {e}")))?;
-            let story = stories.jobs.get(&id);
-            let story = story.ok_or_else(|| wrong(format!("no line tells of job {id}")))?;
-            Ok(Explained::Job(job_path(id, story, stories)?))
+            let id: JobId = raw
+                .parse()
+                .map_err(|e| invalid_input(format!("`{raw}`: {e}")))?;
+            let trace = traces.jobs.get(&id);
+            let trace = trace.ok_or_else(|| invalid_input(format!("no line tells of job {id}")))?;
+            Ok(Explanation::Job(job_path(id, trace, traces)?))
         }
     }
 }
 
-fn job_path(id: JobId, story: &Story, stories: &Stories) -> Result<JobPath, Failure> {
-    let path = path::critical(id, story, stories);
+fn job_path(id: JobId, trace: &Story, traces: &Stories) -> Result<JobPath, Failure> {
+    let path = path::critical(id, trace, traces);
     let path = path.ok_or_else(|| {
-        wrong(format!(
+        invalid_input(format!(
             "the line of job {id}'s acceptance is missing; give the lines of all daemons since then"
         ))
     })?;
     Ok(JobPath {
         job: id.to_string(),
-        queue: story.queue.clone(),
-        data_centre: story.data_centre.clone(),
-        objective_ms: story.objective_ms,
+        queue: trace.queue.clone(),
+        data_centre: trace.data_centre.clone(),
+        objective_ms: trace.objective_ms,
         path,
     })
 }
@@ -142,7 +145,7 @@
     }
 }
 
-impl fmt::Display for Explained {
+impl fmt::Display for Explanation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Job(path) => path.fmt(f),
--- a/src/lapisdrum/ops/jobs.rs
+++ b/src/lapisdrum/ops/jobs.rs
@@ -1,6 +1,6 @@
 //! `lapisdrum jobs`: submit, show, list and cancel.
 
-use super::{Exit, Failure, output::write_lines, repeat_lost};
+use super::{Exit, Failure, output::write_lines, retry_lost_answers};
 use crate::{
     api::{
         client::{ClientError, DaemonClient},
@@ -20,15 +20,15 @@
     key: Option<&str>,
     wait: Duration,
 ) -> Result<JobBody, Failure> {
-    let drawn = format!("{:016x}", rand::random::<u64>());
-    let key = RequestId::try_from(key.unwrap_or(&drawn));
+    let generated = format!("{:016x}", rand::random::<u64>());
+    let key = RequestId::try_from(key.unwrap_or(&generated));
     let key = key.map_err(|e| Failure::new(Exit::WrongInput, e))?;
-    let end = Instant::now() + wait;
+    let deadline = Instant::now() + wait;
     loop {
-        let submitted = repeat_lost(async || client.submit_job_as(entry, &key).await).await;
-        let again = submitted.as_ref().err().and_then(ClientError::retry_after);
-        match again {
-            Some(again) if Instant::now() + again <= end => tokio::time::sleep(again).await,
+        let submitted = retry_lost_answers(async || client.submit_job_as(entry, &key).await).await;
+        let delay = submitted.as_ref().err().and_then(ClientError::retry_after);
+        match delay {
+            Some(delay) if Instant::now() + delay <= deadline => tokio::time::sleep(delay).await,
             _ => return Ok(submitted?),
         }
     }
@@ -51,7 +51,7 @@
 /// Cancels a job. Cancelling twice has no further effect, so the call is repeated if its answer is
 /// lost.
 pub async fn cancel(client: &DaemonClient, job: &str) -> Result<JobBody, Failure> {
-    Ok(repeat_lost(async || client.cancel_job(job).await).await?)
+    Ok(retry_lost_answers(async || client.cancel_job(job).await).await?)
 }
 
 impl fmt::Display for JobBody {
--- a/src/lapisdrum/ops/logging.rs
+++ b/src/lapisdrum/ops/logging.rs
@@ -5,7 +5,7 @@
 //!
 //! Logging never blocks: lines go through a bounded channel to a thread that writes them. Otherwise
 //! a stalled reader of standard output would delay all orders to workers. Lines that find the
-//! channel full or exceed [`LINES_A_SECOND`] are dropped and counted, and the count is logged.
+//! channel full or exceed [`MAX_LINES_PER_SECOND`] are dropped and counted, and the count is logged.
 
 use crate::settings::{LogFormat, LogSettings};
 use logforth::{
@@ -26,12 +26,12 @@
 };
 
 /// Capacity of the channel in lines, about 1 MB: holds 2 s of output of the busiest owner.
-const WAITING_LINES: usize = 4_096;
+const CHANNEL_CAPACITY_LINES: usize = 4_096;
 /// Maximum number of lines written per second: three times what an owner writes that starts 200
 /// tasks per second.
-const LINES_A_SECOND: u64 = 2_000;
+const MAX_LINES_PER_SECOND: u64 = 2_000;
 /// Time window of the rate limit.
-const COUNTED_SPAN: Duration = Duration::from_secs(1);
+const RATE_WINDOW: Duration = Duration::from_secs(1);
 
 /// Installs the global logger. Call it once, before the daemon starts.
 pub fn start(cfg: &LogSettings) {
@@ -53,20 +53,20 @@
     layout: Box<dyn Layout>,
     tx: SyncSender<Vec<u8>>,
     /// Number of lines dropped since the last line that reported the count.
-    left_out: Arc<AtomicU64>,
+    dropped: Arc<AtomicU64>,
 }
 
 impl BoundedStdout {
     fn start(layout: impl Into<Box<dyn Layout>>) -> Self {
-        let (tx, rx) = sync_channel(WAITING_LINES);
-        let left_out = Arc::new(AtomicU64::new(0));
-        let counted = Arc::clone(&left_out);
+        let (tx, rx) = sync_channel(CHANNEL_CAPACITY_LINES);
+        let dropped = Arc::new(AtomicU64::new(0));
+        let writer_dropped = Arc::clone(&dropped);
         // Ends with the process; lines that are still queued then are lost.
-        thread::spawn(move || write_lines(&rx, &counted));
+        thread::spawn(move || write_lines(&rx, &writer_dropped));
         Self {
             layout: layout.into(),
             tx,
-            left_out,
+            dropped,
         }
     }
 }
@@ -76,7 +76,7 @@
         let mut line = self.layout.format(record, diags)?;
         line.push(b'\n');
         if self.tx.try_send(line).is_err() {
-            self.left_out.fetch_add(1, Ordering::Relaxed);
+            self.dropped.fetch_add(1, Ordering::Relaxed);
         }
         Ok(())
     }
@@ -86,17 +86,17 @@
     }
 }
 
-fn write_lines(rx: &Receiver<Vec<u8>>, left_out: &AtomicU64) {
+fn write_lines(rx: &Receiver<Vec<u8>>, dropped: &AtomicU64) {
     let mut out = std::io::stdout();
-    let (mut began, mut lines) = (Instant::now(), 0);
+    let (mut window_start, mut lines) = (Instant::now(), 0);
     while let Ok(line) = rx.recv() {
-        if began.elapsed() >= COUNTED_SPAN {
-            (began, lines) = (Instant::now(), 0);
-            report(&mut out, left_out);
+        if window_start.elapsed() >= RATE_WINDOW {
+            (window_start, lines) = (Instant::now(), 0);
+            report_dropped(&mut out, dropped);
         }
         lines += 1;
-        if lines > LINES_A_SECOND {
-            left_out.fetch_add(1, Ordering::Relaxed);
+        if lines > MAX_LINES_PER_SECOND {
+            dropped.fetch_add(1, Ordering::Relaxed);
             continue;
         }
         // Fails if standard output is closed; there is nowhere left to report that.
@@ -104,8 +104,8 @@
     }
 }
 
-fn report(out: &mut impl Write, left_out: &AtomicU64) {
-    let count = left_out.swap(0, Ordering::Relaxed);
+fn report_dropped(out: &mut impl Write, dropped: &AtomicU64) {
+    let count = dropped.swap(0, Ordering::Relaxed);
     if count > 0 {
         let line =
             format!("{{\"level\":\"WARN\",\"message\":\"lines left out\",\"count\":{count}}}\n");
--- a/src/lapisdrum/ops/mod.rs
+++ b/src/lapisdrum/ops/mod.rs
@@ -16,11 +16,11 @@
 /// Timeout of a call to the daemon named on the command line.
 const CALL_TIMEOUT: Duration = Duration::from_secs(10);
 /// Timeout of a call to any other daemon; shorter, since some of them may have ended.
-const OTHERS_TIMEOUT: Duration = Duration::from_secs(3);
+const OTHER_DAEMONS_TIMEOUT: Duration = Duration::from_secs(3);
 /// Maximum attempts at a call whose answers are lost.
-const LOST_ANSWER_TRIES: u32 = 4;
+const MAX_LOST_ANSWER_ATTEMPTS: u32 = 4;
 /// Delay before a call whose answer was lost is repeated.
-const LOST_ANSWER_WAIT: Duration = Duration::from_millis(500);
+const LOST_ANSWER_RETRY_DELAY: Duration = Duration::from_millis(500);
 
 /// Creates a client of the daemon at `address` (IP address and port).
 pub fn connect(address: &str) -> DaemonClient {
@@ -29,13 +29,13 @@
 
 /// Repeats a call while its answer is lost. Only for idempotent calls, such as those with an id by
 /// which the daemon recognises a repeat; any other could take effect twice.
-async fn repeat_lost<T>(
+async fn retry_lost_answers<T>(
     mut call: impl AsyncFnMut() -> Result<T, ClientError>,
 ) -> Result<T, ClientError> {
-    for _ in 1..LOST_ANSWER_TRIES {
+    for _ in 1..MAX_LOST_ANSWER_ATTEMPTS {
         match call().await {
-            Err(e) if e.is_unknown() => tokio::time::sleep(LOST_ANSWER_WAIT).await,
-            settled => return settled,
+            Err(e) if e.is_outcome_unknown() => tokio::time::sleep(LOST_ANSWER_RETRY_DELAY).await,
+            result => return result,
         }
     }
     call().await
@@ -84,7 +84,7 @@
 impl From<ClientError> for Failure {
     fn from(e: ClientError) -> Self {
         let exit = match &e {
-            ClientError::Silent(_) => Exit::Failed,
+            ClientError::Unanswered(_) => Exit::Failed,
             ClientError::Fault(status, _) if status.as_u16() == 502 => Exit::Failed,
             ClientError::Fault(status, _) if matches!(status.as_u16(), 400 | 404 | 422) => {
                 Exit::WrongInput
--- a/src/lapisdrum/ops/run.rs
+++ b/src/lapisdrum/ops/run.rs
@@ -14,10 +14,10 @@
 
 /// Validates the settings and runs the daemon, with the platform adapter if they choose one.
 pub async fn run(config: &Path) -> Result<(), Failure> {
-    let is_adapted =
+    let uses_adapter =
         fs::read_to_string(config).is_ok_and(|text| platform::settings::is_chosen(&text));
-    if is_adapted {
-        return run_adapted(config).await;
+    if uses_adapter {
+        return run_with_adapter(config).await;
     }
     let cfg = Settings::load(config).map_err(|e| Failure::new(Exit::WrongInput, e))?;
     logging::start(&cfg.log);
@@ -26,7 +26,7 @@
     ended.map_err(|e| Failure::new(Exit::Failed, format!("{e:#}")))
 }
 
-async fn run_adapted(config: &Path) -> Result<(), Failure> {
+async fn run_with_adapter(config: &Path) -> Result<(), Failure> {
     let cfg = PlatformSettings::load(config).map_err(|e| Failure::new(Exit::WrongInput, e))?;
     logging::start(&LogSettings {
         format: LogFormat::Json,
@@ -34,14 +34,14 @@
     });
     let stop = stop_signal().map_err(|e| Failure::new(Exit::Failed, e))?;
     let hangups = signal(SignalKind::hangup()).map_err(|e| Failure::new(Exit::Failed, e))?;
-    actix_rt::spawn(check_again(config.to_owned(), cfg.clone(), hangups));
+    actix_rt::spawn(validate_at_hangup(config.to_owned(), cfg.clone(), hangups));
     let ended = platform::run(cfg, stop).await;
     ended.map_err(|e| Failure::new(Exit::Failed, format!("{e:#}")))
 }
 
 /// Validates the settings file at each SIGHUP and logs the result. A change takes effect only at the
 /// next start, since the addresses of the running process are in use until then.
-async fn check_again(config: PathBuf, cfg: PlatformSettings, mut hangups: Signal) {
+async fn validate_at_hangup(config: PathBuf, cfg: PlatformSettings, mut hangups: Signal) {
     while hangups.recv().await.is_some() {
         match PlatformSettings::load(&config) {
             Ok(read) if read == cfg => log::info!("settings read again; nothing has changed"),
--- a/src/lapisdrum/ops/status.rs
+++ b/src/lapisdrum/ops/status.rs
@@ -1,10 +1,10 @@
 //! `lapisdrum status`: merges the status of all daemons that the queried one knows of.
 
-use super::{Failure, OTHERS_TIMEOUT, output::write_lines};
+use super::{Failure, OTHER_DAEMONS_TIMEOUT, output::write_lines};
 use crate::{
     api::{
         client::DaemonClient,
-        status::{DaemonLine, Liveness, ShardLine, StatusBody, WorkerLine},
+        status::{DaemonStatus, Liveness, ShardStatus, StatusBody, WorkerStatus},
     },
     core::{
         id::{DaemonId, Revision, ShardId},
@@ -44,9 +44,9 @@
         /// All known daemons, sorted by name.
         pub daemons: Vec<DaemonReport>,
         /// Shards sorted by name, each with its newest known row.
-        pub shards: Vec<ShardLine>,
+        pub shards: Vec<ShardStatus>,
         /// Workers of the shards whose owners answered, sorted by name.
-        pub workers: Vec<WorkerLine>,
+        pub workers: Vec<WorkerStatus>,
     }
 }
 
@@ -67,30 +67,32 @@
 /// Queries one daemon, then all others that it lists, concurrently.
 pub async fn gather(client: &DaemonClient) -> Result<StatusReport, Failure> {
     let first = client.status().await?;
-    let others = first.daemons.iter().map(|line| ask(line, &first));
-    let answers = futures::future::join_all(others).await;
+    let calls = first.daemons.iter().map(|line| fetch_status(line, &first));
+    let answers = futures::future::join_all(calls).await;
     let lines = first.daemons.iter().zip(&answers);
-    let mut daemons: Vec<DaemonReport> = lines.map(|(line, answer)| report(line, answer)).collect();
+    let mut daemons: Vec<DaemonReport> = lines
+        .map(|(line, answer)| daemon_report(line, answer))
+        .collect();
     daemons.sort_by(|a, b| a.daemon.cmp(&b.daemon));
     let bodies: Vec<&StatusBody> = answers.iter().flatten().collect();
-    let mut workers: Vec<WorkerLine> = bodies.iter().flat_map(|b| b.workers.clone()).collect();
+    let mut workers: Vec<WorkerStatus> = bodies.iter().flat_map(|b| b.workers.clone()).collect();
     workers.sort_by(|a, b| a.worker.cmp(&b.worker));
     Ok(StatusReport {
         daemons,
-        shards: freshest_shards(&bodies),
+        shards: newest_shard_rows(&bodies),
         workers,
     })
 }
 
-async fn ask(line: &DaemonLine, first: &StatusBody) -> Option<StatusBody> {
+async fn fetch_status(line: &DaemonStatus, first: &StatusBody) -> Option<StatusBody> {
     if line.daemon == first.daemon {
         return Some(first.clone());
     }
-    let client = DaemonClient::new(&line.callers, OTHERS_TIMEOUT);
+    let client = DaemonClient::new(&line.callers, OTHER_DAEMONS_TIMEOUT);
     client.status().await.ok()
 }
 
-fn report(line: &DaemonLine, answer: &Option<StatusBody>) -> DaemonReport {
+fn daemon_report(line: &DaemonStatus, answer: &Option<StatusBody>) -> DaemonReport {
     DaemonReport {
         daemon: line.daemon.clone(),
         data_centre: line.data_centre.clone(),
@@ -106,19 +108,19 @@
 
 /// Selects the newest row of each shard: the highest epoch, then the latest change. A daemon that
 /// can't reach the platform still reports an outdated row.
-fn freshest_shards(bodies: &[&StatusBody]) -> Vec<ShardLine> {
-    let mut freshest: IndexMap<ShardId, ShardLine> = IndexMap::new();
+fn newest_shard_rows(bodies: &[&StatusBody]) -> Vec<ShardStatus> {
+    let mut newest: IndexMap<ShardId, ShardStatus> = IndexMap::new();
     for line in bodies.iter().flat_map(|body| &body.shards) {
-        let newer = freshest.get(&line.shard).is_none_or(|known| {
+        let newer = newest.get(&line.shard).is_none_or(|known| {
             (known.epoch, std::cmp::Reverse(known.unchanged_ms))
                 < (line.epoch, std::cmp::Reverse(line.unchanged_ms))
         });
         if newer {
-            freshest.insert(line.shard.clone(), line.clone());
+            newest.insert(line.shard.clone(), line.clone());
         }
     }
-    freshest.sort_keys();
-    freshest.into_values().collect()
+    newest.sort_keys();
+    newest.into_values().collect()
 }
 
 impl fmt::Display for StatusReport {
@@ -151,7 +153,7 @@
     format!("  {name:<16} {dc:<12} {callers:<21} {state}")
 }
 
-fn shard_text(shard: &ShardLine) -> String {
+fn shard_text(shard: &ShardStatus) -> String {
     let owner = shard.owner.as_ref().map_or("nobody", DaemonId::as_str);
     let name = shard.shard.as_str();
     let seconds = shard.unchanged_ms / 1_000;
@@ -161,12 +163,12 @@
     )
 }
 
-fn worker_text(line: &WorkerLine) -> String {
+fn worker_text(line: &WorkerStatus) -> String {
     let name = line.worker.as_str();
     let condition = line.condition.to_string();
-    let (taken, has) = (size_text(&line.committed), size_text(&line.capacity));
+    let (committed, capacity) = (size_text(&line.committed), size_text(&line.capacity));
     format!(
-        "  {name:<16} {:<12} {condition:<10} committed {taken} of {has}",
+        "  {name:<16} {:<12} {condition:<10} committed {committed} of {capacity}",
         line.rack
     )
 }
--- a/src/lapisdrum/ops/timeline.rs
+++ b/src/lapisdrum/ops/timeline.rs
@@ -1,6 +1,6 @@
 //! `lapisdrum timeline`: merges the events of all daemons in the order of their stamps.
 
-use super::{Exit, Failure, OTHERS_TIMEOUT, output::write_lines};
+use super::{Exit, Failure, OTHER_DAEMONS_TIMEOUT, output::write_lines};
 use crate::{
     api::{client::DaemonClient, wire::TimelineBody},
     core::id::{DaemonId, InvalidName, JobId, WorkerId},
@@ -12,7 +12,7 @@
 
 data! {
     /// Number of events that a daemon no longer has.
-    pub struct Dropped {
+    pub struct DroppedEvents {
         /// Name of the daemon.
         pub daemon: DaemonId,
         /// Number of events overwritten by newer ones; all are older than the remaining ones.
@@ -21,11 +21,11 @@
 
     /// Merged time line, with notes on what is missing from it.
     #[derive(Default)]
-    pub struct Merged {
+    pub struct MergedTimeline {
         /// Events of all daemons that answered, ordered by stamp.
         pub events: Vec<Record>,
         /// Events that daemons no longer have, since their ring buffers were full.
-        pub dropped: Vec<Dropped>,
+        pub dropped: Vec<DroppedEvents>,
         /// Daemons that did not answer, with their addresses except for the one queried first.
         pub silent: Vec<String>,
     }
@@ -46,31 +46,33 @@
 }
 
 /// Queries one daemon for the other daemons and merges the time lines of all.
-pub async fn gather(client: &DaemonClient, query: &Query) -> Result<Merged, Failure> {
+pub async fn gather(client: &DaemonClient, query: &Query) -> Result<MergedTimeline, Failure> {
     let filter = filter(query)?;
     let status = client.status().await?;
     let others = status.daemons.iter();
     let others = others.filter(|line| line.daemon != status.daemon);
     let mut daemons = vec![(status.daemon.to_string(), client.clone())];
     daemons.extend(others.map(|line| {
-        let client = DaemonClient::new(&line.callers, OTHERS_TIMEOUT);
+        let client = DaemonClient::new(&line.callers, OTHER_DAEMONS_TIMEOUT);
         (format!("{} at {}", line.daemon, line.callers), client)
     }));
     let mut merged = merge(&daemons, &filter).await;
     if let Some(entry) = &query.entry {
-        keep_entry(&mut merged, client, entry).await;
+        retain_entry_events(&mut merged, client, entry).await;
     }
     Ok(merged)
 }
 
 /// Reads the events that match `filter` from these daemons concurrently and merges them.
-pub async fn merge(daemons: &[(String, DaemonClient)], filter: &Filter) -> Merged {
-    let calls = daemons.iter().map(|(_, client)| client.timeline_of(filter));
+pub async fn merge(daemons: &[(String, DaemonClient)], filter: &Filter) -> MergedTimeline {
+    let calls = daemons
+        .iter()
+        .map(|(_, client)| client.filtered_timeline(filter));
     let answers = futures::future::join_all(calls).await;
-    let mut merged = Merged::default();
+    let mut merged = MergedTimeline::default();
     for ((name, _), answer) in daemons.iter().zip(answers) {
         match answer {
-            Ok(part) => merged.add(part),
+            Ok(body) => merged.add(body),
             Err(_) => merged.silent.push(name.clone()),
         }
     }
@@ -78,13 +80,13 @@
     merged
 }
 
-impl Merged {
-    fn add(&mut self, part: TimelineBody) {
-        self.events.extend(part.events);
-        if part.dropped > 0 {
-            self.dropped.push(Dropped {
-                daemon: part.daemon,
-                events: part.dropped,
+impl MergedTimeline {
+    fn add(&mut self, body: TimelineBody) {
+        self.events.extend(body.events);
+        if body.dropped > 0 {
+            self.dropped.push(DroppedEvents {
+                daemon: body.daemon,
+                events: body.dropped,
             });
         }
     }
@@ -92,7 +94,7 @@
 
 /// Keeps only the events of an entry and of its jobs. The jobs are found by their acceptance events
 /// and, where those were overwritten, by the list of jobs.
-async fn keep_entry(merged: &mut Merged, client: &DaemonClient, entry: &str) {
+async fn retain_entry_events(merged: &mut MergedTimeline, client: &DaemonClient, entry: &str) {
     let mut jobs: IndexSet<JobId> = IndexSet::new();
     if let Ok(listed) = client.jobs(Some(entry), None).await {
         jobs.extend(listed.jobs.into_iter().map(|job| job.job));
@@ -112,13 +114,13 @@
 }
 
 fn filter(query: &Query) -> Result<Filter, Failure> {
-    let wrong = |e: InvalidName| Failure::new(Exit::WrongInput, e);
+    let invalid_name = |e: InvalidName| Failure::new(Exit::WrongInput, e);
     let job = query.job.as_deref().map(JobId::try_from).transpose();
     let worker = query.worker.as_deref().map(WorkerId::try_from).transpose();
     let since = query.since.as_deref().map(parse_since).transpose()?;
     Ok(Filter {
-        job: job.map_err(wrong)?,
-        worker: worker.map_err(wrong)?,
+        job: job.map_err(invalid_name)?,
+        worker: worker.map_err(invalid_name)?,
         since: since.map(|since| since.as_u64()),
     })
 }
@@ -150,7 +152,7 @@
     Some(Duration::from_secs(count.checked_mul(seconds)?))
 }
 
-impl fmt::Display for Merged {
+impl fmt::Display for MergedTimeline {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let mut lines: Vec<String> = self.events.iter().map(ToString::to_string).collect();
         if lines.is_empty() {
--- a/tests/testsuite/attribution.rs
+++ b/tests/testsuite/attribution.rs
@@ -8,7 +8,7 @@
         story::Stories,
         totals::By,
     },
-    ops::explain::{Explained, Question, answer, explain},
+    ops::explain::{Explanation, Question, explain, explain_traces},
     sched::shape::{Shape, StepShape},
 };
 use proptest::prelude::*;
@@ -101,8 +101,8 @@
 }
 
 fn path_of(stories: &Stories) -> Vec<Span> {
-    match answer(stories, &Question::Job(JOB.to_owned())) {
-        Ok(Explained::Job(job)) => job.path,
+    match explain_traces(stories, &Question::Job(JOB.to_owned())) {
+        Ok(Explanation::Job(job)) => job.path,
         other => panic!("{other:?}"),
     }
 }
@@ -127,7 +127,7 @@
     assert_eq!(time_on(&path, &Spent::Recovering), 100);
     assert_eq!(time_on(&path, &Spent::Journal), 60);
     assert_eq!(time_on(&path, &Spent::Place("Pressure".to_owned())), 1_000);
-    let shown = answer(&stories, &Question::Job(JOB.to_owned())).expect("an answer");
+    let shown = explain_traces(&stories, &Question::Job(JOB.to_owned())).expect("an answer");
     let shown = shown.to_string();
     assert!(
         shown.contains("renders, submitted at karen: 6.110 s, on time within 5.000 s"),
@@ -144,8 +144,8 @@
         (By::DataCentre, "karen"),
         (By::Second, "    0 s"),
     ] {
-        let answered = answer(&stories(), &Question::Sums(by)).expect("an answer");
-        let Explained::Sums(rows) = answered else {
+        let answered = explain_traces(&stories(), &Question::Sums(by)).expect("an answer");
+        let Explanation::Sums(rows) = answered else {
             panic!("no sums");
         };
         assert_eq!(rows.len(), 1);
@@ -175,7 +175,7 @@
         ("xyz", "16 hexadecimal digits"),
         ("00000000000000bb", "no line tells"),
     ] {
-        let refused = answer(&stories, &Question::Job(id.to_owned())).expect_err("no job");
+        let refused = explain_traces(&stories, &Question::Job(id.to_owned())).expect_err("no job");
         assert!(refused.message.contains(says), "{refused}");
     }
     let without = lines()
@@ -183,7 +183,7 @@
         .filter(|raw| !raw.contains("job accepted"));
     let without: Vec<String> = without.collect();
     let stories = Stories::gather(without.iter().filter_map(|raw| line::read(raw)));
-    let refused = answer(&stories, &Question::Job(JOB.to_owned())).expect_err("no path");
+    let refused = explain_traces(&stories, &Question::Job(JOB.to_owned())).expect_err("no path");
     assert!(
         refused.message.contains("acceptance is missing"),
         "{refused}"
@@ -200,8 +200,8 @@
         .map(|raw| raw.replace("1x1000 1x500@0", "1x1000+"))
         .collect();
     let stories = Stories::gather(raw.iter().filter_map(|raw| line::read(raw)));
-    let answered = answer(&stories, &Question::Sums(By::Entry)).expect("an answer");
-    assert_matches!(&answered, Explained::Sums(rows) if rows[0].lasting_ms > 0);
+    let answered = explain_traces(&stories, &Question::Sums(By::Entry)).expect("an answer");
+    assert_matches!(&answered, Explanation::Sums(rows) if rows[0].lasting_ms > 0);
     assert!(
         answered.to_string().contains("tasks that last were away"),
         "{answered}"
--- a/tests/testsuite/timeline/merged.rs
+++ b/tests/testsuite/timeline/merged.rs
@@ -8,7 +8,7 @@
     daemon::Cx,
     ops::{
         connect,
-        timeline::{Dropped, merge},
+        timeline::{DroppedEvents, merge},
     },
     timeline::event::{Filter, Happening},
 };
@@ -62,7 +62,7 @@
         .collect();
     let kept: Vec<u64> = (50..CAPACITY + 60).collect();
     assert_eq!(revisions, kept);
-    let dropped = Dropped {
+    let dropped = DroppedEvents {
         daemon: first.me.daemon.clone(),
         events: 50,
     };
