--- a/src/lapisdrum/api/client.rs
+++ b/src/lapisdrum/api/client.rs
@@ -77,7 +77,7 @@
 /// Returns a random change id, unique with near certainty.
 pub fn new_change_id() -> ChangeId {
     let text = format!("{:016x}", rand::random::<u64>());
-    ChangeId::try_from(text).unwrap_or_else(|e| unreachable!("a drawn id is valid: {e}"))
+    ChangeId::try_from(text).unwrap_or_else(|e| unreachable!("a generated id is valid: {e}"))
 }
 
 /// Seconds given by the `retry-after` header; none if it is absent or an HTTP date.
@@ -244,8 +244,8 @@
 
     /// Whether the daemon reports that it accepts requests from callers.
     pub async fn is_ready(&self) -> bool {
-        let answer = self.http.get(format!("{}/readyz", self.base)).send().await;
-        answer.is_ok_and(|answer| answer.status().is_success())
+        let response = self.http.get(format!("{}/readyz", self.base)).send().await;
+        response.is_ok_and(|response| response.status().is_success())
     }
 
     async fn get<T: DeserializeOwned>(&self, path: &str) -> Result<T, ClientError> {
@@ -268,22 +268,22 @@
             None => req.send().await,
         };
         let unanswered = |e: String| ClientError::Unanswered(e);
-        let mut answer = sent.map_err(|e| unanswered(e.to_string()))?;
-        let bytes = answer.body().limit(MAX_RESPONSE_BYTES).await;
+        let mut response = sent.map_err(|e| unanswered(e.to_string()))?;
+        let bytes = response.body().limit(MAX_RESPONSE_BYTES).await;
         let bytes = bytes.map_err(|e| unanswered(e.to_string()))?;
-        if answer.status().is_success() {
+        if response.status().is_success() {
             return serde_json::from_slice(&bytes).map_err(|e| unanswered(e.to_string()));
         }
         match serde_json::from_slice(&bytes) {
             Ok(fault) => {
-                let retry_after_s = retry_after(answer.headers());
+                let retry_after_s = retry_after(response.headers());
                 let fault = ErrorBody {
                     retry_after_s,
                     ..fault
                 };
-                Err(ClientError::Fault(answer.status(), fault))
+                Err(ClientError::Fault(response.status(), fault))
             }
-            Err(_) => Err(unanswered(answer.status().to_string())),
+            Err(_) => Err(unanswered(response.status().to_string())),
         }
     }
 }
--- a/src/lapisdrum/api/server.rs
+++ b/src/lapisdrum/api/server.rs
@@ -59,7 +59,7 @@
 }
 
 fn body_fault_response(fault: BodyFault) -> HttpResponse {
-    let answer = match fault {
+    let response = match fault {
         BodyFault::TooLarge { limit } => error(
             StatusCode::PAYLOAD_TOO_LARGE,
             format!("the body is larger than {limit} bytes"),
@@ -71,7 +71,7 @@
             "send the request again; it was not run",
         ),
     };
-    answer.with(OUTCOME_HEADER, "refused")
+    response.with(OUTCOME_HEADER, "refused")
 }
 
 async fn route(cx: &Cx, req: HttpRequest) -> HttpResponse {
@@ -145,9 +145,9 @@
 
 async fn run(cx: &Cx, entry: &str, req: HttpRequest) -> HttpResponse {
     let started = cx.clock.now();
-    let (answer, outcome) = match run_request(entry, &req) {
+    let (response, outcome) = match run_request(entry, &req) {
         Ok(parsed) => run_response(cx, router::run(cx, parsed).await),
-        Err(answer) => (answer.with(OUTCOME_HEADER, "refused"), "refused"),
+        Err(response) => (response.with(OUTCOME_HEADER, "refused"), "refused"),
     };
     let known = EntryName::try_from(entry).ok();
     let known = known.filter(|name| cx.catalogue.borrow().rows.contains_key(name));
@@ -166,7 +166,7 @@
             .get_or_create(&RequestLabels { entry, outcome })
             .inc();
     }
-    answer
+    response
 }
 
 fn run_request(entry: &str, req: &HttpRequest) -> Result<RunRequest, HttpResponse> {
--- a/src/lapisdrum/api/status.rs
+++ b/src/lapisdrum/api/status.rs
@@ -30,7 +30,7 @@
         Unknown,
     }
 
-    /// Whether a worker takes new work.
+    /// Whether a worker accepts new work and, if not, why.
     #[derive(Copy)]
     #[serde(rename_all = "kebab-case")]
     pub enum WorkerCondition {
@@ -78,7 +78,7 @@
         pub rack: String,
         /// Shard that the worker belongs to.
         pub shard: ShardId,
-        /// Whether it takes new work.
+        /// Whether it accepts new work and, if not, why.
         pub condition: WorkerCondition,
         /// Resources that the shard's ledger has committed on it, for tasks and requests together.
         pub committed: Size,
--- a/src/lapisdrum/ops/status.rs
+++ b/src/lapisdrum/ops/status.rs
@@ -35,7 +35,7 @@
         pub revision: Revision,
         /// Whether it accepts requests from callers.
         pub ready: bool,
-        /// Whether the platform answers it.
+        /// Whether the platform answered its last call.
         pub platform_up: bool,
     }
 
