--- a/src/lapisdrum/api/operators.rs
+++ b/src/lapisdrum/api/operators.rs
@@ -1,7 +1,7 @@
-//! Operators' calls: the catalogue and the time line.
+//! HTTP handlers for operators: the catalogue and the time line.
 
 use super::wire::{
-    CHANGE_HEADER, CatalogueBody, ChangeBody, ChangeLine, EntryBody, HistoryBody, TimelineBody,
+    CHANGE_HEADER, CatalogueBody, ChangeBody, ChangeSummary, EntryBody, HistoryBody, TimelineBody,
     error,
 };
 use crate::{
@@ -19,9 +19,9 @@
 };
 use actix_http::StatusCode;
 
-/// When an operator should come back while the table is away, in seconds.
-const STORE_RETRY_S: &str = "2";
-/// Most changes that a history shows.
+/// Value of `retry-after`, in seconds, while the platform's table is unavailable.
+const STORE_RETRY_AFTER_S: &str = "2";
+/// Maximum number of changes in a reply to `GET /v1/history`.
 const HISTORY_LIMIT: usize = 1_000;
 
 /// `PUT /v1/catalogue/ENTRY`: adds or changes an entry.
@@ -38,13 +38,17 @@
         }
     };
     if raw.name != name.as_str() {
-        let what = format!("the path names `{name}` and the body `{}`", raw.name);
-        return error(StatusCode::BAD_REQUEST, what, "name the same entry in both");
+        let message = format!("the path names `{name}` and the body `{}`", raw.name);
+        return error(
+            StatusCode::BAD_REQUEST,
+            message,
+            "name the same entry in both",
+        );
     }
     change(cx, raw, req).await
 }
 
-/// `DELETE /v1/catalogue/ENTRY`: retires an entry; what was accepted is finished.
+/// `DELETE /v1/catalogue/ENTRY`: retires an entry; work that was already accepted is finished.
 pub async fn retire_entry(cx: &Cx, name: EntryName, req: &HttpRequest) -> HttpResponse {
     let row = cx.catalogue.borrow().rows.get(&name).cloned();
     match row {
@@ -59,20 +63,20 @@
             )
             .await
         }
-        None => no_entry(&name),
+        None => entry_not_found(&name),
     }
 }
 
-/// `GET /v1/catalogue/ENTRY`.
+/// `GET /v1/catalogue/ENTRY`: the entry, with its revision also as `etag`.
 pub fn get_entry(cx: &Cx, name: &EntryName) -> HttpResponse {
     match cx.catalogue.borrow().rows.get(name) {
         Some(row) => HttpResponse::json(StatusCode::OK, &EntryBody::from(row))
             .with("etag", format!("\"{}\"", row.revision)),
-        None => no_entry(name),
+        None => entry_not_found(name),
     }
 }
 
-/// `GET /v1/catalogue`.
+/// `GET /v1/catalogue`: all entries, retired ones included.
 pub fn list(cx: &Cx) -> HttpResponse {
     let catalogue = cx.catalogue.borrow();
     let entries = catalogue.rows.values().map(EntryBody::from).collect();
@@ -85,11 +89,12 @@
     )
 }
 
-/// `GET /v1/timeline?job=&worker=&since=`; `since` is a stamp's time.
+/// `GET /v1/timeline?job=&worker=&since=`: the matching events that this daemon recorded. `since`
+/// is the time of an event's stamp, as an integer.
 pub fn timeline(cx: &Cx, req: &HttpRequest) -> HttpResponse {
     let filter = match event_filter(req) {
         Ok(filter) => filter,
-        Err(answer) => return answer,
+        Err(response) => return response,
     };
     let (mut events, dropped) = cx.timeline.read();
     events.retain(|record| filter.matches(record));
@@ -109,15 +114,20 @@
     Ok(Filter {
         job: job.map_err(|e| bad(e.to_string(), "correct `job`"))?,
         worker: worker.map_err(|e| bad(e.to_string(), "correct `worker`"))?,
-        since: since.map_err(|e| bad(e.to_string(), "`since` is the time of a stamp"))?,
+        since: since.map_err(|e| {
+            bad(
+                e.to_string(),
+                "`since` is the time of an event's stamp, an integer",
+            )
+        })?,
     })
 }
 
-/// `GET /v1/history`: the accepted changes that the table still has, the latest first.
+/// `GET /v1/history`: the accepted changes that the table still has, newest first.
 pub async fn history(cx: &Cx) -> HttpResponse {
     match catalogue::history(cx, HISTORY_LIMIT).await {
         Ok(rows) => {
-            let changes = rows.into_iter().map(ChangeLine::from);
+            let changes = rows.into_iter().map(ChangeSummary::from);
             let changes = changes.collect();
             HttpResponse::json(StatusCode::OK, &HistoryBody { changes })
         }
@@ -126,15 +136,15 @@
             e,
             "come back after the time in retry-after",
         )
-        .with("retry-after", STORE_RETRY_S),
+        .with("retry-after", STORE_RETRY_AFTER_S),
     }
 }
 
-fn no_entry(name: &EntryName) -> HttpResponse {
-    let what = format!("no entry `{name}` in the catalogue");
+fn entry_not_found(name: &EntryName) -> HttpResponse {
+    let message = format!("no entry `{name}` in the catalogue");
     error(
         StatusCode::NOT_FOUND,
-        what,
+        message,
         "`lapisdrum catalogue list` shows the entries",
     )
 }
@@ -156,10 +166,10 @@
         Ok(change) => change,
         Err(e) => return error(StatusCode::BAD_REQUEST, e, "correct `lapisdrum-change`"),
     };
-    change_answer(catalogue::change(cx, raw, if_match, change).await)
+    change_response(catalogue::change(cx, raw, if_match, change).await)
 }
 
-fn change_answer(end: ChangeEnd) -> HttpResponse {
+fn change_response(end: ChangeEnd) -> HttpResponse {
     match end {
         ChangeEnd::Accepted(revision) => {
             HttpResponse::json(StatusCode::OK, &ChangeBody { revision })
@@ -185,10 +195,10 @@
             "the platform's table can't be reached; nothing was changed",
             "come back after the time in retry-after",
         )
-        .with("retry-after", STORE_RETRY_S),
+        .with("retry-after", STORE_RETRY_AFTER_S),
         ChangeEnd::Unknown => error(
             StatusCode::BAD_GATEWAY,
-            "the change may be in: its answer was lost",
+            "the change may have been made: the answer of the platform's table was lost",
             "repeat it with the same `lapisdrum-change` header; it is made at most once",
         ),
     }
--- a/src/lapisdrum/ops/check.rs
+++ b/src/lapisdrum/ops/check.rs
@@ -1,4 +1,4 @@
-//! `lapisdrum check`: settings or catalogue files, all faults at once.
+//! `lapisdrum check`: validates a settings or catalogue file and reports all errors at once.
 
 use super::{Exit, Failure};
 use crate::{
@@ -8,23 +8,23 @@
 use std::{fmt, fs, path::Path};
 
 data! {
-    /// What a file without faults holds.
+    /// Kind of a valid file.
     #[serde(rename_all = "kebab-case")]
     pub enum Content {
-        /// A daemon's settings.
+        /// Settings of a daemon.
         Settings,
-        /// A catalogue.
+        /// Entries of the catalogue.
         Catalogue {
-            /// How many entries it has.
+            /// Number of entries in the file.
             entries: usize,
         },
     }
 
-    /// A file without faults.
+    /// Result for a valid file.
     pub struct CheckReport {
-        /// Its name.
+        /// Path as given on the command line.
         pub file: String,
-        /// What it holds.
+        /// Kind of the file.
         pub content: Content,
     }
 }
@@ -42,18 +42,18 @@
     }
 }
 
-/// Checks a file and says what it is.
+/// Validates a file. A TOML file with an `entry` key is read as a catalogue, any other as settings.
 pub fn check(file: &Path) -> Result<CheckReport, Failure> {
     let name = file.display().to_string();
     let text = read(file)?;
-    let looks_like_catalogue = text
+    let is_catalogue = text
         .parse::<toml::Table>()
         .is_ok_and(|t| t.contains_key("entry"));
-    let content = if looks_like_catalogue {
-        let entries = entries::parse(&name, &text).map_err(wrong)?.len();
+    let content = if is_catalogue {
+        let entries = entries::parse(&name, &text).map_err(invalid_input)?.len();
         Content::Catalogue { entries }
     } else {
-        Settings::parse(&name, &text).map_err(wrong)?;
+        Settings::parse(&name, &text).map_err(invalid_input)?;
         Content::Settings
     };
     Ok(CheckReport {
@@ -62,16 +62,16 @@
     })
 }
 
-/// Reads and checks a catalogue file.
+/// Reads and validates a catalogue file.
 pub fn load_catalogue(file: &Path) -> Result<Vec<RawEntry>, Failure> {
     let text = read(file)?;
-    entries::parse(&file.display().to_string(), &text).map_err(wrong)
+    entries::parse(&file.display().to_string(), &text).map_err(invalid_input)
 }
 
 fn read(file: &Path) -> Result<String, Failure> {
-    fs::read_to_string(file).map_err(|e| wrong(format!("{}: {e}", file.display())))
+    fs::read_to_string(file).map_err(|e| invalid_input(format!("{}: {e}", file.display())))
 }
 
-fn wrong(what: impl fmt::Display) -> Failure {
-    Failure::new(Exit::WrongInput, what)
+fn invalid_input(message: impl fmt::Display) -> Failure {
+    Failure::new(Exit::WrongInput, message)
 }
--- a/src/lapisdrum/ops/explain.rs
+++ b/src/lapisdrum/ops/explain.rs
@@ -1,4 +1,4 @@
-//! `lapisdrum explain`: where jobs' time went, from the daemons' log lines.
+//! `lapisdrum explain`: breaks down where the time of jobs went, from the log lines of the daemons.
 
 use super::{Exit, Failure, output::write_lines};
 use crate::{
@@ -18,86 +18,89 @@
     path::{Path, PathBuf},
 };
 
-/// What was asked for.
+/// What to explain.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Question {
-    /// The path of one job, by its id as written.
+    /// Critical path of the job with this id, not yet parsed.
     Job(String),
-    /// Sums over all jobs.
+    /// Time of all jobs, summed by this key.
     Sums(By),
 }
 
-/// The path of one job.
+/// Critical path of one job.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct JobPath {
-    /// The job.
+    /// Id of the job.
     pub job: String,
-    /// Its queue.
+    /// Queue that the job was submitted to.
     pub queue: String,
-    /// Where it was submitted.
+    /// Data centre where the job was submitted.
     pub data_centre: String,
-    /// Time within which it is on time, in milliseconds.
+    /// Target time from submission to completion, in milliseconds.
     pub objective_ms: i64,
-    /// Its critical path.
+    /// Spans of the critical path, earliest first.
     pub path: Vec<Span>,
 }
 
-/// The answer.
+/// Result of `lapisdrum explain`.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(untagged)]
-pub enum Explained {
-    /// Of one job.
+pub enum Explanation {
+    /// Critical path of one job.
     Job(JobPath),
-    /// Of all.
+    /// Sums over all jobs, one row per key.
     Sums(Vec<Row>),
 }
 
-/// Reads the lines of these files, or of standard input where none is named, and answers.
-pub fn explain(files: &[PathBuf], question: &Question) -> Result<Explained, Failure> {
+/// Reads log lines from `files`, or from standard input if `files` is empty, and explains them.
+pub fn explain(files: &[PathBuf], question: &Question) -> Result<Explanation, Failure> {
     let traces = match files {
-        [] => gather([Ok(Box::new(io::stdin().lock()) as Box<dyn BufRead>)])?,
-        some => gather(some.iter().map(|file| open(file)))?,
+        [] => read_traces([Ok(Box::new(io::stdin().lock()) as Box<dyn BufRead>)])?,
+        some => read_traces(some.iter().map(|file| open(file)))?,
     };
-    answer(&traces, question)
+    explain_traces(&traces, question)
 }
 
 fn open(file: &Path) -> Result<Box<dyn BufRead>, Failure> {
     let opened = File::open(file);
-    let opened = opened.map_err(|e| wrong(format!("failed to open {}: {e}", file.display())))?;
+    let opened =
+        opened.map_err(|e| invalid_input(format!("failed to open {}: {e}", file.display())))?;
     Ok(Box::new(BufReader::new(opened)))
 }
 
-fn wrong(message: String) -> Failure {
+fn invalid_input(message: String) -> Failure {
     Failure::new(Exit::WrongInput, message)
 }
 
-fn gather(
+fn read_traces(
     files: impl IntoIterator<Item = Result<Box<dyn BufRead>, Failure>>,
 ) -> Result<Traces, Failure> {
     let mut lines = Vec::new();
     for file in files {
         for raw in file?.split(b'\n') {
-            let raw = raw.map_err(|e| wrong(format!("failed to read a log: {e}")))?;
+            let raw = raw.map_err(|e| invalid_input(format!("failed to read a log: {e}")))?;
             lines.extend(log_line::read(&String::from_utf8_lossy(&raw)));
         }
     }
     if lines.is_empty() {
-        return Err(wrong(
+        return Err(invalid_input(
             "no line of a daemon's JSON log tells of a job or of a shard's owner".to_owned(),
         ));
     }
     Ok(Traces::gather(lines))
 }
 
-/// Answers from what the lines say.
-pub fn answer(traces: &Traces, question: &Question) -> Result<Explained, Failure> {
+/// Explains job traces that were already gathered from log lines.
+pub fn explain_traces(traces: &Traces, question: &Question) -> Result<Explanation, Failure> {
     match question {
-        Question::Sums(by) => Ok(Explained::Sums(totals::sum(traces, *by))),
+        Question::Sums(by) => Ok(Explanation::Sums(totals::sum(traces, *by))),
         Question::Job(raw) => {
-            let id: JobId = raw.parse().map_err(|e| wrong(format!("`{raw}`: {e}")))?;
+            let id: JobId = raw
+                .parse()
+                .map_err(|e| invalid_input(format!("`{raw}`: {e}")))?;
             let trace = traces.jobs.get(&id);
-            let trace = trace.ok_or_else(|| wrong(format!("no line tells of job {id}")))?;
-            Ok(Explained::Job(job_path(id, trace, traces)?))
+            let trace = trace.ok_or_else(|| invalid_input(format!("no line tells of job {id}")))?;
+            Ok(Explanation::Job(job_path(id, trace, traces)?))
         }
     }
 }
@@ -105,7 +108,7 @@
 fn job_path(id: JobId, trace: &JobTrace, traces: &Traces) -> Result<JobPath, Failure> {
     let path = path::critical(id, trace, traces);
     let path = path.ok_or_else(|| {
-        wrong(format!(
+        invalid_input(format!(
             "the line of job {id}'s acceptance is missing; give the lines of all daemons since then"
         ))
     })?;
@@ -142,7 +145,7 @@
     }
 }
 
-impl fmt::Display for Explained {
+impl fmt::Display for Explanation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Job(path) => path.fmt(f),
--- a/src/lapisdrum/ops/jobs.rs
+++ b/src/lapisdrum/ops/jobs.rs
@@ -1,6 +1,6 @@
-//! `lapisdrum jobs`: submit, show, list, cancel.
+//! `lapisdrum jobs`: submit, show, list and cancel.
 
-use super::{Exit, Failure, output::write_lines, repeat_lost};
+use super::{Exit, Failure, output::write_lines, retry_lost_answers};
 use crate::{
     api::{
         client::{ClientError, DaemonClient},
@@ -11,34 +11,35 @@
 use std::{fmt, time::Duration};
 use tokio::time::Instant;
 
-/// Hands a job in. A lost answer is repeated under the same key, so there is one job at most. A
-/// refusal that says when to come back is obeyed for as long as `wait`; the key makes that safe too.
+/// Submits a job. If the answer is lost, the call is repeated with the same key, so at most one job
+/// is created. A refusal with `retry-after` is retried after that time as long as `wait` allows;
+/// the key makes that safe too.
 pub async fn submit(
     client: &DaemonClient,
     entry: &str,
     key: Option<&str>,
     wait: Duration,
 ) -> Result<JobBody, Failure> {
-    let drawn = format!("{:016x}", rand::random::<u64>());
-    let key = RequestId::try_from(key.unwrap_or(&drawn));
+    let generated = format!("{:016x}", rand::random::<u64>());
+    let key = RequestId::try_from(key.unwrap_or(&generated));
     let key = key.map_err(|e| Failure::new(Exit::WrongInput, e))?;
-    let end = Instant::now() + wait;
+    let deadline = Instant::now() + wait;
     loop {
-        let submitted = repeat_lost(async || client.submit_job_as(entry, &key).await).await;
-        let again = submitted.as_ref().err().and_then(ClientError::retry_after);
-        match again {
-            Some(again) if Instant::now() + again <= end => tokio::time::sleep(again).await,
+        let submitted = retry_lost_answers(async || client.submit_job_as(entry, &key).await).await;
+        let delay = submitted.as_ref().err().and_then(ClientError::retry_after);
+        match delay {
+            Some(delay) if Instant::now() + delay <= deadline => tokio::time::sleep(delay).await,
             _ => return Ok(submitted?),
         }
     }
 }
 
-/// Reads a job.
+/// Reads the present state of a job.
 pub async fn show(client: &DaemonClient, job: &str) -> Result<JobBody, Failure> {
     Ok(client.job(job).await?)
 }
 
-/// Lists jobs of all shards that can be reached.
+/// Lists jobs of all shards whose owners answer; an absent filter matches every job.
 pub async fn list(
     client: &DaemonClient,
     entry: Option<&str>,
@@ -47,9 +48,10 @@
     Ok(client.jobs(entry, state).await?)
 }
 
-/// Cancels a job. A second cancel of the same job changes nothing, so a lost answer is repeated.
+/// Cancels a job. Cancelling twice has no further effect, so the call is repeated if its answer is
+/// lost.
 pub async fn cancel(client: &DaemonClient, job: &str) -> Result<JobBody, Failure> {
-    Ok(repeat_lost(async || client.cancel_job(job).await).await?)
+    Ok(retry_lost_answers(async || client.cancel_job(job).await).await?)
 }
 
 impl fmt::Display for JobBody {
--- a/src/lapisdrum/ops/status.rs
+++ b/src/lapisdrum/ops/status.rs
@@ -1,10 +1,10 @@
-//! `lapisdrum status`: every daemon that the one asked knows of, put together.
+//! `lapisdrum status`: merges the status of all daemons that the queried one knows of.
 
-use super::{Failure, OTHERS_TIMEOUT, output::write_lines};
+use super::{Failure, OTHER_DAEMONS_TIMEOUT, output::write_lines};
 use crate::{
     api::{
         client::DaemonClient,
-        status::{DaemonLine, Liveness, ShardLine, StatusBody, WorkerLine},
+        status::{DaemonStatus, Liveness, ShardStatus, StatusBody, WorkerStatus},
     },
     core::{
         id::{DaemonId, Revision, ShardId},
@@ -15,43 +15,43 @@
 use std::fmt;
 
 data! {
-    /// A daemon and its own answer.
+    /// A daemon and its own reply.
     pub struct DaemonReport {
-        /// Its name.
+        /// Name of the daemon.
         pub daemon: DaemonId,
-        /// Its data centre.
+        /// Data centre that the daemon runs in.
         pub data_centre: String,
-        /// Where it was asked.
+        /// Address (`host:port`) at which it was queried.
         pub callers: String,
-        /// Whether the daemon that was asked first takes it for live.
+        /// Whether the daemon that was queried first considers it live.
         pub liveness: Liveness,
-        /// What it said; none when it did not answer.
+        /// Its reply; none if it did not answer.
         pub answer: Option<DaemonAnswer>,
     }
 
-    /// What a daemon says of itself.
+    /// What a daemon reports about itself.
     pub struct DaemonAnswer {
-        /// The catalogue revision in force there.
+        /// Catalogue revision in force at the daemon.
         pub revision: Revision,
-        /// Whether it takes callers.
+        /// Whether it accepts requests from callers.
         pub ready: bool,
-        /// Whether the platform answers it.
+        /// Whether the platform answered its last call.
         pub platform_up: bool,
     }
 
-    /// The whole system as far as it answers.
+    /// Merged status of all daemons that answered.
     pub struct StatusReport {
-        /// Daemons by name.
+        /// All known daemons, sorted by name.
         pub daemons: Vec<DaemonReport>,
-        /// Shards by name.
-        pub shards: Vec<ShardLine>,
-        /// Workers of the shards whose owners answered.
-        pub workers: Vec<WorkerLine>,
+        /// Shards sorted by name, each with its newest known row.
+        pub shards: Vec<ShardStatus>,
+        /// Workers of the shards whose owners answered, sorted by name.
+        pub workers: Vec<WorkerStatus>,
     }
 }
 
 impl StatusReport {
-    /// Daemons that answered.
+    /// Daemons that answered, with their replies.
     pub fn answered(&self) -> impl Iterator<Item = (&DaemonReport, &DaemonAnswer)> {
         self.daemons
             .iter()
@@ -64,33 +64,35 @@
     }
 }
 
-/// Asks one daemon, then every other that it names, all at once.
+/// Queries one daemon, then all others that it lists, concurrently.
 pub async fn gather(client: &DaemonClient) -> Result<StatusReport, Failure> {
     let first = client.status().await?;
-    let others = first.daemons.iter().map(|line| ask(line, &first));
-    let answers = futures::future::join_all(others).await;
+    let calls = first.daemons.iter().map(|line| fetch_status(line, &first));
+    let answers = futures::future::join_all(calls).await;
     let lines = first.daemons.iter().zip(&answers);
-    let mut daemons: Vec<DaemonReport> = lines.map(|(line, answer)| report(line, answer)).collect();
+    let mut daemons: Vec<DaemonReport> = lines
+        .map(|(line, answer)| daemon_report(line, answer))
+        .collect();
     daemons.sort_by(|a, b| a.daemon.cmp(&b.daemon));
     let bodies: Vec<&StatusBody> = answers.iter().flatten().collect();
-    let mut workers: Vec<WorkerLine> = bodies.iter().flat_map(|b| b.workers.clone()).collect();
+    let mut workers: Vec<WorkerStatus> = bodies.iter().flat_map(|b| b.workers.clone()).collect();
     workers.sort_by(|a, b| a.worker.cmp(&b.worker));
     Ok(StatusReport {
         daemons,
-        shards: freshest_shards(&bodies),
+        shards: newest_shard_rows(&bodies),
         workers,
     })
 }
 
-async fn ask(line: &DaemonLine, first: &StatusBody) -> Option<StatusBody> {
+async fn fetch_status(line: &DaemonStatus, first: &StatusBody) -> Option<StatusBody> {
     if line.daemon == first.daemon {
         return Some(first.clone());
     }
-    let client = DaemonClient::new(&line.callers, OTHERS_TIMEOUT);
+    let client = DaemonClient::new(&line.callers, OTHER_DAEMONS_TIMEOUT);
     client.status().await.ok()
 }
 
-fn report(line: &DaemonLine, answer: &Option<StatusBody>) -> DaemonReport {
+fn daemon_report(line: &DaemonStatus, answer: &Option<StatusBody>) -> DaemonReport {
     DaemonReport {
         daemon: line.daemon.clone(),
         data_centre: line.data_centre.clone(),
@@ -104,21 +106,21 @@
     }
 }
 
-/// Of each shard the row with the greatest epoch, and of those the one seen to change last: a
-/// daemon that is cut off from the platform still shows the row of long ago.
-fn freshest_shards(bodies: &[&StatusBody]) -> Vec<ShardLine> {
-    let mut freshest: IndexMap<ShardId, ShardLine> = IndexMap::new();
+/// Selects the newest row of each shard: the highest epoch, then the latest change. A daemon that
+/// can't reach the platform still reports an outdated row.
+fn newest_shard_rows(bodies: &[&StatusBody]) -> Vec<ShardStatus> {
+    let mut newest: IndexMap<ShardId, ShardStatus> = IndexMap::new();
     for line in bodies.iter().flat_map(|body| &body.shards) {
-        let newer = freshest.get(&line.shard).is_none_or(|known| {
+        let newer = newest.get(&line.shard).is_none_or(|known| {
             (known.epoch, std::cmp::Reverse(known.unchanged_ms))
                 < (line.epoch, std::cmp::Reverse(line.unchanged_ms))
         });
         if newer {
-            freshest.insert(line.shard.clone(), line.clone());
+            newest.insert(line.shard.clone(), line.clone());
         }
     }
-    freshest.sort_keys();
-    freshest.into_values().collect()
+    newest.sort_keys();
+    newest.into_values().collect()
 }
 
 impl fmt::Display for StatusReport {
@@ -151,7 +153,7 @@
     format!("  {name:<16} {dc:<12} {callers:<21} {state}")
 }
 
-fn shard_text(shard: &ShardLine) -> String {
+fn shard_text(shard: &ShardStatus) -> String {
     let owner = shard.owner.as_ref().map_or("nobody", DaemonId::as_str);
     let name = shard.shard.as_str();
     let seconds = shard.unchanged_ms / 1_000;
@@ -161,12 +163,12 @@
     )
 }
 
-fn worker_text(line: &WorkerLine) -> String {
+fn worker_text(line: &WorkerStatus) -> String {
     let name = line.worker.as_str();
     let condition = line.condition.to_string();
-    let (taken, has) = (size_text(&line.committed), size_text(&line.capacity));
+    let (committed, capacity) = (size_text(&line.committed), size_text(&line.capacity));
     format!(
-        "  {name:<16} {:<12} {condition:<10} committed {taken} of {has}",
+        "  {name:<16} {:<12} {condition:<10} committed {committed} of {capacity}",
         line.rack
     )
 }
