--- a/crates/lapisdrum-standins/src/lib.rs
+++ b/crates/lapisdrum-standins/src/lib.rs
@@ -1,8 +1,8 @@
-//! Small stand-ins for what surrounds the scheduler: the platform's services and workers.
+//! Stand-ins for the systems that the scheduler depends on: the platform's services and the workers.
 //!
-//! They run inside a test or example on the caller's runtime, or as processes of their own (see
-//! `examples/standins.rs`). Switches make them slow, silent or wrong. They are fakes at the
-//! interfaces, not a simulator of a cluster.
+//! They run inside a test or example on the caller's runtime, or as separate processes (see
+//! `examples/standins.rs`). Switches inject delays, unanswered calls and wrong answers. They are
+//! fakes at the interfaces and do not simulate a cluster.
 
 pub mod platform;
 pub mod process;
--- a/crates/lapisdrum-standins/src/platform/mod.rs
+++ b/crates/lapisdrum-standins/src/platform/mod.rs
@@ -1,4 +1,4 @@
-//! The platform stand-in: transactional table, object store, lagging membership list.
+//! The platform stand-in: a transactional table, an object store and a lagging membership list.
 
 pub mod server;
 pub mod table;
--- a/crates/lapisdrum-standins/src/platform/server.rs
+++ b/crates/lapisdrum-standins/src/platform/server.rs
@@ -19,55 +19,55 @@
 };
 use tokio::sync::watch;
 
-/// Largest body, in bytes.
+/// Largest body accepted, in bytes.
 const BODY_LIMIT: usize = 256 * 1024 * 1024;
 
-/// What the platform does wrong.
+/// Faults that the platform injects.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct PlatformSwitches {
-    /// Every call waits this long first, in milliseconds.
+    /// Delay before each call, in milliseconds.
     pub slow_ms: u64,
     /// Connections are closed without an answer, and nothing is done.
     pub down: bool,
-    /// Writes take effect and their answers are lost.
+    /// Writes take effect and are never answered.
     pub lose_answers: bool,
-    /// Only the next this many writes lose their answers.
+    /// How many of the next writes take effect and are never answered.
     pub lose_next: u32,
-    /// Daemons, by name, that get no answer and whose calls do nothing.
+    /// Names of daemons whose calls have no effect and are never answered.
     pub cut: Vec<String>,
 }
 
-/// Reads and writes so far.
+/// Calls and bytes served since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PlatformCounts {
-    /// Transactions that wrote.
+    /// Committed transactions.
     pub writes: u64,
-    /// Rows and lists read.
+    /// Reads of the table: of one row, or of all rows under a prefix.
     pub reads: u64,
-    /// Bytes of answers, heads included.
+    /// Bytes of answers, headers included.
     pub read_bytes: u64,
-    /// Bytes of calls received, heads included.
+    /// Bytes of calls received, headers included.
     pub write_bytes: u64,
 }
 
-/// The platform's state; shared with a test that runs it embedded.
+/// The platform's state, shared with a test that embeds it.
 #[derive(Default)]
 pub struct Platform {
-    /// The table.
+    /// The transactional table.
     pub table: RefCell<Table>,
-    /// The object store.
+    /// Contents of the object store, by key.
     pub objects: RefCell<IndexMap<String, Bytes>>,
-    /// The membership list.
+    /// Hosts in the membership list.
     pub hosts: RefCell<Vec<HostWire>>,
-    /// What it does wrong.
+    /// Faults to inject.
     pub switches: RefCell<PlatformSwitches>,
     read_bytes: Cell<u64>,
     write_bytes: Cell<u64>,
 }
 
 impl Platform {
-    /// Reads and writes so far.
+    /// Calls and bytes served since the start.
     pub fn counts(&self) -> PlatformCounts {
         let table = self.table.borrow();
         PlatformCounts {
@@ -185,7 +185,7 @@
         }
     }
 
-    /// For tests that run the stand-in as a process: `PUT /control/{switches,hosts}`,
+    /// Controls a stand-in that runs as a process: `PUT /control/{switches,hosts}` and
     /// `GET /control/counts`.
     fn control(&self, path: &str, req: &HttpRequest) -> HttpResponse {
         match path {
@@ -208,12 +208,12 @@
     caller(req).is_some_and(|daemon| switches.cut.iter().any(|cut| cut == daemon))
 }
 
-/// The daemon that a call came from, by the name that it gives itself.
+/// The name of the calling daemon, from its `user-agent` header.
 pub(crate) fn caller(req: &HttpRequest) -> Option<&str> {
     req.header("user-agent")?.strip_prefix("lapisdrum/")
 }
 
-/// Leaves a caller without an answer until its own timeout.
+/// Never completes, so that the caller runs into its own timeout.
 async fn never() -> HttpResponse {
     std::future::pending().await
 }
--- a/crates/lapisdrum-standins/src/platform/table.rs
+++ b/crates/lapisdrum-standins/src/platform/table.rs
@@ -1,4 +1,4 @@
-//! The transactional table, without I/O.
+//! An in-memory transactional table.
 
 use indexmap::IndexMap;
 use lapisdrum::store::wire::{Row, Txn, TxnConflict, TxnDone};
@@ -10,19 +10,19 @@
     version: u64,
 }
 
-/// Rows under keys; versions rise over the whole table and are never used again.
+/// Rows by key. Versions increase across the whole table and are never reused.
 #[derive(Clone, Debug, Default)]
 pub struct Table {
     rows: IndexMap<String, Cell>,
     last_version: u64,
-    /// Transactions that wrote.
+    /// Committed transactions.
     pub writes: u64,
-    /// Reads of rows and lists.
+    /// Calls of [`Table::get`] and [`Table::list`].
     pub reads: u64,
 }
 
 impl Table {
-    /// Runs a transaction: all of it or nothing.
+    /// Commits a transaction, or returns the first key whose version differs from the expected one.
     pub fn txn(&mut self, txn: &Txn) -> Result<TxnDone, TxnConflict> {
         for compare in &txn.compare {
             let version = self.version(&compare.key);
@@ -45,13 +45,13 @@
         Ok(TxnDone { versions })
     }
 
-    /// Reads a row.
+    /// Reads a row and counts the read.
     pub fn get(&mut self, key: &str) -> Option<Row> {
         self.reads += 1;
         self.rows.get(key).map(|cell| row(key, cell))
     }
 
-    /// Reads the rows under a prefix in key order.
+    /// Reads the rows whose keys start with `prefix`, in key order.
     pub fn list(&mut self, prefix: &str) -> Vec<Row> {
         self.reads += 1;
         let found = self.rows.iter().filter(|(key, _)| key.starts_with(prefix));
--- a/crates/lapisdrum-standins/src/process.rs
+++ b/crates/lapisdrum-standins/src/process.rs
@@ -1,7 +1,7 @@
-//! Stand-ins as processes of their own: `standins platform`, `standins worker`, several workers in one
-//! process, and `standins site`, a platform with its workers for trying things out.
+//! Stand-ins as separate processes: `standins platform`, `standins worker`, `standins workers` for
+//! several workers in one process, and `standins site` for a platform with its workers.
 //!
-//! Each prints `listening on ADDRESS` once it serves, so that a test can pick port 0.
+//! Each prints `listening on ADDRESS` once it listens, so that a test can ask for port 0.
 
 use crate::{
     platform::server::Platform,
@@ -18,7 +18,7 @@
 /// Stand-ins for the platform and for workers.
 #[derive(Debug, Parser)]
 pub struct Args {
-    /// Which stand-in.
+    /// The stand-in to run.
     #[command(subcommand)]
     kind: Kind,
 }
@@ -27,54 +27,54 @@
 enum Kind {
     /// The transactional table, the object store and the membership list.
     Platform {
-        /// Where to listen.
+        /// Address to listen on.
         #[arg(long)]
         listen: SocketAddr,
     },
-    /// A platform and the workers that its list of hosts names, in one process.
+    /// A platform and the workers in its membership list, in one process.
     Site {
-        /// Where the platform listens; the workers take free ports of the same IP number.
+        /// Address of the platform; the workers take free ports of the same IP address.
         #[arg(long)]
         listen: SocketAddr,
-        /// How many workers.
+        /// Number of workers.
         #[arg(long, default_value_t = 2)]
         workers: usize,
-        /// Their data centre.
+        /// Data centre of the workers.
         #[arg(long, default_value = "local")]
         data_centre: String,
     },
-    /// Many workers in one process, each on a port of its own.
+    /// Several workers in one process, each on its own port.
     Workers {
-        /// Where the first listens; the others take free ports of the same IP number.
+        /// Address of the first worker; the others take free ports of the same IP address.
         #[arg(long)]
         listen: SocketAddr,
-        /// How many.
+        /// Number of workers.
         #[arg(long)]
         count: usize,
     },
-    /// A worker.
+    /// One worker.
     Worker {
-        /// Where to listen.
+        /// Address to listen on.
         #[arg(long)]
         listen: SocketAddr,
-        /// Processors.
+        /// Number of processors.
         #[arg(long, default_value_t = 16)]
         cores: u64,
         /// Memory in megabytes.
         #[arg(long, default_value_t = 60_000)]
         memory_mb: u64,
-        /// Accelerators.
+        /// Number of accelerators.
         #[arg(long, default_value_t = 0)]
         accelerators: u64,
-        /// Requests at once.
+        /// Largest number of concurrent requests.
         #[arg(long, default_value_t = 8)]
         slots: u32,
     },
 }
 
-/// Serves until the process is ended.
+/// Serves until the process is terminated.
 pub async fn run(args: Args) -> Result<()> {
-    // Never sent: the process is ended from outside.
+    // Never signalled: the process is terminated from outside.
     let (_stop, stopped) = watch::channel(false);
     match args.kind {
         Kind::Platform { listen } => {
@@ -131,7 +131,7 @@
     Ok(listener)
 }
 
-/// A worker of the size that [`site::host`] lists.
+/// A worker with the capacity that [`site::host`] lists.
 fn usual_worker() -> Rc<Worker> {
     let capacity = Size {
         millicores: 16_000,
--- a/crates/lapisdrum-standins/src/site.rs
+++ b/crates/lapisdrum-standins/src/site.rs
@@ -1,4 +1,4 @@
-//! A small site for tests and examples: addresses on loopback, settings files, host entries.
+//! Loopback addresses, daemon settings and membership entries for tests and examples.
 
 use lapisdrum::store::wire::HostWire;
 use std::{
@@ -7,8 +7,8 @@
 };
 use tokio::net::TcpSocket;
 
-/// A loopback address of its own with a port that is free now. A random host part keeps two test
-/// runs on one machine, and a port that is taken again, apart.
+/// A random loopback address with a free port. The random host part avoids collisions between test
+/// runs on one host, and between a port and its later reuse.
 pub fn free_address() -> SocketAddr {
     let ip = Ipv4Addr::new(
         127,
@@ -19,9 +19,9 @@
     free_port(ip).unwrap_or_else(|e| panic!("no free loopback port: {e}"))
 }
 
-/// Binds and never listens. A listening socket that another test's fork copies stays open in the
-/// child until its exec, and whoever binds the port in between finds it in use; one that was only
-/// bound, for reuse, stands in nobody's way.
+/// Binds without listening. If another test forks while a socket listens, the child holds the copy
+/// until its exec, and binding the port fails with "address in use"; a socket that is only bound,
+/// with `SO_REUSEADDR`, does not block the port.
 fn free_port(ip: Ipv4Addr) -> io::Result<SocketAddr> {
     let socket = TcpSocket::new_v4()?;
     socket.set_reuseaddr(true)?;
@@ -29,29 +29,29 @@
     socket.local_addr()
 }
 
-/// What a daemon of a test needs to know.
+/// Settings of a daemon in a test.
 #[derive(Clone, Debug)]
 pub struct DaemonPlan {
-    /// Its name.
+    /// Name of the daemon.
     pub name: String,
-    /// Its data centre.
+    /// Data centre of the daemon.
     pub data_centre: String,
-    /// Where callers reach it.
+    /// Address for callers.
     pub callers: SocketAddr,
-    /// Where other daemons reach it.
+    /// Address for other daemons.
     pub peers: SocketAddr,
-    /// The platform.
+    /// Address of the platform.
     pub platform: SocketAddr,
-    /// Peers to ask first while the platform is away.
+    /// Peers to ask first while the platform is unavailable.
     pub ask_first: Vec<SocketAddr>,
-    /// Time between two reads of the membership list, in milliseconds.
+    /// Interval between reads of the membership list, in milliseconds.
     pub poll_ms: u64,
-    /// More settings as TOML tables, such as `[shards]`.
+    /// Further settings as TOML tables, such as `[shards]`.
     pub more: String,
 }
 
 impl DaemonPlan {
-    /// A daemon on free addresses.
+    /// A daemon on free addresses with the settings in [`QUICK`].
     pub fn new(name: &str, data_centre: &str, platform: SocketAddr) -> Self {
         Self {
             name: name.to_owned(),
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Its settings file.
+    /// The text of the daemon's settings file.
     pub fn settings(&self) -> String {
         let asked = self
             .ask_first
@@ -88,10 +88,10 @@
     }
 }
 
-/// A shorter interval than the default, for tests.
+/// Shorter than the default, so that tests see membership changes sooner.
 const QUICK_POLL_MS: u64 = 200;
 
-/// Shorter intervals than the defaults, so that a test takes seconds.
+/// Settings with shorter intervals than the defaults, so that a test takes seconds.
 pub const QUICK: &str = "\
 [log]
 level = \"warn\"
@@ -115,7 +115,7 @@
 grant_poll_ms = 250
 ";
 
-/// A live worker's line in the membership list.
+/// The membership entry of a live worker with 16 cores, 60,000 MB of memory and 8 slots.
 pub fn host(name: &str, address: SocketAddr, data_centre: &str, rack: &str) -> HostWire {
     HostWire {
         host: name.to_owned(),
--- a/crates/lapisdrum-standins/src/traffic.rs
+++ b/crates/lapisdrum-standins/src/traffic.rs
@@ -1,15 +1,15 @@
-//! What calls take on the wire: start line, headers and body, without TCP's and IP's own heads.
+//! Size of calls on the wire: start line, headers and body, without TCP and IP headers.
 
 use lapisdrum::util::http::{HttpRequest, HttpResponse};
 
-/// Bytes around a header: the colon, the space and the line's end.
+/// Per header: colon, space and line end.
 const HEADER_EXTRA: usize = 4;
-/// Bytes of a start line besides its path: method, version, spaces, line's end.
+/// Of a start line, without its path: method, version, spaces and line end.
 const START_LINE: usize = 17;
-/// Bytes that the server's library adds to each answer: length, date and the blank line.
+/// Added to each response by the HTTP library: length, date and blank line.
 const ANSWER_EXTRA: usize = 60;
 
-/// Bytes of a request.
+/// Size of a request in bytes.
 pub fn request_bytes(req: &HttpRequest) -> u64 {
     let headers = req
         .headers
@@ -19,7 +19,7 @@
     (START_LINE + req.path.len() + req.query.len() + headers + req.body.len()) as u64
 }
 
-/// Bytes of an answer.
+/// Size of a response in bytes.
 pub fn response_bytes(res: &HttpResponse) -> u64 {
     let headers = res
         .headers
--- a/crates/lapisdrum-standins/src/users/rows.rs
+++ b/crates/lapisdrum-standins/src/users/rows.rs
@@ -1,4 +1,4 @@
-//! The store: rows in tables and parts, changed by conditional transactions, and raw objects.
+//! The store: rows in tables and partitions, changed by conditional transactions, and raw objects.
 
 use actix_http::{Method, StatusCode};
 use actix_rt::net::TcpListener;
@@ -15,7 +15,7 @@
 };
 use tokio::sync::watch;
 
-/// Largest body of a call, in bytes.
+/// Largest body accepted, in bytes.
 const BODY_BYTES: usize = 8 * 1024 * 1024;
 
 #[derive(Clone, Debug)]
@@ -24,17 +24,17 @@
     version: u64,
 }
 
-/// The store's contents and switches.
+/// The store's contents, counters and fault switch.
 #[derive(Debug)]
 pub struct RowStore {
-    /// By table, part and key.
+    /// By table, partition and key.
     rows: RefCell<BTreeMap<(String, String, String), RowValue>>,
     objects: RefCell<IndexMap<String, Bytes>>,
     version: Cell<u64>,
     began: Instant,
-    /// Whether every call is answered with 503 and nothing done.
+    /// Whether calls have no effect and are answered with 503.
     pub is_down: Cell<bool>,
-    /// Calls that were answered, by path.
+    /// Number of calls by path, without those answered with 503.
     pub calls: RefCell<IndexMap<String, u64>>,
 }
 
@@ -73,7 +73,8 @@
         .await;
     }
 
-    /// Writes a row as an operator or a worker does; `value` is the raw text, base64 is added here.
+    /// Writes a row into the unnamed partition, as an operator or a worker does; `value` is stored as
+    /// base64 of its JSON text.
     pub fn put(&self, table: &str, key: &str, value: &Value) {
         self.version.set(self.version.get() + 1);
         let row = RowValue {
@@ -84,14 +85,14 @@
         self.rows.borrow_mut().insert(at, row);
     }
 
-    /// Removes a row as the platform does.
+    /// Removes a row of the unnamed partition, as the platform does.
     pub fn remove(&self, table: &str, key: &str) {
         self.version.set(self.version.get() + 1);
         let at = (table.to_owned(), String::new(), key.to_owned());
         self.rows.borrow_mut().remove(&at);
     }
 
-    /// A row's value in any part, if it is there and is JSON.
+    /// The value of a row in the given partition, if it exists and is JSON.
     pub fn value(&self, table: &str, part: &str, key: &str) -> Option<Value> {
         let at = (table.to_owned(), part.to_owned(), key.to_owned());
         let rows = self.rows.borrow();
--- a/crates/lapisdrum-standins/src/users/worker.rs
+++ b/crates/lapisdrum-standins/src/users/worker.rs
@@ -1,7 +1,7 @@
-//! A worker: runs tasks for as long as their payload says, under a lease and a fencing token.
+//! A worker that runs tasks under a lease and a fencing token.
 //!
-//! The payload of a job is the run time of its tasks in milliseconds; anything else runs until it is
-//! stopped.
+//! The payload of a job is the run time of its tasks in milliseconds; a task with any other payload
+//! runs until it is stopped or the lease expires.
 
 use actix_http::StatusCode;
 use actix_rt::net::TcpListener;
@@ -15,13 +15,13 @@
 };
 use tokio::sync::watch;
 
-/// Largest body of a call, in bytes.
+/// Largest body accepted, in bytes.
 const BODY_BYTES: usize = 64 * 1024;
-/// Longest lease.
+/// Longer leases are cut to this length.
 const LONGEST_LEASE: Duration = Duration::from_secs(6);
-/// Time that a stop takes.
+/// Time from a stop order to the end of the task.
 const STOP: Duration = Duration::from_millis(100);
-/// Step of a look that waits for an end.
+/// Interval at which a long poll checks for ended tasks.
 const WAIT_STEP: Duration = Duration::from_millis(5);
 
 #[derive(Debug)]
@@ -34,7 +34,7 @@
 }
 
 impl Running {
-    /// How much of its work is done, in hundredths; one that lasts is at work at once.
+    /// Progress in percent; always 100 for a task without a run time.
     fn percent(&self) -> u64 {
         let Some(done_at) = self.done_at else {
             return 100;
@@ -53,15 +53,17 @@
     token: Cell<u64>,
     lease_until: Cell<Instant>,
     running: RefCell<Vec<Running>>,
+    /// Ended runs not yet acknowledged: sequence number, task, run number and outcome.
     ended: RefCell<Vec<(u64, String, u64, &'static str)>>,
     next_end: Cell<u64>,
+    /// By task, the last run that ended or was stopped before it started; starts up to it are refused.
     over: RefCell<IndexMap<String, u64>>,
-    /// Starts that were carried out: task and run.
+    /// Starts that were carried out, in order: task and run number.
     pub started: RefCell<Vec<(String, u64)>>,
 }
 
 impl UsersWorker {
-    /// A worker with this id, born at this Unix millisecond.
+    /// A worker with this id whose incarnation started at this Unix time in milliseconds.
     pub fn new(id: &str, born: u64) -> Rc<Self> {
         let now = Instant::now();
         Rc::new(Self {
@@ -78,7 +80,7 @@
         })
     }
 
-    /// What it writes into the store about itself.
+    /// The worker's registration row in the store.
     pub fn entry(&self, address: &str, state: &str) -> Value {
         json!({
             "service": "trail", "address": address, "zone": "karen", "version": "v1", "slots": 8,
@@ -96,7 +98,7 @@
         .await;
     }
 
-    /// How many tasks run there now.
+    /// Number of running tasks.
     pub fn running(&self) -> usize {
         self.settle();
         self.running.borrow().len()
@@ -143,7 +145,7 @@
         HttpResponse::json(StatusCode::CONFLICT, &answer)
     }
 
-    /// Takes a lease; false when its end has passed.
+    /// Extends the lease to `until_ms` on the worker's clock; returns false when that has passed.
     fn lease(&self, until_ms: u64) -> bool {
         let Some(left) = until_ms.checked_sub(self.clock_ms()) else {
             return false;
--- a/crates/lapisdrum-standins/src/worker/link.rs
+++ b/crates/lapisdrum-standins/src/worker/link.rs
@@ -1,5 +1,5 @@
-//! A link in front of a worker that does to its answers what an HTTP library won't: repeats them on
-//! the connection, or closes the connection when the answer is due.
+//! A TCP proxy in front of a worker for faults that an HTTP library does not produce: it sends an
+//! answer twice, or closes the connection instead of sending it.
 
 use actix_rt::net::{TcpListener, TcpStream};
 use std::{
@@ -11,35 +11,35 @@
 };
 use tokio::io::{AsyncReadExt, AsyncWriteExt, copy};
 
-/// Bytes read at once; an answer that is larger counts as several.
+/// Size of one read. Each read counts as one answer, so a larger answer counts as several.
 const READ_BYTES: usize = 256 * 1024;
 
-/// What a link does wrong.
+/// Faults that a link injects.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct LinkSwitches {
-    /// Of this many answers one is sent twice; 0 for none.
+    /// Every n-th answer is sent twice; 0 for none.
     pub repeats_one_in: u32,
-    /// Of this many answers one is dropped and its connection closed; 0 for none.
+    /// Every n-th answer is dropped and its connection closed; 0 for none.
     pub drops_one_in: u32,
-    /// Connections are closed this long after they were made, in milliseconds; 0 for never.
+    /// Maximum age of a connection, in milliseconds; 0 for no limit.
     pub closes_after_ms: u64,
 }
 
-/// A link's state; shared with a test.
+/// A link's state, shared with a test.
 #[derive(Debug, Default)]
 pub struct Link {
-    /// What it does wrong.
+    /// Faults to inject.
     pub switches: RefCell<LinkSwitches>,
     answers: Cell<u32>,
 }
 
 impl Link {
-    /// Carries connections from `listener` to `worker` for as long as the future is polled.
+    /// Forwards connections from `listener` to `worker` for as long as the future is polled.
     pub async fn serve(self: Rc<Self>, listener: TcpListener, worker: SocketAddr) {
         while let Ok((near, _)) = listener.accept().await {
             let link = Rc::clone(&self);
             actix_rt::spawn(async move {
-                // A broken connection on either side is the end of both.
+                // An error on either connection closes both.
                 let _ = link.carry(near, worker).await;
             });
         }
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Passes one answer on; false when the connection is to be closed in its place.
+    /// Forwards one answer; returns false when the connection is to be closed instead.
     async fn pass_on(
         &self,
         answer: &[u8],
--- a/crates/lapisdrum-standins/src/worker/mod.rs
+++ b/crates/lapisdrum-standins/src/worker/mod.rs
@@ -1,4 +1,4 @@
-//! The worker stand-in: slots, connections, tasks under leases with epochs, late usage.
+//! The worker stand-in: request slots, tasks under leases with epochs, and aged usage reports.
 
 pub mod link;
 pub mod server;
--- a/crates/lapisdrum-standins/src/worker/server.rs
+++ b/crates/lapisdrum-standins/src/worker/server.rs
@@ -25,48 +25,48 @@
 };
 use tokio::{sync::watch, time::Instant};
 
-/// Largest body, in bytes.
+/// Largest body accepted, in bytes.
 const BODY_LIMIT: usize = 64 * 1024 * 1024;
-/// Time between two looks at leases and work.
+/// Interval at which leases and task progress are updated.
 const TICK: Duration = Duration::from_millis(10);
 
-/// How a worker behaves.
+/// Durations, faults and reported values of a worker.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct WorkerSwitches {
-    /// Time for a request, in milliseconds.
+    /// Run time of a request, in milliseconds.
     pub request_ms: u64,
-    /// Time for a whole task, in milliseconds.
+    /// Run time of a task from no progress at full speed, in milliseconds.
     pub task_ms: u64,
-    /// Time between two checkpoints, in milliseconds.
+    /// Interval between checkpoints, in milliseconds.
     pub checkpoint_ms: u64,
-    /// Entries whose tasks have no end.
+    /// Entries whose tasks never finish by themselves.
     pub endless: Vec<String>,
-    /// Nothing is answered.
+    /// Calls have no effect and are never answered.
     pub hung: bool,
     /// Requests run and are never answered.
     pub hang_requests: bool,
-    /// Requests are refused as not run.
+    /// Requests are answered with 503 and marked as not run.
     pub refuses: bool,
-    /// Requests are answered at once with status 500.
+    /// Requests are answered immediately with 500.
     pub fails_requests: bool,
-    /// Every task fails at once.
+    /// Tasks fail as soon as they start.
     pub fails_tasks: bool,
-    /// Of this many requests one answer is cut off half way and its connection closed; 0 for none.
+    /// The answer to every n-th request is cut off after half of its body; 0 for none.
     pub cuts_one_in: u32,
-    /// Of this many requests one gets another request's answer; 0 for none.
+    /// Every n-th request gets the answer to another request; 0 for none.
     pub misnames_one_in: u32,
-    /// Requests run and get the refusal of another request.
+    /// Requests run and get the refusal of another request, marked as not run.
     pub misnames_refusals: bool,
-    /// Of this many requests one takes ten times as long; 0 for none.
+    /// Every n-th request takes ten times as long; 0 for none.
     pub delays_one_in: u32,
-    /// What a request of an entry takes.
+    /// Resources that a request uses, by entry; zero for entries not listed.
     pub entry_sizes: IndexMap<String, Size>,
-    /// Age of usage figures, in milliseconds.
+    /// Reported age of usage samples, in milliseconds.
     pub usage_age_ms: u64,
-    /// Measured slowdown of an entry's requests, in thousandths of the time that they take alone.
+    /// Reported run time of requests by entry, in thousandths of their run time without neighbours.
     pub slowdowns: IndexMap<String, u32>,
-    /// Daemons, by name, that get no answer and whose calls do nothing.
+    /// Names of daemons whose calls have no effect and are never answered.
     pub cut: Vec<String>,
 }
 
@@ -101,49 +101,49 @@
     }
 }
 
-/// One run of a task here, in milliseconds of the machine's wall clock.
+/// One run of a task. Times are Unix milliseconds of the host's clock.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TaskRun {
-    /// The task.
+    /// Id of the task.
     pub task: JobId,
-    /// Its attempt.
+    /// Number of the attempt.
     pub attempt: u32,
-    /// When it was started.
+    /// Start of the run.
     pub from_ms: u64,
-    /// When it ended; none while it runs.
+    /// When the run was seen to have ended; `None` while it runs.
     pub to_ms: Option<u64>,
-    /// The progress that it began with, in thousandths.
+    /// Progress of the checkpoint that the run started from, in thousandths.
     pub first_permille: u32,
 }
 
 /// What a worker has run.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WorkerLog {
-    /// Ids of requests, each as often as it ran.
+    /// Ids of requests in the order in which they started; an id appears once per run.
     pub requests: Vec<String>,
-    /// Runs of tasks.
+    /// Runs of tasks in the order in which they started.
     pub tasks: Vec<TaskRun>,
-    /// Most requests that ran at once.
+    /// Largest number of concurrent requests.
     pub most_requests: u32,
-    /// Most that tasks and requests together took at once.
+    /// Largest total size of running tasks and requests, for each resource by itself.
     pub most_size: Size,
 }
 
-/// A worker's state; shared with a test that runs it embedded.
+/// A worker's state, shared with a test that embeds it.
 pub struct Worker {
-    /// What it has.
+    /// Resources of the worker.
     pub capacity: Size,
-    /// Requests at once.
+    /// Largest number of concurrent requests; more are refused.
     pub slots: u32,
-    /// How it behaves.
+    /// Behaviour, which a test may change at any time.
     pub switches: RefCell<WorkerSwitches>,
-    /// Its tasks.
+    /// Tasks on the worker.
     pub tasks: RefCell<Tasks>,
-    /// What it has run.
+    /// Requests and tasks run since the start.
     pub log: RefCell<WorkerLog>,
-    /// Calls answered, by kind.
+    /// Number of calls by kind.
     pub calls: RefCell<IndexMap<&'static str, u64>>,
-    /// Bytes of commands received and of answers to them, heads included.
+    /// Bytes of commands and of their answers, headers included; requests are not counted.
     pub command_bytes: Cell<u64>,
     running_requests: Cell<u32>,
     requests_size: Cell<Size>,
@@ -152,7 +152,7 @@
 }
 
 impl Worker {
-    /// A worker of this capacity.
+    /// An idle worker.
     pub fn new(capacity: Size, slots: u32, switches: WorkerSwitches) -> Rc<Self> {
         let worker = Rc::new(Self {
             capacity,
@@ -171,7 +171,7 @@
         worker
     }
 
-    /// Requests that run at present.
+    /// Number of running requests.
     pub fn running_requests(&self) -> u32 {
         self.running_requests.get()
     }
@@ -200,7 +200,7 @@
         }
     }
 
-    /// Brings the log of runs in line with the tasks.
+    /// Records in the log which runs have ended, and the largest total size.
     fn note_runs(&self) {
         let tasks = self.tasks.borrow();
         let mut log = self.log.borrow_mut();
@@ -406,7 +406,8 @@
         *self.calls.borrow_mut().entry(call).or_default() += 1;
     }
 
-    /// For tests that run the stand-in as a process: `PUT /control/switches`, `GET /control/log`.
+    /// Controls a stand-in that runs as a process: `PUT /control/switches`, `GET /control/traffic` and
+    /// `GET /control/log`.
     fn control(&self, path: &str, req: &HttpRequest) -> HttpResponse {
         match path {
             "switches" => match req.json() {
@@ -423,18 +424,18 @@
     }
 }
 
-/// First reading of a worker's clock: not zero, so that a reading is never mistaken for none.
+/// Initial value of the worker's clock; not zero, because zero stands for "no reading".
 const BASE_MS: u64 = 1_000_000;
 
-/// The id of another request.
+/// Request id in answers that belong to another request.
 const FOREIGN_REQUEST: &str = "another-request";
-/// The answer to it.
+/// Body of answers that belong to another request.
 const FOREIGN_BODY: &str = "the answer to another request";
-/// How much longer a delayed request takes.
+/// Factor on the run time of delayed requests.
 const DELAY_FACTOR: u64 = 10;
 
-/// Runs a request to its end or its deadline, also when its caller has gone away; tells whether it
-/// ended in time.
+/// Runs a request until it ends or its deadline passes, even when the caller disconnects. Returns
+/// whether it ended before the deadline.
 async fn run_until_deadline(
     switches: &WorkerSwitches,
     is_delayed: bool,
@@ -455,14 +456,14 @@
     run.await.is_ok() && takes <= left
 }
 
-/// An answer that breaks off after half of its body.
+/// Cuts the body in half and declares a longer one, so that the connection ends early.
 fn cut_off(mut answer: HttpResponse) -> HttpResponse {
     answer.declared_len = Some(answer.body.len() as u64 + 1);
     answer.body.truncate(answer.body.len() / 2);
     answer
 }
 
-/// A request that runs.
+/// A running request, counted in the worker until it is dropped.
 struct Running {
     worker: Rc<Worker>,
     size: Size,
--- a/crates/lapisdrum-standins/src/worker/tasks.rs
+++ b/crates/lapisdrum-standins/src/worker/tasks.rs
@@ -1,8 +1,8 @@
-//! What a worker does about tasks, without I/O: the rules that the scheduler asks of every worker.
+//! Task handling of a worker, without I/O: the rules that the scheduler requires of every worker.
 //!
-//! A command below the highest epoch seen, or whose end has passed on the worker's clock, does
-//! nothing. A task whose lease runs out is stopped. A task's end is reported until a stop
-//! acknowledges it.
+//! A command has no effect if its epoch is below the highest one seen, or if its lease end has passed
+//! on the worker's clock. A task whose lease expires is stopped. An ended task is reported until a
+//! stop acknowledges it.
 
 use indexmap::IndexMap;
 use lapisdrum::{
@@ -15,38 +15,38 @@
     worker::wire::{RejectReason, RenewTasks, StartTask, TaskList, TaskState, TaskStatus},
 };
 
-/// Thousandths in a whole.
+/// Progress of a finished task, in thousandths.
 const WHOLE_PERMILLE: u64 = 1_000;
 
-/// How long tasks take and how they end.
+/// Duration and outcome of a task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TaskPlan {
-    /// Time for the whole work at full speed, in milliseconds; none for a task without an end.
+    /// Run time from no progress at full speed, in milliseconds; `None` for a task that never finishes.
     pub work_ms: Option<u64>,
-    /// Time between two checkpoints, in milliseconds.
+    /// Interval between checkpoints, in milliseconds.
     pub checkpoint_ms: u64,
-    /// Whether the task fails at once.
+    /// Whether the task fails as soon as it starts.
     pub fails: bool,
 }
 
 /// One task on a worker.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Task {
-    /// Its attempt.
+    /// Attempt that started the task.
     pub attempt: Attempt,
-    /// What it takes.
+    /// Resources that the task uses.
     pub size: Size,
-    /// Its lease's end.
+    /// End of the task's lease.
     pub until: WorkerMillis,
-    /// Its state.
+    /// State as reported to the scheduler.
     pub state: TaskState,
-    /// Its last saved progress.
+    /// Latest checkpoint, at first the one that the start order named.
     pub checkpoint: Option<Checkpoint>,
-    /// When it was started here.
+    /// When this worker started the task.
     pub started: WorkerMillis,
-    /// When it was started here or its checkpoint last changed.
+    /// When this worker started the task or last saved a checkpoint.
     pub changed: WorkerMillis,
-    /// Speed in thousandths.
+    /// Speed in thousandths of full speed.
     pub speed_permille: u32,
     first_permille: u32,
     plan: TaskPlan,
@@ -57,15 +57,15 @@
 pub struct Tasks {
     /// The highest epoch seen.
     pub epoch: Epoch,
-    /// The tasks, ended ones until acknowledged.
+    /// Running tasks, and ended ones until a stop acknowledges them.
     pub tasks: IndexMap<JobId, Task>,
-    /// When the worker's software was started. It knows of no change before.
+    /// Start of the worker; changes before it are unknown.
     pub since: WorkerMillis,
     capacity: Size,
 }
 
 impl Tasks {
-    /// No tasks on a worker of this capacity.
+    /// No tasks, on a worker with this capacity.
     pub fn new(capacity: Size) -> Self {
         Self {
             epoch: Epoch::default(),
@@ -75,13 +75,13 @@
         }
     }
 
-    /// Claims the worker for an epoch.
+    /// Accepts an epoch that is not below the highest one seen, and returns all tasks.
     pub fn claim(&mut self, epoch: Epoch) -> Result<Vec<TaskStatus>, RejectReason> {
         self.check_epoch(epoch)?;
         Ok(self.statuses())
     }
 
-    /// Starts a task, or finds it started by the same attempt.
+    /// Starts a task. A repeated start of the same attempt returns the task's status.
     pub fn start(
         &mut self,
         now: WorkerMillis,
@@ -126,8 +126,8 @@
         Ok(answer)
     }
 
-    /// Renews the leases of all running tasks but the exceptions, and reports what has changed. A
-    /// task whose lease has run out is not brought back.
+    /// Renews the leases of all tasks, those in `exceptions` to their own end, and returns what has
+    /// changed. An expired lease is not renewed.
     pub fn renew(
         &mut self,
         now: WorkerMillis,
@@ -149,8 +149,8 @@
         Ok(self.changes(now, renew.known_ms))
     }
 
-    /// Tasks that changed since a reading of the clock, and all ended ones; all of them where the
-    /// reading is from before this software was started.
+    /// Ended tasks and those changed since `known_ms`; all tasks if `known_ms` is 0 or before the
+    /// start of the worker.
     fn changes(&self, now: WorkerMillis, known_ms: u64) -> TaskList {
         let is_complete = known_ms == 0 || known_ms < self.since.0;
         let is_news = |task: &Task| {
@@ -165,7 +165,7 @@
         }
     }
 
-    /// Stops a running task; forgets an ended one.
+    /// Stops a running task, or removes an ended one.
     pub fn stop(&mut self, id: &JobId, epoch: Epoch) -> Result<TaskStatus, RejectReason> {
         self.check_epoch(epoch)?;
         let task = self.tasks.get_mut(id).ok_or(RejectReason::UnknownTask)?;
@@ -178,7 +178,7 @@
         Ok(answer)
     }
 
-    /// Sets a task's speed.
+    /// Sets a task's speed, in thousandths of full speed.
     pub fn throttle(
         &mut self,
         id: &JobId,
@@ -191,7 +191,7 @@
         Ok(status(id, task))
     }
 
-    /// Saves a task's progress now.
+    /// Saves a checkpoint if the task runs.
     pub fn checkpoint(
         &mut self,
         now: WorkerMillis,
@@ -206,7 +206,7 @@
         Ok(status(id, task))
     }
 
-    /// Lets time pass: leases run out, work gets done, checkpoints are saved.
+    /// Advances to `now`: expires leases, finishes tasks and saves due checkpoints.
     pub fn tick(&mut self, now: WorkerMillis) {
         for (id, task) in &mut self.tasks {
             if task.state != TaskState::Running {
@@ -234,7 +234,7 @@
         }
     }
 
-    /// The sum of what runs.
+    /// Total size of the running tasks.
     pub fn running_size(&self) -> Size {
         let running = self
             .tasks
@@ -251,7 +251,7 @@
         Ok(())
     }
 
-    /// Every task as it is reported.
+    /// The status of each task.
     pub fn statuses(&self) -> Vec<TaskStatus> {
         self.tasks
             .iter()
