--- a/crates/lapisdrum-standins/src/platform/server.rs
+++ b/crates/lapisdrum-standins/src/platform/server.rs
@@ -20,7 +20,7 @@
 use tokio::sync::watch;
 
 /// Largest body accepted, in bytes.
-const BODY_LIMIT: usize = 256 * 1024 * 1024;
+const MAX_BODY_BYTES: usize = 256 * 1024 * 1024;
 
 /// Faults that the platform injects.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -80,7 +80,7 @@
 
     /// Serves on `listener` until `stop` turns true.
     pub async fn serve(self: Rc<Self>, listener: TcpListener, stop: watch::Receiver<bool>) {
-        http::serve(listener, BODY_LIMIT, stop, move |read| {
+        http::serve(listener, MAX_BODY_BYTES, stop, move |read| {
             Rc::clone(&self).answer(read)
         })
         .await;
@@ -98,7 +98,7 @@
             tokio::time::sleep(Duration::from_millis(switches.slow_ms)).await;
         }
         if switches.down || is_cut(&switches, &req) {
-            return never().await;
+            return leave_unanswered().await;
         }
         let is_write = req.method != Method::GET;
         let answer = self.serve_call(&req);
@@ -106,13 +106,13 @@
             .set(self.write_bytes.get() + request_bytes(&req));
         self.read_bytes
             .set(self.read_bytes.get() + response_bytes(&answer));
-        if is_write && self.loses_answer() {
-            return never().await;
+        if is_write && self.is_answer_lost() {
+            return leave_unanswered().await;
         }
         answer
     }
 
-    fn loses_answer(&self) -> bool {
+    fn is_answer_lost(&self) -> bool {
         let mut switches = self.switches.borrow_mut();
         if switches.lose_next > 0 {
             switches.lose_next -= 1;
@@ -205,15 +205,15 @@
 }
 
 fn is_cut(switches: &PlatformSwitches, req: &HttpRequest) -> bool {
-    caller(req).is_some_and(|daemon| switches.cut.iter().any(|cut| cut == daemon))
+    calling_daemon(req).is_some_and(|daemon| switches.cut.iter().any(|cut| cut == daemon))
 }
 
 /// The name of the calling daemon, from its `user-agent` header.
-pub(crate) fn caller(req: &HttpRequest) -> Option<&str> {
+pub(crate) fn calling_daemon(req: &HttpRequest) -> Option<&str> {
     req.header("user-agent")?.strip_prefix("lapisdrum/")
 }
 
 /// Never completes, so that the caller runs into its own timeout.
-async fn never() -> HttpResponse {
+async fn leave_unanswered() -> HttpResponse {
     std::future::pending().await
 }
--- a/crates/lapisdrum-standins/src/platform/table.rs
+++ b/crates/lapisdrum-standins/src/platform/table.rs
@@ -5,7 +5,7 @@
 use serde_json::Value;
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-struct Cell {
+struct VersionedValue {
     value: Value,
     version: u64,
 }
@@ -13,7 +13,7 @@
 /// Rows by key. Versions increase across the whole table and are never reused.
 #[derive(Clone, Debug, Default)]
 pub struct Table {
-    rows: IndexMap<String, Cell>,
+    rows: IndexMap<String, VersionedValue>,
     last_version: u64,
     /// Committed transactions.
     pub writes: u64,
@@ -48,27 +48,27 @@
     /// Reads a row and counts the read.
     pub fn get(&mut self, key: &str) -> Option<Row> {
         self.reads += 1;
-        self.rows.get(key).map(|cell| row(key, cell))
+        self.rows.get(key).map(|stored| row(key, stored))
     }
 
     /// Reads the rows whose keys start with `prefix`, in key order.
     pub fn list(&mut self, prefix: &str) -> Vec<Row> {
         self.reads += 1;
         let found = self.rows.iter().filter(|(key, _)| key.starts_with(prefix));
-        let mut rows: Vec<Row> = found.map(|(key, cell)| row(key, cell)).collect();
+        let mut rows: Vec<Row> = found.map(|(key, stored)| row(key, stored)).collect();
         rows.sort_by(|a, b| a.key.cmp(&b.key));
         rows
     }
 
     fn version(&self, key: &str) -> u64 {
-        self.rows.get(key).map_or(0, |cell| cell.version)
+        self.rows.get(key).map_or(0, |stored| stored.version)
     }
 
     fn put(&mut self, key: &str, value: Value) -> u64 {
         self.last_version += 1;
         self.rows.insert(
             key.to_owned(),
-            Cell {
+            VersionedValue {
                 value,
                 version: self.last_version,
             },
@@ -77,10 +77,10 @@
     }
 }
 
-fn row(key: &str, cell: &Cell) -> Row {
+fn row(key: &str, stored: &VersionedValue) -> Row {
     Row {
         key: key.to_owned(),
-        value: cell.value.clone(),
-        version: cell.version,
+        value: stored.value.clone(),
+        version: stored.version,
     }
 }
--- a/crates/lapisdrum-standins/src/process.rs
+++ b/crates/lapisdrum-standins/src/process.rs
@@ -93,7 +93,7 @@
                 let worker = bind(SocketAddr::new(listen.ip(), 0)).await?;
                 let host = site::host(&name, worker.local_addr()?, &data_centre, &rack);
                 platform.hosts.borrow_mut().push(host);
-                actix_rt::spawn(usual_worker().serve(worker, stopped.clone()));
+                actix_rt::spawn(default_worker().serve(worker, stopped.clone()));
             }
             platform.serve(listener, stopped).await;
         }
@@ -102,7 +102,7 @@
             for i in 0..count {
                 let port = if i == 0 { listen.port() } else { 0 };
                 let listener = bind(SocketAddr::new(listen.ip(), port)).await?;
-                serving.push(usual_worker().serve(listener, stopped.clone()));
+                serving.push(default_worker().serve(listener, stopped.clone()));
             }
             futures::future::join_all(serving).await;
         }
@@ -132,7 +132,7 @@
 }
 
 /// A worker with the capacity that [`site::host`] lists.
-fn usual_worker() -> Rc<Worker> {
+fn default_worker() -> Rc<Worker> {
     let capacity = Size {
         millicores: 16_000,
         memory_mb: 60_000,
--- a/crates/lapisdrum-standins/src/users/rows.rs
+++ b/crates/lapisdrum-standins/src/users/rows.rs
@@ -16,7 +16,7 @@
 use tokio::sync::watch;
 
 /// Largest body accepted, in bytes.
-const BODY_BYTES: usize = 8 * 1024 * 1024;
+const MAX_BODY_BYTES: usize = 8 * 1024 * 1024;
 
 #[derive(Clone, Debug)]
 struct RowValue {
@@ -31,7 +31,7 @@
     rows: RefCell<BTreeMap<(String, String, String), RowValue>>,
     objects: RefCell<IndexMap<String, Bytes>>,
     version: Cell<u64>,
-    began: Instant,
+    started_at: Instant,
     /// Whether calls have no effect and are answered with 503.
     pub is_down: Cell<bool>,
     /// Number of calls by path, without those answered with 503.
@@ -44,29 +44,29 @@
             rows: RefCell::default(),
             objects: RefCell::default(),
             version: Cell::new(0),
-            began: Instant::now(),
+            started_at: Instant::now(),
             is_down: Cell::new(false),
             calls: RefCell::default(),
         }
     }
 }
 
-fn text(value: &Value, field: &str) -> String {
+fn string_field(value: &Value, field: &str) -> String {
     value[field].as_str().unwrap_or_default().to_owned()
 }
 
 fn key_of(entry: &Value) -> (String, String, String) {
     (
-        text(entry, "table"),
-        text(entry, "part"),
-        text(entry, "key"),
+        string_field(entry, "table"),
+        string_field(entry, "part"),
+        string_field(entry, "key"),
     )
 }
 
 impl RowStore {
     /// Serves the store until `stop` turns true.
     pub async fn serve(self: Rc<Self>, listener: TcpListener, stop: watch::Receiver<bool>) {
-        http::serve(listener, BODY_BYTES, stop, move |read| {
+        http::serve(listener, MAX_BODY_BYTES, stop, move |read| {
             let store = Rc::clone(&self);
             async move { store.answer(read) }
         })
@@ -134,10 +134,10 @@
     }
 
     fn now_ms(&self) -> u64 {
-        self.began.elapsed().as_millis() as u64
+        self.started_at.elapsed().as_millis() as u64
     }
 
-    fn wire(&self, at: &(String, String, String), row: &RowValue) -> Value {
+    fn wire_row(&self, at: &(String, String, String), row: &RowValue) -> Value {
         json!({ "table": at.0, "part": at.1, "key": at.2, "value": row.value, "schemaVersion": row.version })
     }
 
@@ -148,23 +148,25 @@
         let list = |field: &str| body[field].as_array().cloned().unwrap_or_default();
         let (expect, put, remove) = (list("expect"), list("setKeys"), list("remove"));
         let all = expect.iter().chain(&put).chain(&remove);
-        let parts: std::collections::BTreeSet<String> = all.map(|e| text(e, "part")).collect();
+        let parts: std::collections::BTreeSet<String> =
+            all.map(|e| string_field(e, "part")).collect();
         if parts.len() > 1 || expect.len() + put.len() + remove.len() > 100 {
             return HttpResponse::empty(StatusCode::BAD_REQUEST);
         }
         if put
             .iter()
-            .any(|e| matches!(text(e, "table").as_str(), "op" | "servers"))
+            .any(|e| matches!(string_field(e, "table").as_str(), "op" | "servers"))
         {
             return HttpResponse::empty(StatusCode::FORBIDDEN);
         }
         let mut rows = self.rows.borrow_mut();
         let version_of = |entry: &Value| rows.get(&key_of(entry)).map_or(0, |row| row.version);
-        let holds = |entry: &Value| entry["schemaVersion"].as_u64() == Some(version_of(entry));
-        if !expect.iter().all(holds) {
+        let is_expected_version =
+            |entry: &Value| entry["schemaVersion"].as_u64() == Some(version_of(entry));
+        if !expect.iter().all(is_expected_version) {
             let found = expect.iter().filter_map(|entry| {
                 let at = key_of(entry);
-                Some(self.wire(&at, rows.get(&at)?))
+                Some(self.wire_row(&at, rows.get(&at)?))
             });
             let found: Vec<Value> = found.collect();
             let answer = json!({ "rows": found, "schemaVersion": self.version.get(), "nowMs": self.now_ms() });
@@ -173,7 +175,7 @@
         self.version.set(self.version.get() + 1);
         for entry in &put {
             let row = RowValue {
-                value: text(entry, "value"),
+                value: string_field(entry, "value"),
                 version: self.version.get(),
             };
             rows.insert(key_of(entry), row);
@@ -194,7 +196,7 @@
             .iter()
             .filter(|(at, _)| at.0 == table && at.1 == part && at.2 >= from)
             .take(limit + 1)
-            .map(|(at, row)| self.wire(at, row))
+            .map(|(at, row)| self.wire_row(at, row))
             .collect();
         let has_more = found.len() > limit;
         found.truncate(limit);
--- a/crates/lapisdrum-standins/src/users/worker.rs
+++ b/crates/lapisdrum-standins/src/users/worker.rs
@@ -16,30 +16,30 @@
 use tokio::sync::watch;
 
 /// Largest body accepted, in bytes.
-const BODY_BYTES: usize = 64 * 1024;
+const MAX_BODY_BYTES: usize = 64 * 1024;
 /// Longer leases are cut to this length.
-const LONGEST_LEASE: Duration = Duration::from_secs(6);
+const MAX_LEASE: Duration = Duration::from_secs(6);
 /// Time from a stop order to the end of the task.
-const STOP: Duration = Duration::from_millis(100);
+const STOP_DURATION: Duration = Duration::from_millis(100);
 /// Interval at which a long poll checks for ended tasks.
-const WAIT_STEP: Duration = Duration::from_millis(5);
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 #[derive(Debug)]
 struct Running {
     task: String,
     run: u64,
-    began_at: Instant,
-    done_at: Option<Instant>,
-    stop_at: Option<Instant>,
+    started_at: Instant,
+    finishes_at: Option<Instant>,
+    stops_at: Option<Instant>,
 }
 
 impl Running {
     /// Progress in percent; always 100 for a task without a run time.
     fn percent(&self) -> u64 {
-        let Some(done_at) = self.done_at else {
+        let Some(finishes_at) = self.finishes_at else {
             return 100;
         };
-        let (whole, done) = (done_at - self.began_at, self.began_at.elapsed());
+        let (whole, done) = (finishes_at - self.started_at, self.started_at.elapsed());
         (done.as_secs_f64() / whole.as_secs_f64() * 100.0) as u64
     }
 }
@@ -48,34 +48,34 @@
 #[derive(Debug)]
 pub struct UsersWorker {
     id: String,
-    born: u64,
-    began: Instant,
+    started_unix_ms: u64,
+    created_at: Instant,
     token: Cell<u64>,
     lease_until: Cell<Instant>,
     running: RefCell<Vec<Running>>,
     /// Ended runs not yet acknowledged: sequence number, task, run number and outcome.
     ended: RefCell<Vec<(u64, String, u64, &'static str)>>,
-    next_end: Cell<u64>,
+    next_end_number: Cell<u64>,
     /// By task, the last run that ended or was stopped before it started; starts up to it are refused.
-    over: RefCell<IndexMap<String, u64>>,
+    last_ended_run: RefCell<IndexMap<String, u64>>,
     /// Starts that were carried out, in order: task and run number.
     pub started: RefCell<Vec<(String, u64)>>,
 }
 
 impl UsersWorker {
     /// A worker with this id whose incarnation started at this Unix time in milliseconds.
-    pub fn new(id: &str, born: u64) -> Rc<Self> {
+    pub fn new(id: &str, started_unix_ms: u64) -> Rc<Self> {
         let now = Instant::now();
         Rc::new(Self {
             id: id.to_owned(),
-            born,
-            began: now,
+            started_unix_ms,
+            created_at: now,
             token: Cell::new(0),
             lease_until: Cell::new(now),
             running: RefCell::default(),
             ended: RefCell::default(),
-            next_end: Cell::new(1),
-            over: RefCell::default(),
+            next_end_number: Cell::new(1),
+            last_ended_run: RefCell::default(),
             started: RefCell::default(),
         })
     }
@@ -85,13 +85,13 @@
         json!({
             "service": "trail", "address": address, "zone": "karen", "version": "v1", "slots": 8,
             "state": state, "coldLeftMs": 0, "capacity": { "cpu": 8000, "memMb": 32000, "gpu": 0 },
-            "labels": ["a", "r1-1"], "clockMs": self.clock_ms(), "seq": 1, "born": self.born,
+            "labels": ["a", "r1-1"], "clockMs": self.clock_ms(), "seq": 1, "born": self.started_unix_ms,
         })
     }
 
     /// Serves until `stop` turns true.
     pub async fn serve(self: Rc<Self>, listener: TcpListener, stop: watch::Receiver<bool>) {
-        http::serve(listener, BODY_BYTES, stop, move |read| {
+        http::serve(listener, MAX_BODY_BYTES, stop, move |read| {
             let worker = Rc::clone(&self);
             async move { worker.answer(read).await }
         })
@@ -100,12 +100,12 @@
 
     /// Number of running tasks.
     pub fn running(&self) -> usize {
-        self.settle();
+        self.end_due_runs();
         self.running.borrow().len()
     }
 
     fn clock_ms(&self) -> u64 {
-        self.began.elapsed().as_millis() as u64 + 1_000
+        self.created_at.elapsed().as_millis() as u64 + 1_000
     }
 
     async fn answer(&self, read: Result<HttpRequest, BodyFault>) -> HttpResponse {
@@ -121,7 +121,7 @@
         let Ok(body) = req.json::<Value>() else {
             return HttpResponse::empty(StatusCode::BAD_REQUEST);
         };
-        self.settle();
+        self.end_due_runs();
         let token = body["fencingToken"].as_u64().unwrap_or_default();
         if token < self.token.get() {
             return self.refuse("fence");
@@ -150,7 +150,7 @@
         let Some(left) = until_ms.checked_sub(self.clock_ms()) else {
             return false;
         };
-        let until = Instant::now() + Duration::from_millis(left).min(LONGEST_LEASE);
+        let until = Instant::now() + Duration::from_millis(left).min(MAX_LEASE);
         self.lease_until.set(self.lease_until.get().max(until));
         true
     }
@@ -163,26 +163,26 @@
             return self.refuse("late");
         }
         if self
-            .over
+            .last_ended_run
             .borrow()
             .get(task)
             .is_some_and(|last| run <= *last)
         {
             return self.refuse("old");
         }
-        let is_there = |r: &Running| r.task == task && r.run == run;
-        if self.running.borrow().iter().any(is_there) {
+        let is_same_run = |r: &Running| r.task == task && r.run == run;
+        if self.running.borrow().iter().any(is_same_run) {
             return self.accept();
         }
         let work_ms = body["spec"].as_str().and_then(|spec| spec.parse().ok());
-        let done_at = work_ms.map(|ms| Instant::now() + Duration::from_millis(ms));
+        let finishes_at = work_ms.map(|ms| Instant::now() + Duration::from_millis(ms));
         self.started.borrow_mut().push((task.to_owned(), run));
         self.running.borrow_mut().push(Running {
             task: task.to_owned(),
             run,
-            began_at: Instant::now(),
-            done_at,
-            stop_at: None,
+            started_at: Instant::now(),
+            finishes_at,
+            stops_at: None,
         });
         self.accept()
     }
@@ -193,9 +193,11 @@
         };
         let mut running = self.running.borrow_mut();
         match running.iter_mut().find(|r| r.task == task && r.run == run) {
-            Some(found) => found.stop_at = Some(Instant::now() + STOP),
+            Some(found) => found.stops_at = Some(Instant::now() + STOP_DURATION),
             None => {
-                self.over.borrow_mut().insert(task.to_owned(), run);
+                self.last_ended_run
+                    .borrow_mut()
+                    .insert(task.to_owned(), run);
             }
         }
         self.accept()
@@ -210,10 +212,10 @@
             .borrow_mut()
             .retain(|(number, ..)| *number > acked);
         let wait = Duration::from_millis(body["waitMs"].as_u64().unwrap_or_default());
-        let began = Instant::now();
-        while self.ended.borrow().is_empty() && began.elapsed() < wait {
-            tokio::time::sleep(WAIT_STEP).await;
-            self.settle();
+        let polled_at = Instant::now();
+        while self.ended.borrow().is_empty() && polled_at.elapsed() < wait {
+            tokio::time::sleep(POLL_INTERVAL).await;
+            self.end_due_runs();
         }
         let running = self.running.borrow();
         let running: Vec<Value> = running
@@ -226,25 +228,27 @@
             .map(|(number, task, run, how)| json!([number, task, run, how, ""]))
             .collect();
         let answer = json!({
-            "clockMs": self.clock_ms(), "born": self.born, "running": running, "ended": ended,
+            "clockMs": self.clock_ms(), "born": self.started_unix_ms, "running": running, "ended": ended,
         });
         HttpResponse::json(StatusCode::OK, &answer)
     }
 
-    fn settle(&self) {
+    fn end_due_runs(&self) {
         let (now, lease_until) = (Instant::now(), self.lease_until.get());
         let end = |r: &Running| match r {
-            r if r.done_at.is_some_and(|at| at <= now.min(lease_until)) => Some("done"),
-            r if r.stop_at.is_some_and(|at| at <= now) => Some("stopped"),
+            r if r.finishes_at.is_some_and(|at| at <= now.min(lease_until)) => Some("done"),
+            r if r.stops_at.is_some_and(|at| at <= now) => Some("stopped"),
             _ if lease_until <= now => Some("lapsed"),
             _ => None,
         };
         let mut running = self.running.borrow_mut();
         for r in running.iter() {
             if let Some(how) = end(r) {
-                let number = self.next_end.get();
-                self.next_end.set(number + 1);
-                self.over.borrow_mut().insert(r.task.clone(), r.run);
+                let number = self.next_end_number.get();
+                self.next_end_number.set(number + 1);
+                self.last_ended_run
+                    .borrow_mut()
+                    .insert(r.task.clone(), r.run);
                 self.ended
                     .borrow_mut()
                     .push((number, r.task.clone(), r.run, how));
--- a/crates/lapisdrum-standins/src/worker/link.rs
+++ b/crates/lapisdrum-standins/src/worker/link.rs
@@ -36,26 +36,26 @@
 impl Link {
     /// Forwards connections from `listener` to `worker` for as long as the future is polled.
     pub async fn serve(self: Rc<Self>, listener: TcpListener, worker: SocketAddr) {
-        while let Ok((near, _)) = listener.accept().await {
+        while let Ok((client, _)) = listener.accept().await {
             let link = Rc::clone(&self);
             actix_rt::spawn(async move {
                 // An error on either connection closes both.
-                let _ = link.carry(near, worker).await;
+                let _ = link.carry(client, worker).await;
             });
         }
     }
 
-    async fn carry(&self, near: TcpStream, worker: SocketAddr) -> io::Result<()> {
-        let far = TcpStream::connect(worker).await?;
-        near.set_nodelay(true)?;
-        far.set_nodelay(true)?;
-        let (mut near_read, mut near_write) = near.into_split();
-        let (mut far_read, mut far_write) = far.into_split();
+    async fn carry(&self, client: TcpStream, worker: SocketAddr) -> io::Result<()> {
+        let server = TcpStream::connect(worker).await?;
+        client.set_nodelay(true)?;
+        server.set_nodelay(true)?;
+        let (mut client_read, mut client_write) = client.into_split();
+        let (mut server_read, mut server_write) = server.into_split();
         let mut buf = vec![0; READ_BYTES];
         let answers = async {
             loop {
-                let n = far_read.read(&mut buf).await?;
-                if n == 0 || !self.pass_on(&buf[..n], &mut near_write).await? {
+                let n = server_read.read(&mut buf).await?;
+                if n == 0 || !self.forward(&buf[..n], &mut client_write).await? {
                     return Ok(());
                 }
             }
@@ -67,12 +67,12 @@
         tokio::select! {
             () = tokio::time::sleep(closes_after) => Ok(()),
             ended = answers => ended,
-            ended = copy(&mut near_read, &mut far_write) => ended.map(|_| ()),
+            ended = copy(&mut client_read, &mut server_write) => ended.map(|_| ()),
         }
     }
 
     /// Forwards one answer; returns false when the connection is to be closed instead.
-    async fn pass_on(
+    async fn forward(
         &self,
         answer: &[u8],
         to: &mut (impl AsyncWriteExt + Unpin),
--- a/crates/lapisdrum-standins/src/worker/server.rs
+++ b/crates/lapisdrum-standins/src/worker/server.rs
@@ -2,7 +2,7 @@
 
 use super::tasks::{TaskPlan, Tasks};
 use crate::{
-    platform::server::caller,
+    platform::server::calling_daemon,
     traffic::{request_bytes, response_bytes},
 };
 use actix_http::{Method, StatusCode};
@@ -26,9 +26,9 @@
 use tokio::{sync::watch, time::Instant};
 
 /// Largest body accepted, in bytes.
-const BODY_LIMIT: usize = 64 * 1024 * 1024;
+const MAX_BODY_BYTES: usize = 64 * 1024 * 1024;
 /// Interval at which leases and task progress are updated.
-const TICK: Duration = Duration::from_millis(10);
+const TICK_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Durations, faults and reported values of a worker.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -97,7 +97,7 @@
 impl WorkerSwitches {
     fn is_silent_to(&self, req: &HttpRequest) -> bool {
         let cut = |daemon: &str| self.cut.iter().any(|cut| cut == daemon);
-        self.hung || caller(req).is_some_and(cut)
+        self.hung || calling_daemon(req).is_some_and(cut)
     }
 }
 
@@ -179,13 +179,13 @@
     /// The worker's own clock. It counts on from the machine's time, so that it doesn't go back when
     /// the worker is restarted.
     pub fn now(&self) -> WorkerMillis {
-        WorkerMillis(BASE_MS + self.origin.elapsed().as_millis() as u64)
+        WorkerMillis(CLOCK_BASE_MS + self.origin.elapsed().as_millis() as u64)
     }
 
     /// Serves on `listener` until `stop` turns true.
     pub async fn serve(self: Rc<Self>, listener: TcpListener, stop: watch::Receiver<bool>) {
         let ticker = actix_rt::spawn(Rc::clone(&self).tick());
-        http::serve(listener, BODY_LIMIT, stop, move |read| {
+        http::serve(listener, MAX_BODY_BYTES, stop, move |read| {
             Rc::clone(&self).answer(read)
         })
         .await;
@@ -195,13 +195,13 @@
     async fn tick(self: Rc<Self>) {
         loop {
             self.tasks.borrow_mut().tick(self.now());
-            self.note_runs();
-            tokio::time::sleep(TICK).await;
+            self.update_log();
+            tokio::time::sleep(TICK_INTERVAL).await;
         }
     }
 
     /// Records in the log which runs have ended, and the largest total size.
-    fn note_runs(&self) {
+    fn update_log(&self) {
         let tasks = self.tasks.borrow();
         let mut log = self.log.borrow_mut();
         for run in log.tasks.iter_mut().filter(|run| run.to_ms.is_none()) {
@@ -210,11 +210,11 @@
                 task.state == TaskState::Running && task.attempt.0 == run.attempt
             });
             if !running {
-                run.to_ms = Some(wall_ms());
+                run.to_ms = Some(unix_ms());
             }
         }
         let taken = tasks.running_size().plus(&self.requests_size.get());
-        log.most_size = most(&log.most_size, &taken);
+        log.most_size = max_per_resource(&log.most_size, &taken);
     }
 
     async fn answer(self: Rc<Self>, read: Result<HttpRequest, BodyFault>) -> HttpResponse {
@@ -259,8 +259,8 @@
         }
         self.log.borrow_mut().requests.push(id.clone());
         let size = switches.entry_sizes.get(&entry).copied();
-        let running = Running::begin(self, size.unwrap_or_default());
-        self.note_runs();
+        let running = RunningRequest::register(self, size.unwrap_or_default());
+        self.update_log();
         if switches.fails_requests {
             return HttpResponse::empty(StatusCode::INTERNAL_SERVER_ERROR).with(REQUEST_HEADER, id);
         }
@@ -274,18 +274,18 @@
         }
         if switches.misnames_refusals {
             return HttpResponse::empty(StatusCode::SERVICE_UNAVAILABLE)
-                .with(REQUEST_HEADER, FOREIGN_REQUEST)
+                .with(REQUEST_HEADER, OTHER_REQUEST_ID)
                 .with(NOT_RUN_HEADER, "true");
         }
         let (named, body) = match is_one_in(switches.misnames_one_in) {
-            true => (FOREIGN_REQUEST.to_owned(), FOREIGN_BODY.into()),
+            true => (OTHER_REQUEST_ID.to_owned(), OTHER_REQUEST_BODY.into()),
             false => (id, req.body.clone()),
         };
         let answer = HttpResponse::bytes(StatusCode::OK, body)
             .with(REQUEST_HEADER, named)
             .with(ENTRY_HEADER, entry);
         match is_one_in(switches.cuts_one_in) {
-            true => cut_off(answer),
+            true => truncate_body(answer),
             false => answer,
         }
     }
@@ -329,11 +329,11 @@
                 self.log.borrow_mut().tasks.push(TaskRun {
                     task: id.clone(),
                     attempt: start.attempt.0,
-                    from_ms: wall_ms(),
+                    from_ms: unix_ms(),
                     to_ms: None,
                     first_permille: start.checkpoint.map_or(0, |saved| saved.progress_permille),
                 });
-                self.note_runs();
+                self.update_log();
             }
             self.reply(started)
         })
@@ -372,7 +372,7 @@
             }),
             _ => HttpResponse::empty(StatusCode::NOT_FOUND),
         };
-        self.note_runs();
+        self.update_log();
         answer
     }
 
@@ -425,12 +425,12 @@
 }
 
 /// Initial value of the worker's clock; not zero, because zero stands for "no reading".
-const BASE_MS: u64 = 1_000_000;
+const CLOCK_BASE_MS: u64 = 1_000_000;
 
 /// Request id in answers that belong to another request.
-const FOREIGN_REQUEST: &str = "another-request";
+const OTHER_REQUEST_ID: &str = "another-request";
 /// Body of answers that belong to another request.
-const FOREIGN_BODY: &str = "the answer to another request";
+const OTHER_REQUEST_BODY: &str = "the answer to another request";
 /// Factor on the run time of delayed requests.
 const DELAY_FACTOR: u64 = 10;
 
@@ -440,7 +440,7 @@
     switches: &WorkerSwitches,
     is_delayed: bool,
     req: &HttpRequest,
-    running: Running,
+    running: RunningRequest,
 ) -> bool {
     let factor = if is_delayed { DELAY_FACTOR } else { 1 };
     let takes = match switches.hang_requests {
@@ -457,20 +457,20 @@
 }
 
 /// Cuts the body in half and declares a longer one, so that the connection ends early.
-fn cut_off(mut answer: HttpResponse) -> HttpResponse {
+fn truncate_body(mut answer: HttpResponse) -> HttpResponse {
     answer.declared_len = Some(answer.body.len() as u64 + 1);
     answer.body.truncate(answer.body.len() / 2);
     answer
 }
 
 /// A running request, counted in the worker until it is dropped.
-struct Running {
+struct RunningRequest {
     worker: Rc<Worker>,
     size: Size,
 }
 
-impl Running {
-    fn begin(worker: &Rc<Worker>, size: Size) -> Self {
+impl RunningRequest {
+    fn register(worker: &Rc<Worker>, size: Size) -> Self {
         let running = worker.running_requests.get() + 1;
         worker.running_requests.set(running);
         worker
@@ -485,7 +485,7 @@
     }
 }
 
-impl Drop for Running {
+impl Drop for RunningRequest {
     fn drop(&mut self) {
         let worker = &self.worker;
         worker
@@ -507,7 +507,7 @@
     }
 }
 
-fn most(a: &Size, b: &Size) -> Size {
+fn max_per_resource(a: &Size, b: &Size) -> Size {
     Size {
         millicores: a.millicores.max(b.millicores),
         memory_mb: a.memory_mb.max(b.memory_mb),
@@ -515,7 +515,7 @@
     }
 }
 
-fn wall_ms() -> u64 {
+fn unix_ms() -> u64 {
     let since = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default();
--- a/crates/lapisdrum-standins/src/worker/tasks.rs
+++ b/crates/lapisdrum-standins/src/worker/tasks.rs
@@ -16,7 +16,7 @@
 };
 
 /// Progress of a finished task, in thousandths.
-const WHOLE_PERMILLE: u64 = 1_000;
+const FINISHED_PERMILLE: u64 = 1_000;
 
 /// Duration and outcome of a task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -90,7 +90,7 @@
         plan: TaskPlan,
     ) -> Result<TaskStatus, RejectReason> {
         self.check_epoch(start.epoch)?;
-        let until = check_end(now, start.until_ms)?;
+        let until = check_lease_end(now, start.until_ms)?;
         match self.tasks.get(id) {
             Some(task) if task.attempt == start.attempt => return Ok(status(id, task)),
             Some(task) if task.state == TaskState::Running => {
@@ -141,7 +141,7 @@
                 .find(|exception| exception.task == *id);
             let until_ms = exception.map_or(renew.until_ms, |exception| exception.until_ms);
             if task.until >= now
-                && let Ok(until) = check_end(now, until_ms)
+                && let Ok(until) = check_lease_end(now, until_ms)
             {
                 task.until = task.until.max(until);
             }
@@ -153,11 +153,11 @@
     /// start of the worker.
     fn changes(&self, now: WorkerMillis, known_ms: u64) -> TaskList {
         let is_complete = known_ms == 0 || known_ms < self.since.0;
-        let is_news = |task: &Task| {
+        let is_reported = |task: &Task| {
             is_complete || task.state != TaskState::Running || task.changed.0 >= known_ms
         };
-        let news = self.tasks.iter().filter(|(_, task)| is_news(task));
-        let tasks = news.map(|(id, task)| status(id, task)).collect();
+        let reported = self.tasks.iter().filter(|(_, task)| is_reported(task));
+        let tasks = reported.map(|(id, task)| status(id, task)).collect();
         TaskList {
             tasks,
             is_complete,
@@ -201,7 +201,7 @@
         self.check_epoch(epoch)?;
         let task = self.tasks.get_mut(id).ok_or(RejectReason::UnknownTask)?;
         if task.state == TaskState::Running {
-            save(id, task, now, progress(task, now));
+            save_checkpoint(id, task, now, progress(task, now));
         }
         Ok(status(id, task))
     }
@@ -217,7 +217,7 @@
                 continue;
             }
             let done = progress(task, now);
-            if task.plan.work_ms.is_some() && u64::from(done) >= WHOLE_PERMILLE {
+            if task.plan.work_ms.is_some() && u64::from(done) >= FINISHED_PERMILLE {
                 task.state = TaskState::Finished;
                 continue;
             }
@@ -229,7 +229,7 @@
             let due = ran / task.plan.checkpoint_ms.max(1) * task.plan.checkpoint_ms.max(1);
             let due = progress(task, WorkerMillis(task.started.0 + due));
             if task.plan.work_ms.is_some() && due > saved {
-                save(id, task, now, due);
+                save_checkpoint(id, task, now, due);
             }
         }
     }
@@ -260,7 +260,7 @@
     }
 }
 
-fn check_end(now: WorkerMillis, until_ms: u64) -> Result<WorkerMillis, RejectReason> {
+fn check_lease_end(now: WorkerMillis, until_ms: u64) -> Result<WorkerMillis, RejectReason> {
     let until = WorkerMillis(until_ms);
     if until <= now {
         return Err(RejectReason::EndPassed);
@@ -274,11 +274,11 @@
     };
     let ran = now.0.saturating_sub(task.started.0) * u64::from(task.speed_permille);
     let gained = ran / work_ms.max(1);
-    let whole = (u64::from(task.first_permille) + gained).min(WHOLE_PERMILLE);
+    let whole = (u64::from(task.first_permille) + gained).min(FINISHED_PERMILLE);
     u32::try_from(whole).unwrap_or(u32::MAX)
 }
 
-fn save(id: &JobId, task: &mut Task, now: WorkerMillis, progress_permille: u32) {
+fn save_checkpoint(id: &JobId, task: &mut Task, now: WorkerMillis, progress_permille: u32) {
     task.changed = now;
     let name = format!("{id}/{}/{progress_permille}", task.attempt.0);
     task.checkpoint = Some(Checkpoint {
