--- a/crates/lapisdrum-load/src/policy/bench.rs
+++ b/crates/lapisdrum-load/src/policy/bench.rs
@@ -1,8 +1,8 @@
-//! A deterministic event loop with virtual time: callers, the policy modules as a daemon drives
-//! them, workers as functions of run time.
+//! A deterministic discrete-event simulation of the request path: callers, the policy modules driven
+//! as in a daemon, and workers reduced to their run times.
 //!
-//! It tests decisions by what callers receive; it is no model of a cluster. There is no network but
-//! a fixed delay to callers, no platform, no failure of a daemon. Every draw comes from one seed.
+//! It compares decisions by what callers receive and does not model a cluster: the network is a fixed
+//! delay to callers, there is no platform, and daemons do not fail. All random values come from one seed.
 
 use super::{
     daemon::{Daemon, Decisions, Given},
@@ -13,50 +13,50 @@
 use rand::{Rng, SeedableRng, rngs::StdRng};
 use std::{cmp::Ordering, collections::BinaryHeap, time::Duration};
 
-/// Time that a worker takes to fail at once, in microseconds.
+/// Time after which a failing worker reports the failure, in microseconds.
 const FAIL_US: u64 = 500;
 
-/// One trial's inputs.
+/// Inputs of one trial.
 #[derive(Clone, Debug)]
 pub struct Trial {
-    /// The workers of one data centre.
+    /// Workers of one data centre.
     pub workers: Vec<WorkerKind>,
-    /// Slots of each worker.
+    /// Request slots per worker.
     pub slots: u32,
-    /// Daemons that share them; each has an even part of every worker's slots.
+    /// Daemons that share the workers; the slots of each worker are split evenly between them.
     pub daemons: u32,
-    /// One way between callers and daemons.
+    /// One-way delay between callers and daemons.
     pub client_delay: Duration,
-    /// What is sent.
+    /// Requests that callers send, by kind.
     pub streams: Vec<Stream>,
-    /// Length in virtual time.
+    /// Length of the trial in virtual time.
     pub length: Duration,
-    /// Time at the beginning that is not counted.
+    /// Time at the start whose requests are not counted.
     pub warm_up: Duration,
-    /// Seed of every draw.
+    /// Seed of the random number generator.
     pub seed: u64,
 }
 
-/// What the callers of one stream received.
+/// Answers that the callers of one stream received, for requests sent after the warm-up.
 #[derive(Clone, Debug)]
 pub struct Received {
-    /// Requests sent, returns included.
+    /// Requests sent, retries by callers included.
     pub sent: u64,
-    /// Whole answers within the deadline.
+    /// Complete answers within the deadline.
     pub done: u64,
-    /// Answers after the deadline.
+    /// Complete answers after the deadline.
     pub late: u64,
-    /// Refused, not run.
+    /// Requests refused without being run.
     pub refused: u64,
-    /// Nobody knows whether they ran.
+    /// Requests that may or may not have run.
     pub unknown: u64,
-    /// Requests that a worker was sent, repetitions included.
+    /// Requests sent to workers, retries by the daemon included.
     pub sends: u64,
-    /// From sending to the answer, in microseconds, of whole answers.
+    /// Time from sending to a complete answer within the deadline, in microseconds.
     pub latency: Histogram<u64>,
-    /// From sending to the refusal, in microseconds.
+    /// Time from sending to the refusal, in microseconds.
     pub refusal: Histogram<u64>,
-    /// Counted time.
+    /// Length of the trial without the warm-up.
     pub counted: Duration,
 }
 
@@ -79,29 +79,29 @@
         }
     }
 
-    /// Whole answers within the deadline, a second.
+    /// Complete answers within the deadline, per second.
     pub fn goodput(&self) -> f64 {
         self.done as f64 / self.counted.as_secs_f64()
     }
 
-    /// A latency quantile in milliseconds.
+    /// A quantile of `latency`, in milliseconds; `quantile` is between 0 and 1.
     pub fn quantile_ms(&self, quantile: f64) -> f64 {
         self.latency.value_at_quantile(quantile) as f64 / 1e3
     }
 }
 
-/// A caller's request on its way.
+/// A request that a caller has sent.
 #[derive(Clone, Copy, Debug)]
 pub struct Request {
-    /// Its stream.
+    /// Index of its stream in the trial.
     pub stream: usize,
-    /// Its caller.
+    /// Number of its caller within the stream.
     pub caller: u64,
-    /// When it was sent, in microseconds.
+    /// When the caller sent it, in microseconds of virtual time.
     pub sent_us: u64,
-    /// When its answer is of no more use.
+    /// Deadline at the daemon.
     pub deadline: Millis,
-    /// Times that it has come back.
+    /// How often the caller has retried it after a refusal.
     pub returns: u32,
 }
 
@@ -113,7 +113,7 @@
     Expire { daemon: usize },
 }
 
-/// Runs a trial under some decisions; one result a stream.
+/// Runs a trial under the given decisions and returns one result per stream.
 pub fn run(trial: &Trial, decisions: Decisions) -> Vec<Received> {
     let mut bench = Bench::new(trial, decisions);
     for stream in 0..trial.streams.len() {
@@ -130,7 +130,7 @@
     bench.received
 }
 
-/// An event on the heap: the earliest is greatest, and of two at one moment the one planned first.
+/// A scheduled event. The earliest compares greatest; at equal times, the one scheduled first.
 #[derive(Clone, Copy, Debug)]
 struct Planned {
     at: u64,
@@ -205,7 +205,7 @@
         let rate = self.trial.streams[stream].rate;
         let now = Duration::from_micros(self.now_us);
         let per_second = rate.at(now);
-        // While nothing is sent, look again soon.
+        // At rate zero, check the rate again after 10 ms.
         let gap = match per_second > 0.0 {
             true => -self.rng.random_range(f64::MIN_POSITIVE..1.0_f64).ln() / per_second,
             false => 0.01,
@@ -268,7 +268,7 @@
         self.pump(daemon);
     }
 
-    /// Starts what can be started and plans how it ends.
+    /// Starts waiting requests while there is free capacity, and schedules their ends and the next expiry.
     fn pump(&mut self, daemon: usize) {
         let now = self.now();
         while let Some((id, flight)) = self.daemons[daemon].start_next(now, &mut self.rng) {
@@ -289,7 +289,7 @@
         }
     }
 
-    /// Hands answers to callers, who may come back.
+    /// Delivers answers to callers, which may retry after a refusal.
     fn give(&mut self, given: Vec<Given>) {
         for answer in given {
             let (Given::Done(request) | Given::Unknown(request) | Given::Refused(request, _)) =
@@ -329,7 +329,7 @@
             Persistence::Impatient(wait, most) if request.returns < most => wait,
             _ => return,
         };
-        // The wait begins when the refusal reaches the caller; the send adds its own way back.
+        // The wait starts when the refusal reaches the caller; the retry takes one more client delay.
         let sent = self.now_us + (self.trial.client_delay * 2 + wait).as_micros() as u64;
         let again = Request {
             sent_us: sent - self.trial.client_delay.as_micros() as u64,
@@ -348,7 +348,7 @@
     }
 }
 
-/// How long a worker takes and whether it answers.
+/// How long a request occupies the worker, in microseconds, and whether the worker answers it.
 fn ends(kind: WorkerKind, run: u64) -> (u64, bool) {
     match kind {
         WorkerKind::Sound => (run, true),
--- a/crates/lapisdrum-load/src/policy/daemon.rs
+++ b/crates/lapisdrum-load/src/policy/daemon.rs
@@ -1,4 +1,4 @@
-//! A daemon's request path reduced to its decisions, with baselines to compare with.
+//! A daemon's request path reduced to its decisions, with baselines for comparison.
 
 use super::{
     bench::{Request, Trial},
@@ -18,60 +18,60 @@
 use rand::Rng;
 use std::{collections::VecDeque, time::Duration};
 
-/// What a baseline answers to callers that it has no room for.
+/// Retry-After of refusals by the baselines.
 const FIXED_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// The order of waiting requests.
+/// How waiting requests are admitted and ordered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Order {
     /// As `policy::queueing` decides.
     Policy,
-    /// First in, first out, within the entry's bound.
+    /// First in, first out; refused when as many wait as the entry allows.
     FirstIn,
-    /// First in, first out, without bound: no admission.
+    /// First in, first out, without a limit on waiting requests.
     Unbounded,
 }
 
-/// The choice of a worker.
+/// How a worker is chosen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Choice {
     /// As `policy::routing` decides.
     Policy,
-    /// One after another.
+    /// The next worker in turn that has a free slot.
     RoundRobin,
 }
 
-/// Which decisions a trial is run under.
+/// Decisions under which a trial runs: the policy's or those of a baseline.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Decisions {
-    /// The order of waiting requests.
+    /// How waiting requests are admitted and ordered.
     pub order: Order,
-    /// The choice of a worker.
+    /// How a worker is chosen.
     pub choice: Choice,
 }
 
 impl Decisions {
-    /// The project's own.
+    /// The scheduler's own policy.
     pub const POLICY: Self = Self {
         order: Order::Policy,
         choice: Choice::Policy,
     };
-    /// Own order, workers in turn.
+    /// The policy's order, with workers in turn.
     pub const ROUND_ROBIN: Self = Self {
         order: Order::Policy,
         choice: Choice::RoundRobin,
     };
-    /// First in, first out, own choice of workers.
+    /// First in, first out, with the policy's choice of workers.
     pub const FIRST_IN: Self = Self {
         order: Order::FirstIn,
         choice: Choice::Policy,
     };
-    /// Everything is let in, in order of arrival.
+    /// All requests are admitted, in order of arrival, with the policy's choice of workers.
     pub const NO_ADMISSION: Self = Self {
         order: Order::Unbounded,
         choice: Choice::Policy,
     };
-    /// All of them, with their names in tables.
+    /// All combinations under test, with their names in tables.
     pub const ALL: [(&'static str, Self); 4] = [
         ("policy", Self::POLICY),
         ("round robin", Self::ROUND_ROBIN),
@@ -83,26 +83,26 @@
 /// A final answer to a caller.
 #[derive(Clone, Copy, Debug)]
 pub enum Given {
-    /// The worker's whole answer.
+    /// The worker's complete answer.
     Done(Request),
-    /// Not run; come back after this time.
+    /// Refused without being run; the caller may retry after this time.
     Refused(Request, Duration),
-    /// Nobody knows.
+    /// The request may or may not have run.
     Unknown(Request),
 }
 
-/// A request that a worker has.
+/// A request in flight to a worker.
 #[derive(Clone, Copy, Debug)]
 pub struct Flight {
     /// The request.
     pub request: Request,
-    /// The worker's index.
+    /// Index of the worker in the trial.
     pub worker: usize,
     sent_at: Millis,
     answered: bool,
 }
 
-/// One daemon.
+/// The simulated request path of one daemon.
 pub struct Daemon {
     decisions: Decisions,
     streams: Vec<Stream>,
@@ -151,7 +151,7 @@
         }
     }
 
-    /// Takes a request; what is given up for it or refused is answered at once.
+    /// Enqueues a request. Returns the refusal of this request or of the one that it displaced, if any.
     pub fn arrive(&mut self, request: Request, now: Millis, rng: &mut impl Rng) -> Vec<Given> {
         let share = self.shares[request.stream];
         match self.decisions.order {
@@ -179,7 +179,7 @@
         }
     }
 
-    /// Starts the next waiting request, if there is room for one.
+    /// Starts the next waiting request, if one may start and a worker has a free slot.
     pub fn start_next(&mut self, now: Millis, rng: &mut impl Rng) -> Option<(u64, Flight)> {
         if self.outstanding.iter().all(|n| *n >= self.slots) {
             return None;
@@ -206,14 +206,14 @@
         Some((id, flight))
     }
 
-    /// Notes whether a flight will be answered.
+    /// Sets whether a request in flight will be answered.
     pub fn outcome(&mut self, flight: u64, answered: bool) {
         if let Some(flight) = self.flights.get_mut(&flight) {
             flight.answered = answered;
         }
     }
 
-    /// A flight has ended, answered or not.
+    /// Ends a request in flight. Returns the answer to its caller, or enqueues the request for a retry.
     pub fn end(&mut self, flight: u64, now: Millis, rng: &mut impl Rng) -> Vec<Given> {
         let Some(flight) = self.flights.swap_remove(&flight) else {
             return Vec::new();
@@ -243,7 +243,7 @@
         if !in_time || !budget.try_retry(Failure::Unknown, idempotent) {
             return vec![Given::Unknown(request)];
         }
-        // It may have run, so if there is no room for it now the end stays unknown.
+        // It may have run already, so a refusal of the retry reaches the caller as an unknown outcome.
         let given = self.arrive(request, now, rng);
         let told = |answer| match answer {
             Given::Refused(gone, _) if gone.sent_us == request.sent_us => Given::Unknown(gone),
@@ -252,7 +252,7 @@
         given.into_iter().map(told).collect()
     }
 
-    /// Gives up what can't be finished in time any more.
+    /// Refuses the waiting requests that can no longer finish before their deadline.
     pub fn expire(&mut self, now: Millis, rng: &mut impl Rng) -> Vec<Given> {
         self.planned_expiry = None;
         let mut given = Vec::new();
@@ -263,7 +263,7 @@
         given
     }
 
-    /// When `expire` is to be called next, if that is not planned yet.
+    /// When to call `expire` next; `None` if a call is already scheduled by then.
     pub fn next_expiry_to_plan(&mut self) -> Option<Millis> {
         let at = self.queue.next_expiry()?;
         if self.planned_expiry.is_some_and(|planned| planned <= at) {
@@ -322,7 +322,7 @@
         Item {
             entry: stream.entry.clone(),
             owner: stream.owner.clone(),
-            // Callers of two streams of one entry are different callers.
+            // Callers are distinct across streams, also where streams share an entry.
             caller: request.caller * self.streams.len() as u64 + request.stream as u64,
             class: stream.class,
             weight: stream.weight,
--- a/crates/lapisdrum-load/src/policy/decide.rs
+++ b/crates/lapisdrum-load/src/policy/decide.rs
@@ -1,4 +1,4 @@
-//! Nanoseconds a decision: each policy at 50 and at 500 workers, with its state filled.
+//! Times each policy decision in nanoseconds, with the policy's state filled for a number of workers.
 
 use super::load::valid;
 use lapisdrum::{
@@ -21,31 +21,31 @@
 use std::{hint::black_box, time::Duration};
 use tokio::time::Instant;
 
-/// Decisions in one measured batch.
+/// Decisions per batch.
 const BATCH: u32 = 2_000;
-/// Batches; the table gives the median one and the slowest.
+/// Batches per decision; the table shows the median batch and the slowest.
 const BATCHES: usize = 51;
-/// Kinds of work on a host.
+/// Kinds of tasks on each host.
 const KINDS_ON_HOST: u32 = 8;
-/// Owners, each with this many callers, that wait in the queue.
+/// Entry owners with requests in the queue.
 const OWNERS: usize = 20;
-/// Callers of each owner.
+/// Callers per owner.
 const CALLERS: u64 = 10;
 
-/// The cost of one decision.
+/// Time that one decision takes.
 #[derive(Clone, Debug, Serialize)]
 pub struct DecisionRow {
-    /// The decision.
+    /// Name of the decision in the table.
     pub decision: String,
-    /// Workers.
+    /// Number of workers.
     pub workers: usize,
-    /// Nanoseconds, in the median batch.
+    /// Nanoseconds per decision in the median batch.
     pub median_ns: f64,
-    /// Nanoseconds, in the slowest batch.
+    /// Nanoseconds per decision in the slowest batch.
     pub slowest_ns: f64,
 }
 
-/// Measures every decision.
+/// Times every decision for this number of workers.
 pub fn run(workers: usize, seed: u64) -> Vec<DecisionRow> {
     vec![
         admit(workers),
@@ -218,7 +218,7 @@
     })
 }
 
-/// Interference of 40 kinds, each pair reported on, and what runs on each host.
+/// A slowdown model with one report for each pair of 40 kinds, and the kinds that run on each host.
 fn learned(workers: usize, rng: &mut StdRng) -> (SlowdownModel, Vec<Vec<RunningKind>>) {
     let mut known = SlowdownModel::default();
     for i in 0..40 {
--- a/crates/lapisdrum-load/src/policy/load.rs
+++ b/crates/lapisdrum-load/src/policy/load.rs
@@ -1,4 +1,4 @@
-//! What callers send and what workers do with it: the inputs of a trial of the policies.
+//! Inputs of a request trial: what callers send and how workers handle it.
 
 use lapisdrum::core::{
     catalogue::Class,
@@ -7,26 +7,26 @@
 use rand::Rng;
 use std::time::Duration;
 
-/// How often requests arrive.
+/// Arrival rate of requests.
 #[derive(Clone, Copy, Debug)]
 pub enum Rate {
-    /// So many a second.
+    /// A constant rate, in requests per second.
     Steady(f64),
-    /// A second rate between two moments.
+    /// A base rate with a burst at another rate.
     Burst {
-        /// Requests a second outside.
+        /// Requests per second outside the burst.
         base: f64,
-        /// Requests a second inside.
+        /// Requests per second during the burst.
         peak: f64,
-        /// Beginning.
+        /// Start of the burst, from the start of the trial.
         from: Duration,
-        /// End.
+        /// End of the burst, from the start of the trial.
         to: Duration,
     },
 }
 
 impl Rate {
-    /// Requests a second at a moment.
+    /// Requests per second at `time` after the start of the trial.
     pub fn at(&self, time: Duration) -> f64 {
         match *self {
             Self::Steady(rate) => rate,
@@ -46,12 +46,12 @@
     }
 }
 
-/// Run times with a long tail: log-normal.
+/// A log-normal distribution of run times.
 #[derive(Clone, Copy, Debug)]
 pub struct RunTime {
-    /// Half of the runs take less, in milliseconds.
+    /// Median in milliseconds.
     pub median_ms: f64,
-    /// Spread of the logarithm; 0.5 puts the 99th percentile at 3.2 times the median.
+    /// Standard deviation of the logarithm; 0.5 puts the 99th percentile at 3.2 times the median.
     pub sigma: f64,
 }
 
@@ -61,7 +61,7 @@
         self.median_ms / 1e3 * (self.sigma * self.sigma / 2.0).exp()
     }
 
-    /// Draws one, in microseconds.
+    /// Draws a run time, in microseconds.
     pub fn draw(&self, rng: &mut impl Rng) -> u64 {
         let u: f64 = rng.random_range(f64::MIN_POSITIVE..1.0);
         let v: f64 = rng.random_range(0.0..std::f64::consts::TAU);
@@ -70,43 +70,43 @@
     }
 }
 
-/// What callers do when they are refused.
+/// What callers do after a refusal.
 #[derive(Clone, Copy, Debug)]
 pub enum Persistence {
-    /// They go away.
+    /// They do not retry.
     None,
-    /// They come back after Retry-After, so often at most.
+    /// They retry after the time in Retry-After, at most this often.
     Obedient(u32),
-    /// They come back after this time whatever they were told, so often at most.
+    /// They retry after this time and ignore Retry-After, at most this often.
     Impatient(Duration, u32),
 }
 
-/// One kind of request and its callers.
+/// One kind of request and the callers that send it.
 #[derive(Clone, Debug)]
 pub struct Stream {
-    /// The entry.
+    /// Catalogue entry that is called.
     pub entry: EntryName,
-    /// Its owner.
+    /// Owner of the entry.
     pub owner: OwnerName,
-    /// Its class.
+    /// Class of the entry.
     pub class: Class,
-    /// Its priority.
+    /// Priority of the entry.
     pub weight: u32,
-    /// Requests that may run at once, over all daemons.
+    /// Largest number of running requests, over all daemons.
     pub concurrency: u32,
-    /// Requests that may wait, over all daemons.
+    /// Largest number of waiting requests, over all daemons.
     pub queue: u32,
-    /// Whether it may be sent again after an unknown end.
+    /// Whether a daemon may retry a request that may have run.
     pub idempotent: bool,
-    /// Time within which an answer is of use.
+    /// Time from a request's arrival at a daemon to its deadline.
     pub deadline: Duration,
-    /// Arrivals.
+    /// Arrival rate.
     pub rate: Rate,
-    /// Callers that send alike; each is a flow of its own.
+    /// Number of callers; each has its own flow in the fair queue.
     pub callers: u64,
-    /// Run time on a sound worker.
+    /// Run time on a healthy worker.
     pub run: RunTime,
-    /// What refused callers do.
+    /// What callers do after a refusal.
     pub persistence: Persistence,
 }
 
@@ -130,20 +130,20 @@
     }
 }
 
-/// A name that the trial itself gives.
+/// Unwraps a name that the trial itself generates and that is always valid.
 pub fn valid<T>(name: Result<T, InvalidName>) -> T {
     name.unwrap_or_else(|e| unreachable!("a trial's name is valid: {e}"))
 }
 
-/// What a worker does with what it is sent.
+/// How a worker handles requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum WorkerKind {
-    /// Runs it.
+    /// Answers after the run time.
     Sound,
-    /// Takes so many times as long.
+    /// Answers after this multiple of the run time.
     Slow(f64),
     /// Never answers.
     Hanging,
-    /// Fails at once.
+    /// Fails each request after 0.5 ms.
     Failing,
 }
--- a/crates/lapisdrum-load/src/policy/mod.rs
+++ b/crates/lapisdrum-load/src/policy/mod.rs
@@ -1,7 +1,7 @@
-//! `lapisdrum-load policy`: the decisions under load, with virtual time and baselines.
+//! `lapisdrum-load policy`: compares policy decisions under load with baselines, in virtual time.
 //!
 //! The event loops drive the daemon's own policy modules; docs/MEASUREMENTS.md, section "Policy",
-//! holds the figures. Every run with the same seed gives the same tables, but for the nanoseconds.
+//! holds the results. Runs with the same seed give the same tables, except for the nanoseconds.
 
 pub mod bench;
 pub mod daemon;
@@ -20,50 +20,50 @@
 use serde::Serialize;
 use std::path::PathBuf;
 
-/// Workers at which decisions are timed.
+/// Numbers of workers for which decisions are timed.
 const DECISION_WORKERS: [usize; 2] = [50, 500];
 
 /// Arguments of `policy`.
 #[derive(Debug, Args)]
 pub struct PolicyArgs {
-    /// Seeds; one trial each.
+    /// Seeds; each trial runs once per seed.
     #[arg(long, value_delimiter = ',', default_value = "1")]
     seeds: Vec<u64>,
-    /// Virtual seconds of each trial of requests.
+    /// Length of each request trial, in virtual seconds.
     #[arg(long, default_value_t = 60)]
     seconds: u64,
-    /// Virtual seconds of each trial of tasks.
+    /// Length of each task trial, in virtual seconds.
     #[arg(long, default_value_t = 3_600)]
     task_seconds: u64,
-    /// Only patterns of requests whose name contains this.
+    /// Run only the request patterns whose name contains this.
     #[arg(long, default_value = "")]
     pattern: String,
-    /// Leave the trials of requests out.
+    /// Skip the request trials.
     #[arg(long)]
     no_requests: bool,
-    /// Leave the trials of tasks out.
+    /// Skip the task trials.
     #[arg(long)]
     no_tasks: bool,
-    /// Leave the timing of decisions out.
+    /// Skip the timing of decisions.
     #[arg(long)]
     no_decisions: bool,
-    /// Where to write the rows as JSON.
+    /// File to write the rows to, as JSON.
     #[arg(long)]
     json: Option<PathBuf>,
 }
 
-/// Everything that a run gives.
+/// Result of a run.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct PolicyResult {
-    /// Requests, by deployment, pattern and decisions.
+    /// Request trials, one row per seed, deployment, pattern, decisions and stream.
     pub requests: Vec<RequestRow>,
-    /// Tasks, by deployment and decisions.
+    /// Task trials, one row per seed, deployment and decisions.
     pub tasks: Vec<TaskRow>,
-    /// Time of each decision.
+    /// Timed decisions, one row per decision and number of workers.
     pub decisions: Vec<DecisionRow>,
 }
 
-/// Runs what was asked for, prints its tables and writes them as JSON.
+/// Runs the selected trials, prints their tables and writes them as JSON if `json` is set.
 pub fn run(args: &PolicyArgs) -> Result<()> {
     let mut result = PolicyResult::default();
     for seed in &args.seeds {
--- a/crates/lapisdrum-load/src/policy/rows.rs
+++ b/crates/lapisdrum-load/src/policy/rows.rs
@@ -1,4 +1,4 @@
-//! The rows of the tables that a run prints and writes.
+//! Rows of the tables that a run prints and writes as JSON.
 
 use super::{
     PolicyResult,
@@ -12,71 +12,72 @@
 use serde::Serialize;
 use std::time::Duration;
 
-/// What the callers of one stream received in one trial.
+/// Results of one stream in one request trial.
 #[derive(Clone, Debug, Serialize)]
 pub struct RequestRow {
-    /// Deployment.
+    /// Name of the deployment.
     pub profile: String,
-    /// Load pattern.
+    /// Name of the load pattern.
     pub pattern: String,
-    /// Decisions it was run under.
+    /// Name of the decisions under which the trial ran.
     pub decisions: String,
-    /// Seed.
+    /// Seed of the trial.
     pub seed: u64,
-    /// Entry and its callers.
+    /// Entry and number of callers, as `entry/callers`.
     pub entry: String,
-    /// Whole answers in time, a second.
+    /// Complete answers within the deadline, per second.
     pub goodput: f64,
-    /// The same relative to what all slots could run.
+    /// Goodput as a fraction of what all slots together could run.
     pub of_capacity: f64,
-    /// Median latency of whole answers in milliseconds.
+    /// Median latency of complete answers within the deadline, in milliseconds.
     pub p50_ms: f64,
-    /// 99th percentile.
+    /// 99th percentile of that latency, in milliseconds.
     pub p99_ms: f64,
-    /// 99.9th percentile.
+    /// 99.9th percentile of that latency, in milliseconds.
     pub p999_ms: f64,
-    /// Refused, a second.
+    /// Refusals per second.
     pub refused_per_s: f64,
     /// 99th percentile of the time to a refusal, in milliseconds.
     pub refusal_p99_ms: f64,
-    /// Ended unknown.
+    /// Requests that may or may not have run.
     pub unknown: u64,
-    /// Sends to workers for each whole answer.
+    /// Requests sent to workers per complete answer within the deadline.
     pub sends_per_answer: f64,
 }
 
-/// What services and batch work got in one trial.
+/// Results of one task trial.
 #[derive(Clone, Debug, Serialize)]
 pub struct TaskRow {
-    /// Deployment.
+    /// Name of the deployment.
     pub profile: String,
-    /// Decisions it was run under.
+    /// Name of the decisions under which the trial ran.
     pub decisions: String,
-    /// Seed.
+    /// Seed of the trial.
     pub seed: u64,
-    /// Slowdown of services, median over hosts and seconds.
+    /// Slowdown of services: run time as a multiple of that without neighbours; median over hosts and
+    /// seconds.
     pub slowdown_p50: f64,
-    /// 99th percentile.
+    /// 99th percentile of that slowdown.
     pub slowdown_p99: f64,
-    /// 99.9th percentile.
+    /// 99.9th percentile of that slowdown.
     pub slowdown_p999: f64,
-    /// Batch work done, in seconds of run time alone, a second.
+    /// Finished batch work per second, in seconds of run time without neighbours.
     pub batch_work: f64,
-    /// The same relative to batch work alone on the same room.
+    /// Batch work as a fraction of that of the trial without services on the same capacity.
     pub of_batch_only: f64,
-    /// Batch tasks finished.
+    /// Number of finished batch tasks.
     pub finished: u64,
-    /// Tasks that wait at the end.
+    /// Number of tasks that wait at the end of the trial.
     pub waiting: usize,
-    /// Throttles set.
+    /// Number of times that a task was throttled.
     pub throttles: u64,
-    /// Evictions.
+    /// Number of evictions.
     pub evictions: u64,
     /// Work lost by evictions, in seconds.
     pub lost_s: f64,
 }
 
-/// Runs one pattern under every set of decisions.
+/// Runs one pattern under each of [`Decisions::ALL`].
 pub fn requests(
     profile: &Profile,
     (name, pattern): (&str, Pattern),
@@ -121,7 +122,7 @@
     }
 }
 
-/// Runs the batch waves under every set of decisions, and batch work alone.
+/// Runs the task trial without services, then under each of [`TaskDecisions::ALL`].
 pub fn tasks(profile: &Profile, seconds: u64, seed: u64) -> Vec<TaskRow> {
     let trial = TaskTrial {
         hosts: profile.all_workers,
@@ -144,8 +145,8 @@
     rows
 }
 
-/// Batch tasks that arrive a second for each core of the hosts: about half of what the
-/// room could run without any disturbance.
+/// Batch tasks that arrive per second and core: about half of what the capacity could run without
+/// interference.
 const BATCH_STARTS: f64 = 0.0006;
 
 fn task_row(
@@ -173,7 +174,7 @@
     }
 }
 
-/// Prints every table that has rows.
+/// Prints the tables that have rows.
 pub fn print(result: &PolicyResult) {
     if !result.requests.is_empty() {
         print_requests(&result.requests);
--- a/crates/lapisdrum-load/src/policy/scenario.rs
+++ b/crates/lapisdrum-load/src/policy/scenario.rs
@@ -1,4 +1,4 @@
-//! The load patterns that the policies answer, over the two deployments of today.
+//! Load patterns of the request trials, for the two present deployments.
 
 use super::{
     bench::Trial,
@@ -7,30 +7,30 @@
 use lapisdrum::core::catalogue::Class;
 use std::time::Duration;
 
-/// A deployment's sizes, one data centre of it.
+/// Sizes of a deployment and of one of its data centres.
 #[derive(Clone, Copy, Debug)]
 pub struct Profile {
-    /// Its name in tables.
+    /// Name in tables.
     pub name: &'static str,
-    /// Workers of a data centre.
+    /// Workers in one data centre.
     pub workers: usize,
-    /// Slots of each.
+    /// Request slots per worker.
     pub slots: u32,
-    /// Daemons of a data centre.
+    /// Daemons in one data centre.
     pub daemons: u32,
-    /// One way to clients.
+    /// One-way delay between clients and daemons.
     pub client_delay: Duration,
-    /// Workers of all data centres.
+    /// Workers in all data centres.
     pub all_workers: usize,
-    /// Workers of a rack.
+    /// Workers per rack.
     pub per_rack: usize,
-    /// Cores of a worker.
+    /// Cores per worker.
     pub cores: u64,
-    /// Memory of a worker, in megabytes.
+    /// Memory per worker, in megabytes.
     pub memory_mb: u64,
 }
 
-/// A quarter of 65 workers; 1 ms to clients.
+/// One data centre has a quarter of the 65 workers; clients are 1 ms away.
 pub const MWANGAZA: Profile = Profile {
     name: "mwangaza",
     workers: 16,
@@ -43,7 +43,7 @@
     memory_mb: 125_000,
 };
 
-/// A quarter of 50 workers; 3 ms to clients.
+/// One data centre has a quarter of the 50 workers; clients are 3 ms away.
 pub const INDUS: Profile = Profile {
     name: "indus",
     workers: 12,
@@ -56,47 +56,48 @@
     memory_mb: 60_000,
 };
 
-/// The run time of a latency-critical request.
+/// Run time of a short request.
 pub const SHORT_RUN: RunTime = RunTime {
     median_ms: 20.0,
     sigma: 0.5,
 };
 
-/// The run time of a long request.
+/// Run time of a long request.
 const LONG_RUN: RunTime = RunTime {
     median_ms: 1_000.0,
     sigma: 0.3,
 };
 
-/// A load pattern.
+/// A load pattern. Capacity is the rate of short requests that all slots together can run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Pattern {
-    /// Half of the capacity, nothing wrong: what the others are measured against.
+    /// Half of the capacity and no faults: the reference for the other patterns.
     Uncontended,
-    /// Twice the capacity for all of the trial.
+    /// Twice the capacity throughout the trial.
     Overload,
-    /// The same, and refused callers come back when they were told to.
+    /// Twice the capacity; refused callers retry after the time given in the refusal.
     OverloadObedient,
-    /// The same, and refused callers come back after 100 ms whatever they were told.
+    /// Twice the capacity; refused callers retry after 100 ms and ignore the time in the refusal.
     OverloadImpatient,
-    /// Half load and two seconds of ten times the capacity.
+    /// Half of the capacity, with two seconds at ten times the capacity.
     Burst,
-    /// Half load, and one caller of the same entry who sends three times the capacity.
+    /// Half of the capacity, and one more caller of the same entry that sends three times the capacity.
     HotCaller,
-    /// Half load, one worker ten times slower.
+    /// Half of the capacity; one worker is ten times slower.
     OneSlow,
-    /// Half load, one worker that never answers.
+    /// Half of the capacity; one worker never answers.
     OneHanging,
-    /// Half load, one worker that fails at once.
+    /// Half of the capacity; one worker fails each request after 0.5 ms.
     OneFailing,
-    /// Half load of short requests beside long requests of another owner at the full capacity.
+    /// Half of the capacity in short requests, and long requests of another owner that alone would fill
+    /// all slots.
     LongAmongShort,
-    /// Batch requests at twice the capacity beside latency-critical ones at half of it.
+    /// Latency-critical requests at half of the capacity, and batch requests at twice the capacity.
     BatchBeside,
 }
 
 impl Pattern {
-    /// All of them, with their names in tables.
+    /// All patterns, with their names in tables.
     pub const ALL: [(&'static str, Self); 11] = [
         ("uncontended", Self::Uncontended),
         ("overload", Self::Overload),
@@ -111,7 +112,7 @@
         ("batch beside", Self::BatchBeside),
     ];
 
-    /// The trial of this pattern; its first stream is the one that is judged.
+    /// The trial of this pattern. Its first stream is the one whose results are compared.
     pub fn trial(self, profile: &Profile, length: Duration, seed: u64) -> Trial {
         let capacity = profile.capacity(SHORT_RUN);
         let short = |rate| Stream::critical("short", rate, SHORT_RUN);
@@ -184,7 +185,7 @@
 }
 
 impl Profile {
-    /// Requests a second that all slots together can run.
+    /// Requests per second that all slots of a data centre together can run.
     pub fn capacity(&self, run: RunTime) -> f64 {
         self.workers as f64 * f64::from(self.slots) / run.mean_s()
     }
--- a/crates/lapisdrum-load/src/policy/tasks.rs
+++ b/crates/lapisdrum-load/src/policy/tasks.rs
@@ -1,8 +1,9 @@
-//! Placement, interference and eviction over virtual time: batch waves beside services.
+//! Simulates placement, interference and eviction in virtual time: waves of batch tasks on hosts that
+//! also run services.
 //!
-//! Hosts are counters and a hidden table of who slows whom; the policies see it only through late
-//! reports. A second is a step. It tests the decisions by what services and batch work get; nothing
-//! fails and nobody restarts here.
+//! A hidden table defines how much each kind of task slows each other kind; the policies see it only
+//! through delayed reports. One step is one second. The trial compares decisions by the slowdown of
+//! services and by the batch work done. Nothing fails or restarts.
 
 use super::load::{RunTime, valid};
 use hdrhistogram::Histogram;
@@ -22,48 +23,48 @@
 use rand::{Rng, SeedableRng, rngs::StdRng};
 use std::{collections::VecDeque, time::Duration};
 
-/// Services; each host runs one of them or none.
+/// Number of services; each host runs one of them or none.
 const SERVICES: u32 = 2;
-/// Kinds of batch work.
+/// Number of kinds of batch tasks.
 const BATCH_KINDS: u32 = 12;
-/// Part of the pairs that disturb each other.
+/// Fraction of the pairs of kinds with strong interference.
 const NOISY_PAIRS: f64 = 0.2;
-/// Seconds between two reports of a host.
+/// Interval between reports of a host, in seconds.
 const REPORT_EVERY: u64 = 5;
 /// Age of a report when it arrives, in seconds.
 const REPORT_LAG: usize = 5;
-/// Speed of a throttled task, and the part of its disturbance that is left.
+/// Speed of a throttled task, and its interference, as a fraction of those at full speed.
 const THROTTLED: f64 = 0.3;
-/// Seconds between two checkpoints of a task.
+/// Interval between checkpoints of a task, in seconds.
 const CHECKPOINT_EVERY: u64 = 60;
-/// Seconds from one wave to the next, and the length of a wave.
+/// Interval from the start of one wave of batch tasks to the next, and the length of a wave, in seconds.
 const WAVE: (u64, u64) = (600, 120);
-/// Run time of a batch task alone.
+/// Run time of a batch task without neighbours.
 const BATCH_RUN: RunTime = RunTime {
     median_ms: 120_000.0,
     sigma: 0.5,
 };
 
-/// Which decisions a trial is run under.
+/// Decisions under which a trial runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TaskDecisions {
-    /// Placement learns from reports; otherwise it goes by declared sizes alone.
+    /// Whether placement uses slowdowns estimated from reports; otherwise only declared sizes.
     pub learns: bool,
-    /// Hosts in distress are relieved.
+    /// Whether tasks are throttled or evicted on hosts whose service is slowed too much.
     pub relieves: bool,
-    /// There are services at all; without them it is the batch-only figure.
+    /// Whether services run; without them, the trial measures batch work by itself.
     pub services: bool,
 }
 
 impl TaskDecisions {
-    /// All of them, with their names in tables.
+    /// All combinations under test, with their names in tables.
     pub const ALL: [(&'static str, Self); 4] = [
         ("policy", Self::new(true, true, true)),
         ("no relief", Self::new(true, false, true)),
         ("blind placement", Self::new(false, true, true)),
         ("blind, no relief", Self::new(false, false, true)),
     ];
-    /// Batch work alone.
+    /// The policy's decisions without services.
     pub const BATCH_ONLY: Self = Self::new(true, true, false);
 
     const fn new(learns: bool, relieves: bool, services: bool) -> Self {
@@ -75,39 +76,40 @@
     }
 }
 
-/// One trial's inputs.
+/// Inputs of one trial.
 #[derive(Clone, Copy, Debug)]
 pub struct TaskTrial {
-    /// Hosts.
+    /// Number of hosts.
     pub hosts: usize,
-    /// Hosts of a rack.
+    /// Hosts per rack.
     pub per_rack: usize,
-    /// What each host has for tasks: half of it, the rest is kept for requests.
+    /// Capacity for tasks per host. [`super::rows::tasks`] gives half of the host and keeps the rest for
+    /// requests.
     pub room: Size,
-    /// Batch tasks that arrive a second, on average.
+    /// Average number of batch tasks that arrive per second.
     pub starts_per_s: f64,
-    /// Length in seconds.
+    /// Length of the trial in seconds.
     pub seconds: u64,
-    /// Seed of every draw.
+    /// Seed of the random number generator.
     pub seed: u64,
 }
 
-/// What services and batch work got.
+/// Results of one trial.
 #[derive(Clone, Debug)]
 pub struct TaskResult {
-    /// Slowdown of services in thousandths, by host and second.
+    /// Slowdown of services in thousandths; one sample per host and second.
     pub slowdown: Histogram<u64>,
-    /// Tasks finished.
+    /// Number of finished tasks.
     pub finished: u64,
-    /// Work finished, in seconds of run time alone.
+    /// Work of finished tasks, in seconds of run time without neighbours.
     pub work_s: f64,
-    /// Tasks evicted.
+    /// Number of evictions.
     pub evictions: u64,
-    /// Throttles set.
+    /// Number of times that a task was throttled.
     pub throttles: u64,
     /// Work lost by evictions, in seconds.
     pub lost_s: f64,
-    /// Tasks that wait at the end.
+    /// Number of tasks that wait at the end of the trial.
     pub waiting: usize,
 }
 
@@ -130,7 +132,7 @@
     running_kinds: Vec<RunningKind>,
     history: History,
     distress: Distress,
-    /// Slowdowns of the last seconds: of the service, and of each task's kind.
+    /// Slowdowns of the last [`REPORT_LAG`] seconds: of the service, and of each unthrottled task by kind.
     measured: VecDeque<(Millis, Vec<(Kind, f64)>)>,
 }
 
@@ -148,7 +150,7 @@
     next_job: u64,
 }
 
-/// Runs a trial under some decisions.
+/// Runs a trial under the given decisions.
 pub fn run(inputs: TaskTrial, decisions: TaskDecisions) -> TaskResult {
     let mut trial = Trial::new(inputs, decisions);
     for second in 0..inputs.seconds {
@@ -206,7 +208,7 @@
         }
     }
 
-    /// New tasks: a third of them evenly, the rest in waves of one kind each.
+    /// Adds new tasks: a third at a steady rate, the rest in waves of one kind each.
     fn arrive(&mut self, second: u64) {
         let (every, long) = WAVE;
         let in_wave = second % every < long;
@@ -323,7 +325,7 @@
         }
     }
 
-    /// A late report: placement learns, and a host in distress is relieved.
+    /// Passes a delayed report to the slowdown model and, if enabled, to the mitigation of the host.
     fn report(&mut self, index: usize, now: Millis) {
         let Some((measured_at, slowdowns)) = self.hosts[index].measured.front().cloned() else {
             return;
@@ -449,7 +451,8 @@
         self.history.note(neighbours, now);
     }
 
-    /// The true slowdown of a kind by everything on the host but task `own`.
+    /// The slowdown of `kind` by all tasks on the host except task `own`, and by the service if that is of
+    /// another kind.
     fn slowdown_of(&self, truth: &[Vec<f64>], kind: Kind, own: Option<usize>) -> f64 {
         let row = &truth[kind.0 as usize];
         let others = self
@@ -474,7 +477,7 @@
     }
 }
 
-/// Neighbours of one of `kind`: all but itself.
+/// The neighbours of one task of `kind`: all that are present except itself.
 fn without_one(present: &[Neighbour], kind: Kind) -> Vec<Neighbour> {
     let others = present.iter().map(|neighbour| Neighbour {
         count: neighbour.count - u32::from(neighbour.kind == kind),
