--- a/crates/lapisdrum-load/src/policy/bench.rs
+++ b/crates/lapisdrum-load/src/policy/bench.rs
@@ -5,8 +5,8 @@
 //! delay to callers, there is no platform, and daemons do not fail. All random values come from one seed.
 
 use super::{
-    daemon::{Daemon, Decisions, Given},
-    load::{Persistence, Stream, WorkerKind, valid},
+    daemon::{Answer, Daemon, Decisions},
+    load::{RetryBehaviour, Stream, WorkerKind, valid},
 };
 use hdrhistogram::Histogram;
 use lapisdrum::core::{id::WorkerId, time::Millis};
@@ -14,7 +14,7 @@
 use std::{cmp::Ordering, collections::BinaryHeap, time::Duration};
 
 /// Time after which a failing worker reports the failure, in microseconds.
-const FAIL_US: u64 = 500;
+const FAIL_AFTER_US: u64 = 500;
 
 /// Inputs of one trial.
 #[derive(Clone, Debug)]
@@ -102,7 +102,7 @@
     /// Deadline at the daemon.
     pub deadline: Millis,
     /// How often the caller has retried it after a refusal.
-    pub returns: u32,
+    pub retries: u32,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -117,10 +117,10 @@
 pub fn run(trial: &Trial, decisions: Decisions) -> Vec<Received> {
     let mut bench = Bench::new(trial, decisions);
     for stream in 0..trial.streams.len() {
-        bench.plan_send(stream);
+        bench.schedule_send(stream);
     }
     let end = trial.length.as_micros() as u64;
-    while let Some(Planned { at, event, .. }) = bench.heap.pop() {
+    while let Some(ScheduledEvent { at, event, .. }) = bench.heap.pop() {
         if at > end {
             break;
         }
@@ -132,27 +132,27 @@
 
 /// A scheduled event. The earliest compares greatest; at equal times, the one scheduled first.
 #[derive(Clone, Copy, Debug)]
-struct Planned {
+struct ScheduledEvent {
     at: u64,
     number: u64,
     event: Event,
 }
 
-impl PartialEq for Planned {
+impl PartialEq for ScheduledEvent {
     fn eq(&self, other: &Self) -> bool {
         self.number == other.number
     }
 }
 
-impl Eq for Planned {}
+impl Eq for ScheduledEvent {}
 
-impl PartialOrd for Planned {
+impl PartialOrd for ScheduledEvent {
     fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl Ord for Planned {
+impl Ord for ScheduledEvent {
     fn cmp(&self, other: &Self) -> Ordering {
         (other.at, other.number).cmp(&(self.at, self.number))
     }
@@ -162,8 +162,8 @@
     trial: &'a Trial,
     daemons: Vec<Daemon>,
     received: Vec<Received>,
-    heap: BinaryHeap<Planned>,
-    planned: u64,
+    heap: BinaryHeap<ScheduledEvent>,
+    scheduled_count: u64,
     now_us: u64,
     rng: StdRng,
 }
@@ -184,16 +184,16 @@
                 .map(|_| Received::new(counted))
                 .collect(),
             heap: BinaryHeap::new(),
-            planned: 0,
+            scheduled_count: 0,
             now_us: 0,
             rng: StdRng::seed_from_u64(trial.seed),
         }
     }
 
-    fn plan(&mut self, at: u64, event: Event) {
-        let number = self.planned;
-        self.planned += 1;
-        self.heap.push(Planned { at, number, event });
+    fn schedule(&mut self, at: u64, event: Event) {
+        let number = self.scheduled_count;
+        self.scheduled_count += 1;
+        self.heap.push(ScheduledEvent { at, number, event });
     }
 
     fn now(&self) -> Millis {
@@ -201,7 +201,7 @@
     }
 
     /// Plans a stream's next request: a Poisson process, thinned where the rate is lower.
-    fn plan_send(&mut self, stream: usize) {
+    fn schedule_send(&mut self, stream: usize) {
         let rate = self.trial.streams[stream].rate;
         let now = Duration::from_micros(self.now_us);
         let per_second = rate.at(now);
@@ -211,13 +211,13 @@
             false => 0.01,
         };
         let at = self.now_us + (gap * 1e6).min(1e9) as u64;
-        self.plan(at, Event::Send(stream));
+        self.schedule(at, Event::Send(stream));
     }
 
     fn handle(&mut self, event: Event) {
         match event {
             Event::Send(stream) => {
-                self.plan_send(stream);
+                self.schedule_send(stream);
                 let kind = &self.trial.streams[stream];
                 if kind.rate.at(Duration::from_micros(self.now_us)) > 0.0 {
                     let caller = self.rng.random_range(0..kind.callers);
@@ -230,7 +230,7 @@
         }
     }
 
-    fn send(&mut self, stream: usize, caller: u64, returns: u32) {
+    fn send(&mut self, stream: usize, caller: u64, retries: u32) {
         let delay = self.trial.client_delay;
         let arrives = self.now_us + delay.as_micros() as u64;
         let request = Request {
@@ -238,38 +238,38 @@
             caller,
             sent_us: self.now_us,
             deadline: Millis(arrives / 1_000) + self.trial.streams[stream].deadline,
-            returns,
+            retries,
         };
         if self.is_counted(&request) {
             self.received[stream].sent += 1;
         }
-        self.plan(arrives, Event::Arrive(request));
+        self.schedule(arrives, Event::Arrive(request));
     }
 
     fn arrive(&mut self, request: Request) {
         let daemon = self.rng.random_range(0..self.daemons.len());
         let now = self.now();
-        let given = self.daemons[daemon].arrive(request, now, &mut self.rng);
-        self.give(given);
-        self.pump(daemon);
+        let answers = self.daemons[daemon].arrive(request, now, &mut self.rng);
+        self.deliver(answers);
+        self.start_waiting(daemon);
     }
 
     fn end(&mut self, daemon: usize, flight: u64) {
         let now = self.now();
-        let given = self.daemons[daemon].end(flight, now, &mut self.rng);
-        self.give(given);
-        self.pump(daemon);
+        let answers = self.daemons[daemon].end(flight, now, &mut self.rng);
+        self.deliver(answers);
+        self.start_waiting(daemon);
     }
 
     fn expire(&mut self, daemon: usize) {
         let now = self.now();
-        let given = self.daemons[daemon].expire(now, &mut self.rng);
-        self.give(given);
-        self.pump(daemon);
+        let answers = self.daemons[daemon].expire(now, &mut self.rng);
+        self.deliver(answers);
+        self.start_waiting(daemon);
     }
 
     /// Starts waiting requests while there is free capacity, and schedules their ends and the next expiry.
-    fn pump(&mut self, daemon: usize) {
+    fn start_waiting(&mut self, daemon: usize) {
         let now = self.now();
         while let Some((id, flight)) = self.daemons[daemon].start_next(now, &mut self.rng) {
             let stream = flight.request.stream;
@@ -277,56 +277,56 @@
                 self.received[stream].sends += 1;
             }
             let run = self.trial.streams[stream].run.draw(&mut self.rng);
-            let (took, ok) = ends(self.trial.workers[flight.worker], run);
+            let (took, ok) = duration_and_outcome(self.trial.workers[flight.worker], run);
             let left = flight.request.deadline.since(now).as_micros() as u64;
             self.daemons[daemon].outcome(id, ok && took <= left);
             let at = self.now_us + took.min(left);
-            self.plan(at, Event::End { daemon, flight: id });
+            self.schedule(at, Event::End { daemon, flight: id });
         }
-        if let Some(at) = self.daemons[daemon].next_expiry_to_plan() {
+        if let Some(at) = self.daemons[daemon].next_expiry_to_schedule() {
             let at = (at.0 * 1_000).max(self.now_us);
-            self.plan(at, Event::Expire { daemon });
+            self.schedule(at, Event::Expire { daemon });
         }
     }
 
     /// Delivers answers to callers, which may retry after a refusal.
-    fn give(&mut self, given: Vec<Given>) {
-        for answer in given {
-            let (Given::Done(request) | Given::Unknown(request) | Given::Refused(request, _)) =
+    fn deliver(&mut self, answers: Vec<Answer>) {
+        for answer in answers {
+            let (Answer::Done(request) | Answer::Unknown(request) | Answer::Refused(request, _)) =
                 answer;
             let back_us = self.trial.client_delay.as_micros() as u64;
             let took = self.now_us + back_us - request.sent_us;
             if self.is_counted(&request) {
                 self.count(&answer, &request, took);
             }
-            if let Given::Refused(request, retry_after) = answer {
-                self.plan_return(request, retry_after);
+            if let Answer::Refused(request, retry_after) = answer {
+                self.schedule_retry(request, retry_after);
             }
         }
     }
 
-    fn count(&mut self, answer: &Given, request: &Request, took: u64) {
+    fn count(&mut self, answer: &Answer, request: &Request, took: u64) {
         let deadline = self.trial.streams[request.stream].deadline;
         let due = (deadline + self.trial.client_delay * 2).as_micros() as u64;
         let received = &mut self.received[request.stream];
         match answer {
-            Given::Done(_) if took <= due + 1_000 => {
+            Answer::Done(_) if took <= due + 1_000 => {
                 received.done += 1;
                 received.latency.saturating_record(took);
             }
-            Given::Done(_) => received.late += 1,
-            Given::Unknown(_) => received.unknown += 1,
-            Given::Refused(..) => {
+            Answer::Done(_) => received.late += 1,
+            Answer::Unknown(_) => received.unknown += 1,
+            Answer::Refused(..) => {
                 received.refused += 1;
                 received.refusal.saturating_record(took);
             }
         }
     }
 
-    fn plan_return(&mut self, request: Request, retry_after: Duration) {
-        let wait = match self.trial.streams[request.stream].persistence {
-            Persistence::Obedient(most) if request.returns < most => retry_after,
-            Persistence::Impatient(wait, most) if request.returns < most => wait,
+    fn schedule_retry(&mut self, request: Request, retry_after: Duration) {
+        let wait = match self.trial.streams[request.stream].retry_behaviour {
+            RetryBehaviour::RetryAfter(most) if request.retries < most => retry_after,
+            RetryBehaviour::FixedDelay(wait, most) if request.retries < most => wait,
             _ => return,
         };
         // The wait starts when the refusal reaches the caller; the retry takes one more client delay.
@@ -334,13 +334,13 @@
         let again = Request {
             sent_us: sent - self.trial.client_delay.as_micros() as u64,
             deadline: Millis(sent / 1_000) + self.trial.streams[request.stream].deadline,
-            returns: request.returns + 1,
+            retries: request.retries + 1,
             ..request
         };
         if self.is_counted(&again) {
             self.received[request.stream].sent += 1;
         }
-        self.plan(sent, Event::Arrive(again));
+        self.schedule(sent, Event::Arrive(again));
     }
 
     fn is_counted(&self, request: &Request) -> bool {
@@ -349,11 +349,11 @@
 }
 
 /// How long a request occupies the worker, in microseconds, and whether the worker answers it.
-fn ends(kind: WorkerKind, run: u64) -> (u64, bool) {
+fn duration_and_outcome(kind: WorkerKind, run: u64) -> (u64, bool) {
     match kind {
-        WorkerKind::Sound => (run, true),
+        WorkerKind::Healthy => (run, true),
         WorkerKind::Slow(times) => ((run as f64 * times) as u64, true),
         WorkerKind::Hanging => (u64::MAX, false),
-        WorkerKind::Failing => (FAIL_US, false),
+        WorkerKind::Failing => (FAIL_AFTER_US, false),
     }
 }
--- a/crates/lapisdrum-load/src/policy/daemon.rs
+++ b/crates/lapisdrum-load/src/policy/daemon.rs
@@ -34,7 +34,7 @@
 
 /// How a worker is chosen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Choice {
+pub enum WorkerChoice {
     /// As `policy::routing` decides.
     Policy,
     /// The next worker in turn that has a free slot.
@@ -47,29 +47,29 @@
     /// How waiting requests are admitted and ordered.
     pub order: Order,
     /// How a worker is chosen.
-    pub choice: Choice,
+    pub choice: WorkerChoice,
 }
 
 impl Decisions {
     /// The scheduler's own policy.
     pub const POLICY: Self = Self {
         order: Order::Policy,
-        choice: Choice::Policy,
+        choice: WorkerChoice::Policy,
     };
     /// The policy's order, with workers in turn.
     pub const ROUND_ROBIN: Self = Self {
         order: Order::Policy,
-        choice: Choice::RoundRobin,
+        choice: WorkerChoice::RoundRobin,
     };
     /// First in, first out, with the policy's choice of workers.
     pub const FIRST_IN: Self = Self {
         order: Order::FirstIn,
-        choice: Choice::Policy,
+        choice: WorkerChoice::Policy,
     };
     /// All requests are admitted, in order of arrival, with the policy's choice of workers.
     pub const NO_ADMISSION: Self = Self {
         order: Order::Unbounded,
-        choice: Choice::Policy,
+        choice: WorkerChoice::Policy,
     };
     /// All combinations under test, with their names in tables.
     pub const ALL: [(&'static str, Self); 4] = [
@@ -82,7 +82,7 @@
 
 /// A final answer to a caller.
 #[derive(Clone, Copy, Debug)]
-pub enum Given {
+pub enum Answer {
     /// The worker's complete answer.
     Done(Request),
     /// Refused without being run; the caller may retry after this time.
@@ -112,14 +112,14 @@
     outstanding: Vec<u32>,
     flights: IndexMap<u64, Flight>,
     next_flight: u64,
-    turn: usize,
-    line: VecDeque<Request>,
+    next_worker: usize,
+    fifo: VecDeque<Request>,
     queue: Queue<Request>,
     admission: Admission,
     headroom: Headroom,
     routing: Routing,
     budgets: Vec<RetryBudget>,
-    planned_expiry: Option<Millis>,
+    scheduled_expiry: Option<Millis>,
 }
 
 impl Daemon {
@@ -140,19 +140,19 @@
             workers,
             flights: IndexMap::new(),
             next_flight: 0,
-            turn: 0,
-            line: VecDeque::new(),
+            next_worker: 0,
+            fifo: VecDeque::new(),
             queue: Queue::default(),
             admission: Admission::default(),
             headroom: Headroom::default(),
             routing: Routing::default(),
             budgets: vec![RetryBudget::default(); trial.streams.len()],
-            planned_expiry: None,
+            scheduled_expiry: None,
         }
     }
 
     /// Enqueues a request. Returns the refusal of this request or of the one that it displaced, if any.
-    pub fn arrive(&mut self, request: Request, now: Millis, rng: &mut impl Rng) -> Vec<Given> {
+    pub fn arrive(&mut self, request: Request, now: Millis, rng: &mut impl Rng) -> Vec<Answer> {
         let share = self.shares[request.stream];
         match self.decisions.order {
             Order::Policy => {
@@ -161,19 +161,19 @@
                 self.note_demand(request.stream, now);
                 match enqueued {
                     EnqueueOutcome::Waiting { displaced, .. } => displaced
-                        .map(|gone| Given::Refused(gone.payload, gone.retry_after))
+                        .map(|gone| Answer::Refused(gone.payload, gone.retry_after))
                         .into_iter()
                         .collect(),
                     EnqueueOutcome::Refused(gone) => {
-                        vec![Given::Refused(gone.payload, gone.retry_after)]
+                        vec![Answer::Refused(gone.payload, gone.retry_after)]
                     }
                 }
             }
-            Order::FirstIn if self.line.len() >= share.queue as usize => {
-                vec![Given::Refused(request, FIXED_RETRY_AFTER)]
+            Order::FirstIn if self.fifo.len() >= share.queue as usize => {
+                vec![Answer::Refused(request, FIXED_RETRY_AFTER)]
             }
             Order::FirstIn | Order::Unbounded => {
-                self.line.push_back(request);
+                self.fifo.push_back(request);
                 Vec::new()
             }
         }
@@ -214,7 +214,7 @@
     }
 
     /// Ends a request in flight. Returns the answer to its caller, or enqueues the request for a retry.
-    pub fn end(&mut self, flight: u64, now: Millis, rng: &mut impl Rng) -> Vec<Given> {
+    pub fn end(&mut self, flight: u64, now: Millis, rng: &mut impl Rng) -> Vec<Answer> {
         let Some(flight) = self.flights.swap_remove(&flight) else {
             return Vec::new();
         };
@@ -237,45 +237,48 @@
         let budget = &mut self.budgets[request.stream];
         if flight.answered {
             budget.note_success();
-            return vec![Given::Done(request)];
+            return vec![Answer::Done(request)];
         }
         let in_time = now < request.deadline;
         if !in_time || !budget.try_retry(Failure::Unknown, idempotent) {
-            return vec![Given::Unknown(request)];
+            return vec![Answer::Unknown(request)];
         }
         // It may have run already, so a refusal of the retry reaches the caller as an unknown outcome.
-        let given = self.arrive(request, now, rng);
-        let told = |answer| match answer {
-            Given::Refused(gone, _) if gone.sent_us == request.sent_us => Given::Unknown(gone),
+        let answers = self.arrive(request, now, rng);
+        let as_unknown = |answer| match answer {
+            Answer::Refused(gone, _) if gone.sent_us == request.sent_us => Answer::Unknown(gone),
             other => other,
         };
-        given.into_iter().map(told).collect()
+        answers.into_iter().map(as_unknown).collect()
     }
 
     /// Refuses the waiting requests that can no longer finish before their deadline.
-    pub fn expire(&mut self, now: Millis, rng: &mut impl Rng) -> Vec<Given> {
-        self.planned_expiry = None;
-        let mut given = Vec::new();
+    pub fn expire(&mut self, now: Millis, rng: &mut impl Rng) -> Vec<Answer> {
+        self.scheduled_expiry = None;
+        let mut answers = Vec::new();
         for gone in self.queue.expire(now, rng) {
             self.note_demand(gone.payload.stream, now);
-            given.push(Given::Refused(gone.payload, gone.retry_after));
+            answers.push(Answer::Refused(gone.payload, gone.retry_after));
         }
-        given
+        answers
     }
 
     /// When to call `expire` next; `None` if a call is already scheduled by then.
-    pub fn next_expiry_to_plan(&mut self) -> Option<Millis> {
+    pub fn next_expiry_to_schedule(&mut self) -> Option<Millis> {
         let at = self.queue.next_expiry()?;
-        if self.planned_expiry.is_some_and(|planned| planned <= at) {
+        if self
+            .scheduled_expiry
+            .is_some_and(|scheduled| scheduled <= at)
+        {
             return None;
         }
-        self.planned_expiry = Some(at);
+        self.scheduled_expiry = Some(at);
         Some(at)
     }
 
     fn take_next(&mut self, now: Millis) -> Option<Request> {
         if self.decisions.order != Order::Policy {
-            return self.line.pop_front();
+            return self.fifo.pop_front();
         }
         let (streams, shares, admission) = (&self.streams, &self.shares, &self.admission);
         let (headroom, slots) = (&self.headroom, self.slots * to_u32(self.workers.len()));
@@ -300,9 +303,11 @@
     fn choose(&mut self, now: Millis, rng: &mut impl Rng) -> Option<usize> {
         let count = self.workers.len();
         let open = |i: &usize| self.outstanding[*i] < self.slots;
-        if self.decisions.choice == Choice::RoundRobin {
-            let found = (0..count).map(|i| (self.turn + i) % count).find(open)?;
-            self.turn = found + 1;
+        if self.decisions.choice == WorkerChoice::RoundRobin {
+            let found = (0..count)
+                .map(|i| (self.next_worker + i) % count)
+                .find(open)?;
+            self.next_worker = found + 1;
             return Some(found);
         }
         let indexes: Vec<usize> = (0..count).filter(open).collect();
--- a/crates/lapisdrum-load/src/policy/load.rs
+++ b/crates/lapisdrum-load/src/policy/load.rs
@@ -72,13 +72,13 @@
 
 /// What callers do after a refusal.
 #[derive(Clone, Copy, Debug)]
-pub enum Persistence {
+pub enum RetryBehaviour {
     /// They do not retry.
     None,
     /// They retry after the time in Retry-After, at most this often.
-    Obedient(u32),
+    RetryAfter(u32),
     /// They retry after this time and ignore Retry-After, at most this often.
-    Impatient(Duration, u32),
+    FixedDelay(Duration, u32),
 }
 
 /// One kind of request and the callers that send it.
@@ -107,7 +107,7 @@
     /// Run time on a healthy worker.
     pub run: RunTime,
     /// What callers do after a refusal.
-    pub persistence: Persistence,
+    pub retry_behaviour: RetryBehaviour,
 }
 
 impl Stream {
@@ -125,7 +125,7 @@
             rate,
             callers: 100,
             run,
-            persistence: Persistence::None,
+            retry_behaviour: RetryBehaviour::None,
         }
     }
 }
@@ -139,7 +139,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum WorkerKind {
     /// Answers after the run time.
-    Sound,
+    Healthy,
     /// Answers after this multiple of the run time.
     Slow(f64),
     /// Never answers.
--- a/crates/lapisdrum-load/src/policy/rows.rs
+++ b/crates/lapisdrum-load/src/policy/rows.rs
@@ -132,7 +132,7 @@
             memory_mb: profile.memory_mb / 2,
             accelerators: 0,
         },
-        starts_per_s: profile.all_workers as f64 * profile.cores as f64 * BATCH_STARTS,
+        starts_per_s: profile.all_workers as f64 * profile.cores as f64 * BATCH_STARTS_PER_CORE_S,
         seconds,
         seed,
     };
@@ -147,7 +147,7 @@
 
 /// Batch tasks that arrive per second and core: about half of what the capacity could run without
 /// interference.
-const BATCH_STARTS: f64 = 0.0006;
+const BATCH_STARTS_PER_CORE_S: f64 = 0.0006;
 
 fn task_row(
     profile: &Profile,
--- a/crates/lapisdrum-load/src/policy/scenario.rs
+++ b/crates/lapisdrum-load/src/policy/scenario.rs
@@ -2,7 +2,7 @@
 
 use super::{
     bench::Trial,
-    load::{Persistence, Rate, RunTime, Stream, WorkerKind},
+    load::{Rate, RetryBehaviour, RunTime, Stream, WorkerKind},
 };
 use lapisdrum::core::catalogue::Class;
 use std::time::Duration;
@@ -117,16 +117,16 @@
         let capacity = profile.capacity(SHORT_RUN);
         let short = |rate| Stream::critical("short", rate, SHORT_RUN);
         let half = short(Rate::Steady(capacity / 2.0));
-        let mut workers = vec![WorkerKind::Sound; profile.workers];
+        let mut workers = vec![WorkerKind::Healthy; profile.workers];
         let streams = match self {
             Self::Uncontended => vec![half],
             Self::Overload => vec![short(Rate::Steady(capacity * 2.0))],
             Self::OverloadObedient => vec![Stream {
-                persistence: Persistence::Obedient(10),
+                retry_behaviour: RetryBehaviour::RetryAfter(10),
                 ..short(Rate::Steady(capacity * 2.0))
             }],
             Self::OverloadImpatient => vec![Stream {
-                persistence: Persistence::Impatient(Duration::from_millis(100), 10),
+                retry_behaviour: RetryBehaviour::FixedDelay(Duration::from_millis(100), 10),
                 ..short(Rate::Steady(capacity * 2.0))
             }],
             Self::Burst => vec![short(Rate::Burst {
--- a/crates/lapisdrum-load/src/policy/tasks.rs
+++ b/crates/lapisdrum-load/src/policy/tasks.rs
@@ -28,15 +28,15 @@
 /// Number of kinds of batch tasks.
 const BATCH_KINDS: u32 = 12;
 /// Fraction of the pairs of kinds with strong interference.
-const NOISY_PAIRS: f64 = 0.2;
+const INTERFERING_FRACTION: f64 = 0.2;
 /// Interval between reports of a host, in seconds.
-const REPORT_EVERY: u64 = 5;
+const REPORT_INTERVAL_S: u64 = 5;
 /// Age of a report when it arrives, in seconds.
 const REPORT_LAG: usize = 5;
 /// Speed of a throttled task, and its interference, as a fraction of those at full speed.
-const THROTTLED: f64 = 0.3;
+const THROTTLED_SPEED: f64 = 0.3;
 /// Interval between checkpoints of a task, in seconds.
-const CHECKPOINT_EVERY: u64 = 60;
+const CHECKPOINT_INTERVAL_S: u64 = 60;
 /// Interval from the start of one wave of batch tasks to the next, and the length of a wave, in seconds.
 const WAVE: (u64, u64) = (600, 120);
 /// Run time of a batch task without neighbours.
@@ -49,9 +49,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TaskDecisions {
     /// Whether placement uses slowdowns estimated from reports; otherwise only declared sizes.
-    pub learns: bool,
+    pub uses_estimates: bool,
     /// Whether tasks are throttled or evicted on hosts whose service is slowed too much.
-    pub relieves: bool,
+    pub mitigates: bool,
     /// Whether services run; without them, the trial measures batch work by itself.
     pub services: bool,
 }
@@ -67,10 +67,10 @@
     /// The policy's decisions without services.
     pub const BATCH_ONLY: Self = Self::new(true, true, false);
 
-    const fn new(learns: bool, relieves: bool, services: bool) -> Self {
+    const fn new(uses_estimates: bool, mitigates: bool, services: bool) -> Self {
         Self {
-            learns,
-            relieves,
+            uses_estimates,
+            mitigates,
             services,
         }
     }
@@ -139,7 +139,7 @@
 struct Trial {
     decisions: TaskDecisions,
     inputs: TaskTrial,
-    truth: Vec<Vec<f64>>,
+    interference: Vec<Vec<f64>>,
     sizes: Vec<Size>,
     hosts: Vec<Host>,
     waiting: VecDeque<Task>,
@@ -169,13 +169,13 @@
             known.kind(&valid(EntryName::try_from(format!("kind{i}"))));
         }
         let row = |rng: &mut StdRng| (0..kinds).map(|_| draw_effect(rng)).collect();
-        let truth = (0..kinds).map(|_| row(&mut rng)).collect();
+        let interference = (0..kinds).map(|_| row(&mut rng)).collect();
         let sizes = (0..kinds).map(|_| draw_size(&mut rng)).collect();
         let hosts = (0..inputs.hosts).map(|i| Host::new(i, &inputs, decisions));
         Self {
             decisions,
             inputs,
-            truth,
+            interference,
             sizes,
             hosts: hosts.collect(),
             waiting: VecDeque::new(),
@@ -202,7 +202,7 @@
         self.place(now);
         for index in 0..self.hosts.len() {
             self.run_host(index, second, now);
-            if (second + index as u64).is_multiple_of(REPORT_EVERY) {
+            if (second + index as u64).is_multiple_of(REPORT_INTERVAL_S) {
                 self.report(index, now);
             }
         }
@@ -259,7 +259,7 @@
                 throttled: false,
                 ..task
             });
-            host.note_residents(now);
+            host.note_running_kinds(now);
         }
     }
 
@@ -267,7 +267,7 @@
         let mut indexes = Vec::new();
         let mut candidates = Vec::new();
         for (index, host) in self.hosts.iter().enumerate() {
-            let open = !host.distress.is_on() || !self.decisions.relieves;
+            let open = !host.distress.is_on() || !self.decisions.mitigates;
             if open && self.memory.may_place(&task.id, &host.worker, now) {
                 indexes.push(index);
                 candidates.push(host.candidate(self.inputs.room));
@@ -287,19 +287,19 @@
         let host = &mut self.hosts[index];
         let mut measured = Vec::new();
         if let Some(service) = host.service {
-            let slowdown = host.slowdown_of(&self.truth, service, None);
+            let slowdown = host.slowdown_of(&self.interference, service, None);
             self.result
                 .slowdown
                 .saturating_record((slowdown * 1e3) as u64);
             measured.push((service, slowdown));
         }
         let slowdowns: Vec<f64> = (0..host.tasks.len())
-            .map(|i| host.slowdown_of(&self.truth, host.tasks[i].kind, Some(i)))
+            .map(|i| host.slowdown_of(&self.interference, host.tasks[i].kind, Some(i)))
             .collect();
         for (task, slowdown) in host.tasks.iter_mut().zip(slowdowns) {
-            let speed = if task.throttled { THROTTLED } else { 1.0 };
+            let speed = if task.throttled { THROTTLED_SPEED } else { 1.0 };
             task.done_s += speed / slowdown;
-            if (second - task.started).is_multiple_of(CHECKPOINT_EVERY) {
+            if (second - task.started).is_multiple_of(CHECKPOINT_INTERVAL_S) {
                 task.saved_s = task.done_s;
             }
             if !task.throttled {
@@ -321,7 +321,7 @@
             running
         });
         if host.tasks.len() != before {
-            host.note_residents(now);
+            host.note_running_kinds(now);
         }
     }
 
@@ -330,13 +330,13 @@
         let Some((measured_at, slowdowns)) = self.hosts[index].measured.front().cloned() else {
             return;
         };
-        if self.decisions.learns {
+        if self.decisions.uses_estimates {
             let host = &self.hosts[index];
             if let Some(present) = host.history.during(measured_at, Duration::from_secs(1)) {
                 let present = present.to_vec();
                 for (kind, slowdown) in &slowdowns {
                     let noise = self.rng.random_range(0.95..1.05);
-                    let beside = without_one(&present, *kind);
+                    let beside = neighbours_of_one(&present, *kind);
                     self.known.note(&Report {
                         kind: *kind,
                         beside: &beside,
@@ -348,12 +348,12 @@
         }
         let service = self.hosts[index].service;
         let distress = slowdowns.iter().find(|(kind, _)| Some(*kind) == service);
-        if let (true, Some((_, slowdown))) = (self.decisions.relieves, distress) {
-            self.relieve(index, *slowdown, measured_at, now);
+        if let (true, Some((_, slowdown))) = (self.decisions.mitigates, distress) {
+            self.mitigate(index, *slowdown, measured_at, now);
         }
     }
 
-    fn relieve(&mut self, index: usize, slowdown: f64, measured_at: Millis, now: Millis) {
+    fn mitigate(&mut self, index: usize, slowdown: f64, measured_at: Millis, now: Millis) {
         let host = &mut self.hosts[index];
         let service = host.service.unwrap_or(Kind(0));
         let tasks: Vec<HostTask<'_>> = host
@@ -390,7 +390,7 @@
         };
         let mut task = host.tasks.swap_remove(at);
         self.memory.note(job, &host.worker, now);
-        host.note_residents(now);
+        host.note_running_kinds(now);
         self.result.evictions += 1;
         self.result.lost_s += task.done_s - task.saved_s;
         task.done_s = task.saved_s;
@@ -426,7 +426,7 @@
         }
     }
 
-    fn note_residents(&mut self, now: Millis) {
+    fn note_running_kinds(&mut self, now: Millis) {
         self.running_kinds.clear();
         let service = self.service.map(|kind| (kind, Class::LatencyCritical));
         let tasks = self.tasks.iter().map(|task| (task.kind, Class::Batch));
@@ -453,8 +453,8 @@
 
     /// The slowdown of `kind` by all tasks on the host except task `own`, and by the service if that is of
     /// another kind.
-    fn slowdown_of(&self, truth: &[Vec<f64>], kind: Kind, own: Option<usize>) -> f64 {
-        let row = &truth[kind.0 as usize];
+    fn slowdown_of(&self, interference: &[Vec<f64>], kind: Kind, own: Option<usize>) -> f64 {
+        let row = &interference[kind.0 as usize];
         let others = self
             .tasks
             .iter()
@@ -462,7 +462,7 @@
             .filter(|(i, _)| Some(*i) != own);
         let tasks: f64 = others
             .map(|(_, task)| {
-                row[task.kind.0 as usize] * if task.throttled { THROTTLED } else { 1.0 }
+                row[task.kind.0 as usize] * if task.throttled { THROTTLED_SPEED } else { 1.0 }
             })
             .sum();
         let service = self.service.filter(|service| *service != kind);
@@ -473,12 +473,12 @@
         for task in self.tasks.iter_mut().filter(|task| task.id == *job) {
             task.throttled = throttled;
         }
-        self.note_residents(now);
+        self.note_running_kinds(now);
     }
 }
 
 /// The neighbours of one task of `kind`: all that are present except itself.
-fn without_one(present: &[Neighbour], kind: Kind) -> Vec<Neighbour> {
+fn neighbours_of_one(present: &[Neighbour], kind: Kind) -> Vec<Neighbour> {
     let others = present.iter().map(|neighbour| Neighbour {
         count: neighbour.count - u32::from(neighbour.kind == kind),
         ..*neighbour
@@ -487,7 +487,7 @@
 }
 
 fn draw_effect(rng: &mut StdRng) -> f64 {
-    match rng.random_range(0.0..1.0) < NOISY_PAIRS {
+    match rng.random_range(0.0..1.0) < INTERFERING_FRACTION {
         true => rng.random_range(0.2..0.8),
         false => rng.random_range(0.0..0.03),
     }
