--- a/crates/lapisdrum-load/src/args.rs
+++ b/crates/lapisdrum-load/src/args.rs
@@ -1,15 +1,15 @@
-//! The command line: the processes that experiments start, and the experiments.
+//! The command line: the experiments, and the processes that they start.
 
 use crate::{capacity, catalogue, ledger, policy, recovery, requests, takeover};
 use clap::{Parser, Subcommand};
 use eyre::{Result, eyre};
 use std::path::PathBuf;
 
-/// Experiments over small stand-ins; each prints a table and can write it as JSON.
+/// Experiments that run against stand-ins; each prints a table.
 #[derive(Debug, Parser)]
 #[command(version, about)]
 pub struct Args {
-    /// What to do.
+    /// The experiment to run.
     #[command(subcommand)]
     command: Command,
 }
@@ -19,30 +19,30 @@
     /// Run a daemon (started by experiments).
     #[command(hide = true)]
     Daemon {
-        /// Its settings.
+        /// Settings file of the daemon.
         #[arg(long)]
         config: PathBuf,
     },
     /// Run a stand-in (started by experiments).
     #[command(hide = true)]
     Standins(lapisdrum_standins::process::Args),
-    /// A daemon's processor time, memory and traffic against workers, tasks and entries.
+    /// Measure a daemon's processor time, memory and traffic by number of workers, tasks and entries.
     Capacity(capacity::CapacityArgs),
-    /// Table writes and reads against tasks started.
+    /// Measure table writes and reads by rate of task starts.
     Ledger(ledger::LedgerArgs),
-    /// Time from an owner's death to the next start.
+    /// Measure the time from the kill of a shard's owner to the next task start.
     Takeover(takeover::TakeoverArgs),
-    /// Time to recover a ledger against its length.
+    /// Measure the time to recover a ledger by its length.
     Recovery(recovery::RecoveryArgs),
-    /// What the daemon adds to a request, over loopback.
+    /// Measure the latency that the daemon adds to a request, over loopback.
     Requests(requests::RequestsArgs),
-    /// Time until a catalogue change is in force everywhere.
+    /// Measure the time until a catalogue change is in force at every daemon.
     Catalogue(catalogue::CatalogueArgs),
-    /// The decisions under load, with virtual time and baselines.
+    /// Compare policy decisions under load with baselines, in virtual time.
     Policy(policy::PolicyArgs),
 }
 
-/// Runs the subcommand that was asked for.
+/// Runs the given subcommand.
 pub async fn run(args: Args) -> Result<()> {
     match args.command {
         Command::Daemon { config } => lapisdrum::ops::run::run(&config)
--- a/crates/lapisdrum-load/src/capacity.rs
+++ b/crates/lapisdrum-load/src/capacity.rs
@@ -1,8 +1,9 @@
-//! `lapisdrum-load capacity`: what a daemon costs its host against workers, tasks and entries.
+//! `lapisdrum-load capacity`: measures the resources that a daemon uses by number of workers, tasks and
+//! entries.
 //!
-//! Each run starts a site of its own, lets it settle, then measures the owner's processor time,
-//! resident memory and the platform's traffic over a window. docs/CAPACITY.md draws its lines
-//! through these points.
+//! Each run starts its own site, waits until the load is steady, then measures the owner's processor
+//! time, resident memory and the platform's traffic over a window. docs/CAPACITY.md fits its lines to
+//! these points.
 
 use crate::{
     entries,
@@ -17,48 +18,48 @@
 use serde::Serialize;
 use std::{path::PathBuf, time::Duration};
 
-/// The entry of tasks that run all the time.
+/// Entry of the tasks that run throughout the window.
 const STREAM: &str = "stream";
-/// The entry that is changed.
+/// Entry that is changed at `changes_per_s`.
 const CHANGED: &str = "changed";
-/// The entry of short jobs.
+/// Entry of the short jobs submitted at `starts_per_s`.
 const RENDER: &str = "render";
-/// Time for a run's tasks to be running.
+/// Timeout for all tasks of a run to be started.
 const SETTLE_LIMIT: Duration = Duration::from_secs(300);
-/// Pause before the window, so that start-up costs stay out of it.
+/// Pause before the window, so that it does not include the cost of starting.
 const SETTLE: Duration = Duration::from_secs(5);
 
 /// Arguments of `capacity`.
 #[derive(Debug, Args)]
 pub struct CapacityArgs {
-    /// Workers of each run.
+    /// Number of workers; one run for each combination of values.
     #[arg(long, value_delimiter = ',', default_value = "50")]
     workers: Vec<usize>,
-    /// Running tasks of each run.
+    /// Number of running tasks.
     #[arg(long, value_delimiter = ',', default_value = "0")]
     tasks: Vec<usize>,
-    /// Catalogue entries of each run.
+    /// Number of catalogue entries.
     #[arg(long, value_delimiter = ',', default_value = "3")]
     entries: Vec<usize>,
-    /// Short jobs submitted each second during the window, of each run.
+    /// Short jobs submitted per second during the window.
     #[arg(long, value_delimiter = ',', default_value = "0")]
     starts_per_s: Vec<u32>,
-    /// Catalogue changes made each second during the window, of each run.
+    /// Catalogue changes made per second during the window.
     #[arg(long, value_delimiter = ',', default_value = "0")]
     changes_per_s: Vec<u32>,
-    /// Daemons.
+    /// Number of daemons.
     #[arg(long, default_value_t = 1)]
     daemons: usize,
-    /// Time between two reads of the membership list, in milliseconds.
+    /// Interval between reads of the membership list, in milliseconds.
     #[arg(long, default_value_t = 1_000)]
     poll_ms: u64,
-    /// Length of the window in seconds.
+    /// Length of the window, in seconds.
     #[arg(long, default_value_t = 20)]
     window_s: u64,
-    /// Settings besides the addresses: a TOML file; the defaults when absent.
+    /// TOML file with further daemon settings, without the addresses; defaults if absent.
     #[arg(long)]
     settings: Option<PathBuf>,
-    /// Where to write the rows as JSON.
+    /// File to write the rows to, as JSON.
     #[arg(long)]
     json: Option<PathBuf>,
 }
@@ -66,37 +67,37 @@
 /// One run's figures; CPU, memory and traffic are the first daemon's share.
 #[derive(Clone, Debug, Serialize)]
 pub struct CapacityRow {
-    /// Workers.
+    /// Number of workers.
     pub workers: usize,
-    /// Running tasks.
+    /// Number of running tasks.
     pub tasks: usize,
-    /// Catalogue entries.
+    /// Number of catalogue entries.
     pub entries: usize,
-    /// Daemons.
+    /// Number of daemons.
     pub daemons: usize,
-    /// Catalogue changes asked for a second.
+    /// Catalogue changes requested per second.
     pub changes_per_s: u32,
-    /// Tasks started a second, as measured.
+    /// Tasks started per second by all daemons, as measured.
     pub starts_per_s: f64,
-    /// Processor time of the owner, in hundredths of a core.
+    /// Processor time of the owner, in percent of a core.
     pub owner_cpu_percent: f64,
     /// Resident memory of the owner, in megabytes.
     pub owner_resident_mb: f64,
-    /// Most resident memory of the owner, in megabytes.
+    /// Peak resident memory of the owner, in megabytes.
     pub owner_peak_mb: f64,
-    /// Table writes a second, all daemons.
+    /// Table writes per second of all daemons.
     pub table_writes_per_s: f64,
-    /// Table and list reads a second, all daemons.
+    /// Table reads per second of all daemons: of single rows and of lists of rows.
     pub table_reads_per_s: f64,
-    /// Bytes a second from the platform, all daemons.
+    /// Bytes per second from the platform to all daemons.
     pub platform_read_bytes_per_s: f64,
-    /// Bytes a second to the platform, all daemons.
+    /// Bytes per second from all daemons to the platform.
     pub platform_write_bytes_per_s: f64,
-    /// Bytes a second to and from workers for commands, all daemons.
+    /// Bytes per second of commands and their answers between all daemons and the workers.
     pub worker_bytes_per_s: f64,
 }
 
-/// Runs every combination and prints the table.
+/// Measures each combination and prints the table.
 pub async fn run(args: CapacityArgs) -> Result<()> {
     let mut rows = Vec::new();
     for &workers in &args.workers {
@@ -126,7 +127,7 @@
     Ok(())
 }
 
-/// What one run varies.
+/// Parameters of one run.
 #[derive(Clone, Copy, Debug)]
 struct Case {
     workers: usize,
@@ -174,7 +175,7 @@
     row
 }
 
-/// Changes an entry at a steady rate.
+/// Changes an entry at a fixed rate.
 async fn change(client: DaemonClient, per_second: u32) {
     if per_second == 0 {
         return;
@@ -185,14 +186,14 @@
     loop {
         ticks.tick().await;
         entry.priority = Some(u32::from(entry.priority != Some(1)));
-        // A change that is refused is one fewer; the writes at the table show it.
+        // A refused change is not repeated; the measured table writes show it.
         if let Ok(done) = client.put_entry(&entry, seen).await {
             seen = Some(done.revision);
         }
     }
 }
 
-/// Hands short jobs in at a steady rate, each by a call of its own.
+/// Submits short jobs at a fixed rate, without waiting for the answers.
 async fn feed(client: DaemonClient, per_second: u32) {
     if per_second == 0 {
         return;
@@ -202,13 +203,13 @@
         ticks.tick().await;
         let client = client.clone();
         actix_rt::spawn(async move {
-            // A refused job is one start fewer; the measured rate shows it.
+            // A refused job is not repeated; the measured rate of starts shows it.
             let _ = client.submit_job(RENDER).await;
         });
     }
 }
 
-/// Hands `tasks` jobs in, some at a time, and waits until all of them run.
+/// Submits `tasks` jobs, at most 64 at a time, and waits until that many tasks have started.
 async fn start_tasks(site: &Site, tasks: usize) -> Result<()> {
     const AT_ONCE: usize = 64;
     let client = site.daemons[0].client();
@@ -273,7 +274,7 @@
     })
 }
 
-/// The daemon that owns the first shard.
+/// Index of the first daemon that owns exactly one shard; 0 if none does.
 async fn owner(site: &Site) -> usize {
     for (i, daemon) in site.daemons.iter().enumerate() {
         let text = daemon.metrics().await.unwrap_or_default();
--- a/crates/lapisdrum-load/src/catalogue.rs
+++ b/crates/lapisdrum-load/src/catalogue.rs
@@ -1,4 +1,5 @@
-//! `lapisdrum-load catalogue`: time from an accepted change to its being in force at every daemon.
+//! `lapisdrum-load catalogue`: measures the time from sending a catalogue change until it is in force at
+//! each daemon.
 
 use crate::{entries, site::Site, table};
 use clap::Args;
@@ -9,29 +10,29 @@
 use std::{path::PathBuf, time::Duration};
 use tokio::time::Instant;
 
-/// Time between two looks at a daemon's revision.
+/// Interval at which a daemon's revision is polled.
 const LOOK: Duration = Duration::from_millis(5);
-/// Longest time for a change.
+/// Timeout for a change to be in force; a change that takes longer is recorded with this time.
 const LIMIT: Duration = Duration::from_secs(60);
 
 /// Arguments of `catalogue`.
 #[derive(Debug, Args)]
 pub struct CatalogueArgs {
-    /// Daemons.
+    /// Number of daemons.
     #[arg(long, default_value_t = 7)]
     daemons: usize,
-    /// Changes to measure.
+    /// Number of changes to measure.
     #[arg(long, default_value_t = 100)]
     changes: usize,
-    /// How much slower the platform answers, in milliseconds.
+    /// Delay that the platform adds to each call, in milliseconds.
     #[arg(long, default_value_t = 0)]
     slow_ms: u64,
-    /// Settings besides the addresses: a TOML file; the defaults when absent.
+    /// TOML file with further daemon settings, without the addresses; defaults if absent.
     #[arg(long)]
     settings: Option<PathBuf>,
 }
 
-/// Makes the changes one after another, each at the next daemon, and prints the times.
+/// Makes the changes one after another, at each daemon in turn, and prints the times.
 pub async fn run(args: CatalogueArgs) -> Result<()> {
     let more = match &args.settings {
         Some(path) => std::fs::read_to_string(path)?,
@@ -49,7 +50,7 @@
         let mut entry = entries::small("render", "batch");
         entry.millicores = 10 + i as u64 % 10;
         let client = site.daemons[i % args.daemons].client();
-        // Counted from the moment when the operator sent it.
+        // Measured from when the operator sends the change.
         let sent_at = Instant::now();
         let revision = client.put_entry(&entry, seen).await?.revision;
         seen = Some(revision);
@@ -75,7 +76,7 @@
     Ok(())
 }
 
-/// Milliseconds from `since` until a daemon has a revision in force.
+/// Milliseconds from `since` until a daemon has a revision in force, or until [`LIMIT`] has passed.
 async fn in_force(site: &Site, daemon: usize, revision: Revision, since: Instant) -> u64 {
     let name = "lapisdrum_catalogue_revision";
     while since.elapsed() < LIMIT {
--- a/crates/lapisdrum-load/src/entries.rs
+++ b/crates/lapisdrum-load/src/entries.rs
@@ -1,11 +1,11 @@
-//! Catalogue entries of experiments.
+//! Catalogue entries for experiments.
 
 use lapisdrum::core::catalogue::RawEntry;
 
-/// Concurrency and queue that no experiment reaches.
+/// Limit on concurrency and queue length that no experiment reaches.
 const PLENTY: u32 = 1_000_000;
 
-/// A small entry without practical limits.
+/// An entry that asks for few resources (10 millicores, 10 MB) and has no effective limits.
 pub fn small(name: &str, class: &str) -> RawEntry {
     RawEntry {
         name: name.to_owned(),
--- a/crates/lapisdrum-load/src/ledger.rs
+++ b/crates/lapisdrum-load/src/ledger.rs
@@ -1,7 +1,7 @@
-//! `lapisdrum-load ledger`: table writes and reads a second against tasks started a second.
+//! `lapisdrum-load ledger`: measures table writes and reads per second by task starts per second.
 //!
-//! Jobs are submitted at a fixed rate, whatever the daemon answers. The first setting writes each
-//! event into a row of its own at once; the others gather events for a linger.
+//! Jobs are submitted at a fixed rate regardless of the daemon's answers (open loop). The first setting
+//! writes each event into its own row immediately; the others batch events for a linger time.
 
 use crate::{
     entries,
@@ -21,58 +21,58 @@
 };
 use tokio::time::{Instant, MissedTickBehavior};
 
-/// Time for the shard to be served.
+/// Timeout for the first job to be accepted, which needs an owner of the shard.
 const SERVE_LIMIT: Duration = Duration::from_secs(30);
-/// Load before the window, so that it shows the steady state.
+/// Time under load before the window, so that the window shows the steady state.
 const WARM_UP: Duration = Duration::from_secs(4);
-/// Time between two lots of jobs submitted.
+/// Interval between bursts of submitted jobs.
 const LOT: Duration = Duration::from_millis(20);
 
 /// Arguments of `ledger`.
 #[derive(Debug, Args)]
 pub struct LedgerArgs {
-    /// Jobs submitted a second.
+    /// Jobs submitted per second.
     #[arg(long, default_value_t = 200)]
     rate: u64,
-    /// Workers.
+    /// Number of workers.
     #[arg(long, default_value_t = 65)]
     workers: usize,
-    /// Time for a task, in milliseconds.
+    /// Run time of a task, in milliseconds.
     #[arg(long, default_value_t = 1_000)]
     task_ms: u64,
     /// Length of each window, in seconds.
     #[arg(long, default_value_t = 10)]
     window_s: u64,
-    /// Lingers to try besides row by row, in milliseconds.
+    /// Linger times to measure in addition to row by row, in milliseconds.
     #[arg(long, value_delimiter = ',', default_value = "0,50,250")]
     lingers: Vec<u64>,
-    /// Where to write the rows as JSON.
+    /// File to write the rows to, as JSON.
     #[arg(long)]
     json: Option<PathBuf>,
 }
 
-/// One setting's figures over the window.
+/// Results of one setting over the window.
 #[derive(Clone, Debug, Serialize)]
 pub struct LedgerRow {
-    /// How rows are written.
+    /// Name of the setting under which events are written to rows.
     pub writing: String,
-    /// Jobs submitted a second.
+    /// Jobs submitted per second.
     pub rate: u64,
-    /// Tasks started a second.
+    /// Tasks started per second.
     pub starts_per_s: f64,
-    /// Jobs refused or unknown.
+    /// Number of jobs that were refused or whose submission had no answer.
     pub not_accepted: u64,
-    /// Table writes a second, of every kind.
+    /// Table writes per second, of all kinds.
     pub table_writes_per_s: f64,
-    /// Reads a second, of every kind.
+    /// Table reads per second, of all kinds.
     pub table_reads_per_s: f64,
-    /// Time until an acceptance was answered, at half.
+    /// Median time from submission to the answer of accepted jobs, in milliseconds.
     pub accepted_ms_p50: u64,
-    /// The same at the 99th percentile.
+    /// 99th percentile of that time, in milliseconds.
     pub accepted_ms_p99: u64,
 }
 
-/// Runs every setting and prints the table.
+/// Measures each setting and prints the table.
 pub async fn run(args: LedgerArgs) -> Result<()> {
     let by_row =
         "linger_urgent_ms = 0\nlinger_batch_ms = 0\nwrite_spacing_ms = 0\nrow_events = 1\n";
@@ -135,7 +135,7 @@
     })
 }
 
-/// How long acceptances took, in milliseconds, and how many failed.
+/// Times of accepted submissions in milliseconds, and the number of the others.
 struct Latencies {
     taken: Histogram<u64>,
     failed: u64,
@@ -143,13 +143,13 @@
 
 impl Latencies {
     fn new() -> Self {
-        // Three digits are within what the library allows.
+        // The library allows 0 to 5 significant digits.
         let taken = Histogram::new(3).unwrap_or_else(|e| panic!("a histogram: {e}"));
         Self { taken, failed: 0 }
     }
 }
 
-/// Hands jobs in at a rate until it is stopped.
+/// Submits jobs at a fixed rate until it is stopped.
 struct Load {
     latencies: Rc<RefCell<Latencies>>,
     stopped: Rc<Cell<bool>>,
@@ -190,7 +190,7 @@
         load
     }
 
-    /// Begins to count.
+    /// Discards the results so far.
     fn reset(&self) {
         *self.latencies.borrow_mut() = Latencies::new();
     }
--- a/crates/lapisdrum-load/src/lib.rs
+++ b/crates/lapisdrum-load/src/lib.rs
@@ -1,7 +1,7 @@
-//! Load driver and experiments over the stand-ins: prints its tables and writes them as JSON.
+//! Load driver and experiments that run against the stand-ins; prints tables and writes them as JSON.
 //!
-//! Daemons and stand-ins run as processes of this same binary, so that a daemon's processor time and
-//! memory can be read apart from everybody else's. Each experiment is a module and a subcommand.
+//! Daemons and stand-ins run as separate processes of the same binary, so that the processor time and
+//! memory of each daemon can be read by itself. Each experiment is a module and a subcommand.
 
 pub mod args;
 pub mod capacity;
--- a/crates/lapisdrum-load/src/main.rs
+++ b/crates/lapisdrum-load/src/main.rs
@@ -1,4 +1,4 @@
-//! The `lapisdrum-load` binary: arguments in, one call out.
+//! The `lapisdrum-load` binary: parses the arguments and runs the subcommand.
 
 use clap::Parser;
 use lapisdrum_load::args::{Args, run};
--- a/crates/lapisdrum-load/src/measure.rs
+++ b/crates/lapisdrum-load/src/measure.rs
@@ -1,25 +1,26 @@
-//! Reading a process's processor time and memory.
+//! Reads the processor time and memory of a process from `/proc`.
 
 use eyre::{Result, eyre};
 use std::{fs, time::Duration};
 
-/// Clock ticks a second in `/proc/PID/stat`; Linux shows 100 to user space on every machine.
+/// Clock ticks per second in `/proc/PID/stat`; Linux always reports 100 to user space.
 const TICKS_PER_SECOND: f64 = 100.0;
-/// Fields of `/proc/PID/stat` before the processor times, counted after the command's name.
+/// Number of fields in `/proc/PID/stat` between the command name and the processor times.
 const FIELDS_BEFORE_UTIME: usize = 11;
 
-/// A process's use of its host so far.
+/// Resources that a process has used since its start.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ProcessUse {
-    /// Processor time of the process, user and system.
+    /// Processor time, user and system.
     pub cpu: Duration,
     /// Resident memory in kilobytes.
     pub resident_kb: u64,
-    /// Most resident memory so far, in kilobytes.
+    /// Peak resident memory, in kilobytes.
     pub peak_kb: u64,
 }
 
-/// Reads a process's use.
+/// Reads the resources used by the process with this id. A field of `/proc` that is missing or not a
+/// number counts as zero.
 pub fn process_use(id: u32) -> Result<ProcessUse> {
     let stat = fs::read_to_string(format!("/proc/{id}/stat"))?;
     let fields = stat
--- a/crates/lapisdrum-load/src/policy/scenario.rs
+++ b/crates/lapisdrum-load/src/policy/scenario.rs
@@ -89,7 +89,7 @@
     OneHanging,
     /// Half of the capacity; one worker fails each request after 0.5 ms.
     OneFailing,
-    /// Half of the capacity in short requests, and long requests of another owner that alone would fill
+    /// Half of the capacity in short requests, and long requests of another owner that by themselves would fill
     /// all slots.
     LongAmongShort,
     /// Latency-critical requests at half of the capacity, and batch requests at twice the capacity.
--- a/crates/lapisdrum-load/src/recovery.rs
+++ b/crates/lapisdrum-load/src/recovery.rs
@@ -1,5 +1,5 @@
-//! `lapisdrum-load recovery`: time to recover a shard's ledger against its length, by rows alone and
-//! from a snapshot, and what a snapshot costs the daemon's thread.
+//! `lapisdrum-load recovery`: measures the time to recover a shard's ledger by its length, from rows only
+//! and from a snapshot, and the time that a snapshot takes on the daemon's thread.
 
 use crate::{site::Site, table};
 use clap::Args;
@@ -24,22 +24,22 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Events to a row: what 200 starts a second write at the default spacing.
+/// Events per row, as written at 200 starts per second and the default write spacing.
 const EVENTS_PER_ROW: usize = 40;
-/// Events of each job: accepted, placed, checkpointed.
+/// Events per job: accepted, placed, checkpointed.
 const EVENTS_PER_JOB: usize = 3;
-/// Workers that the jobs are spread over.
+/// Number of workers that the jobs are spread over.
 const WORKERS: usize = 500;
 
 /// Arguments of `recovery`.
 #[derive(Debug, Args)]
 pub struct RecoveryArgs {
-    /// Running jobs in the ledger of each run.
+    /// Number of running jobs in the ledger; one run for each value.
     #[arg(long, value_delimiter = ',', default_value = "1000,5000,17800")]
     jobs: Vec<usize>,
 }
 
-/// Runs every length both ways and prints the table.
+/// Measures each length both ways and prints the table.
 pub async fn run(args: RecoveryArgs) -> Result<()> {
     let mut rows = Vec::new();
     for &jobs in &args.jobs {
@@ -121,7 +121,7 @@
     Ok(took)
 }
 
-/// The rows of `jobs` running jobs, and the state that they make.
+/// The state with `jobs` running jobs, and the rows that lead to it.
 fn history(shard: &ShardId, jobs: usize) -> Result<(State, Vec<Batch>)> {
     let mut events = Vec::with_capacity(jobs * EVENTS_PER_JOB);
     for i in 0..jobs {
--- a/crates/lapisdrum-load/src/requests.rs
+++ b/crates/lapisdrum-load/src/requests.rs
@@ -1,8 +1,8 @@
-//! `lapisdrum-load requests`: what the real daemon adds to a request, over loopback.
+//! `lapisdrum-load requests`: measures the latency that the daemon adds to a request, over loopback.
 //!
-//! Callers keep a steady number of requests going through one daemon, then straight to the workers;
-//! the difference is what the daemon adds. No decision is replaced and nothing is simulated but the
-//! workers' work, which is a sleep.
+//! Callers keep a fixed number of requests in flight (closed loop) through one daemon, then directly to
+//! the workers; the difference is what the daemon adds. The daemon is the real one with all its
+//! decisions; only the work of the workers is simulated, by a sleep.
 
 use crate::{
     entries,
@@ -18,55 +18,55 @@
 use std::{cell::RefCell, net::SocketAddr, path::PathBuf, rc::Rc, time::Duration};
 use tokio::time::Instant;
 
-/// Time for the daemon to hold floors.
+/// Timeout for the daemon to receive its floors (worker capacity for requests) and answer a request.
 const SETTLE_LIMIT: Duration = Duration::from_secs(30);
-/// Time for one call.
+/// Timeout of one call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(10);
-/// Largest latency that is told apart, in microseconds: a minute.
+/// Largest latency that the histogram records, in microseconds: one minute.
 const MOST_MICROS: u64 = 60_000_000;
-/// Digits of latency that are kept.
+/// Significant digits of a recorded latency.
 const DIGITS: u8 = 3;
 
 /// Arguments of `requests`.
 #[derive(Debug, Args)]
 pub struct RequestsArgs {
-    /// Workers, of eight slots each.
+    /// Number of workers, with eight slots each.
     #[arg(long, default_value_t = 16)]
     workers: usize,
-    /// Time of a request on a worker, in milliseconds.
+    /// Run time of a request on a worker, in milliseconds.
     #[arg(long, default_value_t = 20)]
     request_ms: u64,
-    /// Requests that are kept going, of each run.
+    /// Requests kept in flight; one pair of runs for each value.
     #[arg(long, value_delimiter = ',', default_value = "1,32")]
     callers: Vec<usize>,
-    /// Length of a run in seconds.
+    /// Length of a run, in seconds.
     #[arg(long, default_value_t = 15)]
     window_s: u64,
-    /// Where to write the rows as JSON.
+    /// File to write the rows to, as JSON.
     #[arg(long)]
     json: Option<PathBuf>,
 }
 
-/// One run's figures.
+/// Results of one run.
 #[derive(Clone, Debug, Serialize)]
 pub struct RequestsRow {
-    /// `daemon` or `worker`.
+    /// Where the callers sent their requests: `daemon` or `worker`.
     pub through: &'static str,
-    /// Requests kept going.
+    /// Requests kept in flight.
     pub callers: usize,
-    /// Whole answers a second.
+    /// Successful answers per second.
     pub answers_per_s: f64,
-    /// Answers that were not whole answers.
+    /// Number of requests with an error status or without a complete answer.
     pub others: u64,
-    /// Latency in milliseconds: half, 99th and 99.9th percentile.
+    /// Median latency in milliseconds.
     pub p50_ms: f64,
-    /// The 99th percentile.
+    /// 99th percentile of the latency, in milliseconds.
     pub p99_ms: f64,
-    /// The 99.9th percentile.
+    /// 99.9th percentile of the latency, in milliseconds.
     pub p999_ms: f64,
 }
 
-/// Runs each number of callers through the daemon and straight to the workers.
+/// Measures each number of callers through the daemon and directly to the workers.
 pub async fn run(args: RequestsArgs) -> Result<()> {
     let site = Site::start(1, args.workers, |plan| {
         plan.more = "[log]\nlevel = \"warn\"\n".to_owned();
@@ -88,7 +88,7 @@
         ask(daemon, "/v1/run/map").await.is_ok()
     })
     .await?;
-    // Floors, shares and learned run times come in over some polls.
+    // The daemon receives floors, shares and estimated run times over several polls.
     tokio::time::sleep(Duration::from_secs(5)).await;
     let mut rows = Vec::new();
     for &callers in &args.callers {
--- a/crates/lapisdrum-load/src/site.rs
+++ b/crates/lapisdrum-load/src/site.rs
@@ -1,4 +1,4 @@
-//! A site of processes for an experiment: a platform, workers, daemons, ended with their handle.
+//! Processes of an experiment: a platform, workers and daemons, killed when their handle is dropped.
 
 use eyre::{Result, WrapErr as _, bail, ensure, eyre};
 use lapisdrum::{api::client::DaemonClient, store::wire::HostWire};
@@ -18,16 +18,16 @@
 };
 use tokio::time::Instant;
 
-/// Time for a process to serve.
+/// Timeout for a daemon to be ready.
 const START_LIMIT: Duration = Duration::from_secs(30);
-/// Time for one call.
+/// Timeout of one call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(30);
-/// Time between two looks at something awaited.
+/// Interval at which [`until`] checks its condition.
 const POLL: Duration = Duration::from_millis(20);
-/// Workers to a rack in an experiment's hosts.
+/// Number of workers per rack in the membership list.
 const RACK_SIZE: usize = 8;
 
-/// A process that is ended with its handle, by its id.
+/// A child process that is killed when the handle is dropped.
 pub struct Process {
     child: Child,
 }
@@ -43,12 +43,12 @@
         Ok(Self { child })
     }
 
-    /// Its id.
+    /// Process id.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// Ends it without warning.
+    /// Kills the process (`SIGKILL`) and waits for its end.
     pub fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
@@ -65,13 +65,13 @@
 pub struct Daemon {
     /// The process.
     pub process: Process,
-    /// Its settings.
+    /// Settings with which it was started.
     pub plan: DaemonPlan,
     config: PathBuf,
 }
 
 impl Daemon {
-    /// Starts a daemon without waiting for it.
+    /// Starts a daemon without waiting until it is ready.
     pub fn start(plan: DaemonPlan) -> Result<Self> {
         let name = format!(
             "lapisdrum-{}-{:016x}.toml",
@@ -89,12 +89,12 @@
         })
     }
 
-    /// A client of it.
+    /// A new client of the daemon's address for callers.
     pub fn client(&self) -> DaemonClient {
         DaemonClient::new(&self.plan.callers.to_string(), CALL_TIMEOUT)
     }
 
-    /// Its metrics as text.
+    /// Metrics of the daemon, as text.
     pub async fn metrics(&self) -> Result<String> {
         let http = client();
         let sent = http
@@ -105,7 +105,7 @@
         Ok(String::from_utf8_lossy(&answer.body().await?).into_owned())
     }
 
-    /// One of its metrics without labels; zero without an answer.
+    /// Value of a metric without labels; zero if the daemon does not answer or has no such metric.
     pub async fn metric(&self, name: &str) -> u64 {
         let text = self.metrics().await.unwrap_or_default();
         let mut lines = text.lines().filter_map(|line| line.split_once(' '));
@@ -123,20 +123,20 @@
 
 /// A platform, workers and daemons as processes.
 pub struct Site {
-    /// The daemons.
+    /// Daemon processes, in the order in which they were started.
     pub daemons: Vec<Daemon>,
-    /// The membership list.
+    /// Hosts in the membership list.
     pub hosts: Vec<HostWire>,
-    /// Where the platform listens.
+    /// Address of the platform.
     pub platform: SocketAddr,
-    /// Where each worker listens.
+    /// Addresses of the workers, in the order of `hosts`.
     pub workers: Vec<SocketAddr>,
     _processes: Vec<Process>,
 }
 
 impl Site {
-    /// Starts a platform, `workers` workers in one process and `daemons` daemons, and waits until
-    /// every daemon is ready.
+    /// Starts a platform, `workers` workers in one process and `daemons` daemons with settings changed
+    /// by `adjust`, and waits until all daemons are ready.
     pub async fn start(
         daemons: usize,
         workers: usize,
@@ -175,7 +175,7 @@
         Ok(site)
     }
 
-    /// Tasks started by all daemons so far.
+    /// Number of tasks started by all daemons so far.
     pub async fn starts(&self) -> u64 {
         let mut sum = 0;
         for daemon in &self.daemons {
@@ -184,7 +184,7 @@
         sum
     }
 
-    /// The daemon that owns a shard; the first when none does.
+    /// Index of the first daemon that owns a shard; 0 if none does.
     pub async fn owner(&self) -> usize {
         for (i, daemon) in self.daemons.iter().enumerate() {
             if daemon.metric("lapisdrum_shards_owned").await > 0 {
@@ -194,12 +194,12 @@
         0
     }
 
-    /// Sets what the platform does wrong.
+    /// Sets the faults that the platform injects.
     pub async fn switch_platform(&self, switches: &PlatformSwitches) -> Result<()> {
         put(self.platform, "/control/switches", switches).await
     }
 
-    /// Sets how every worker behaves.
+    /// Sets the behaviour of all workers.
     pub async fn switch_workers(&self, switches: &WorkerSwitches) -> Result<()> {
         for worker in &self.workers {
             put(*worker, "/control/switches", switches).await?;
@@ -207,7 +207,7 @@
         Ok(())
     }
 
-    /// Bytes of commands to workers and of their answers so far.
+    /// Bytes of commands to all workers and of their answers so far.
     pub async fn worker_bytes(&self) -> Result<u64> {
         let calls = self
             .workers
@@ -217,7 +217,7 @@
         counts.into_iter().sum()
     }
 
-    /// The platform's reads and writes so far.
+    /// Reads and writes that the platform has served so far.
     pub async fn platform_counts(&self) -> Result<PlatformCounts> {
         get(self.platform, "/control/counts").await
     }
@@ -250,7 +250,7 @@
     Ok((process, found))
 }
 
-/// Waits until something holds.
+/// Polls `holds` until it returns true; fails after `limit` and names `what` in the error.
 pub async fn until(
     what: &str,
     limit: Duration,
@@ -270,7 +270,7 @@
     awc::Client::builder().timeout(CALL_TIMEOUT).finish()
 }
 
-/// Sends a JSON value to a stand-in.
+/// Sends a JSON value to a stand-in; fails unless the answer has a success status.
 pub async fn put(address: SocketAddr, path: &str, value: &impl Serialize) -> Result<()> {
     let sent = client()
         .put(format!("http://{address}{path}"))
--- a/crates/lapisdrum-load/src/table.rs
+++ b/crates/lapisdrum-load/src/table.rs
@@ -1,10 +1,10 @@
-//! Tables for people and the same rows as JSON, so that runs compare.
+//! Output of experiments: tables on standard output, and results as JSON files.
 
 use eyre::Result;
 use serde::Serialize;
 use std::{fs, path::Path};
 
-/// Prints rows under headings, each column as wide as its widest cell.
+/// Prints rows under headings, with right-aligned columns as wide as their widest cell.
 pub fn print(headings: &[&str], rows: &[Vec<String>]) {
     let width = |column: usize| {
         let cells = rows
@@ -32,7 +32,7 @@
     }
 }
 
-/// Writes a result as JSON.
+/// Writes a result to a file as indented JSON.
 pub fn write_json(path: &Path, result: &impl Serialize) -> Result<()> {
     fs::write(path, serde_json::to_vec_pretty(result)?)?;
     Ok(())
--- a/crates/lapisdrum-load/src/takeover.rs
+++ b/crates/lapisdrum-load/src/takeover.rs
@@ -1,4 +1,5 @@
-//! `lapisdrum-load takeover`: time from an owner's death to the first task that its successor starts.
+//! `lapisdrum-load takeover`: measures the time from the kill of a shard's owner to the first task that
+//! the next owner starts.
 
 use crate::{
     entries,
@@ -11,30 +12,30 @@
 use std::{path::PathBuf, time::Duration};
 use tokio::time::Instant;
 
-/// Longest time for anything awaited.
+/// Timeout of each condition that a trial waits for.
 const LIMIT: Duration = Duration::from_secs(60);
 
 /// Arguments of `takeover`.
 #[derive(Debug, Args)]
 pub struct TakeoverArgs {
-    /// Deaths to measure, each on a site of its own.
+    /// Number of trials; each kills one owner on its own site.
     #[arg(long, default_value_t = 10)]
     trials: usize,
-    /// Workers.
+    /// Number of workers.
     #[arg(long, default_value_t = 65)]
     workers: usize,
-    /// Jobs accepted before the death.
+    /// Number of jobs accepted before the owner is killed.
     #[arg(long, default_value_t = 200)]
     jobs: usize,
-    /// Settings besides the addresses: a TOML file; the defaults when absent.
+    /// TOML file with further daemon settings, without the addresses; defaults if absent.
     #[arg(long)]
     settings: Option<PathBuf>,
-    /// Where to write the times as JSON, in milliseconds.
+    /// File to write the times to, as JSON, in milliseconds.
     #[arg(long)]
     json: Option<PathBuf>,
 }
 
-/// Runs the trials and prints half, greatest and each.
+/// Runs the trials and prints each time, and the least, median and greatest.
 pub async fn run(args: TakeoverArgs) -> Result<()> {
     let mut times = Vec::new();
     for _ in 0..args.trials {
@@ -84,7 +85,7 @@
         client.submit_job("render").await?;
     }
     let dead = site.owner().await;
-    // Anywhere within a renewal's interval.
+    // Kills the owner at a random point within the interval of its lease renewals.
     tokio::time::sleep(Duration::from_millis(rand::random_range(0..1_000))).await;
     site.daemons[dead].process.kill();
     let died = Instant::now();
--- a/examples/quickstart.rs
+++ b/examples/quickstart.rs
@@ -1,8 +1,8 @@
-//! The whole path on one machine, with stand-ins embedded and nothing to set up.
+//! Runs the scheduler end to end in one process, with embedded stand-ins and no setup.
 //!
-//! A platform, two workers and two daemons run in this process. An operator adds three entries
-//! through one daemon; a caller's request goes through the other; a batch job runs to its end; a
-//! long-running task starts in one place and keeps running. At the end stands the time line.
+//! The process contains a platform, two workers and two daemons. An operator adds three entries
+//! through one daemon, a caller sends a request through the other, a batch job runs to its end, and a
+//! long-running task keeps running on one worker. The timeline is printed at the end.
 
 use actix_rt::net::TcpListener;
 use eyre::{Context as _, Result, bail, ensure};
@@ -33,7 +33,7 @@
 
 async fn quickstart() -> Result<()> {
     let (stop, stopped) = watch::channel(false);
-    // Outlives the daemons, which give their shards up through it.
+    // The platform outlives the daemons, which release their shards through it.
     let (_platform_stop, platform_stopped) = watch::channel(false);
     let platform = start_platform(&platform_stopped).await?;
     let daemons = [
@@ -158,7 +158,8 @@
     Ok(file)
 }
 
-/// Asks until the entry is in force at the daemon and it has floors, then returns the answer.
+/// Sends the request until the daemon has the entry in force and holds floors (worker capacity) for
+/// it, then returns the answer.
 async fn ask_for_map(address: &str) -> Result<String> {
     let http = awc::Client::builder().timeout(CALL_TIMEOUT).finish();
     let deadline = tokio::time::Instant::now() + STEP_TIMEOUT;
--- a/examples/standins.rs
+++ b/examples/standins.rs
@@ -1,4 +1,4 @@
-//! Runs a stand-in as a process of its own, for the process tests and for trying things out.
+//! Runs a stand-in as a separate process, for the process tests and for manual use.
 
 use clap::Parser;
 use lapisdrum_standins::process::{Args, run};
