--- a/crates/lapisdrum-load/src/capacity.rs
+++ b/crates/lapisdrum-load/src/capacity.rs
@@ -7,7 +7,7 @@
 
 use crate::{
     entries,
-    measure::process_use,
+    measure::process_usage,
     site::{Site, until},
     table,
 };
@@ -19,15 +19,15 @@
 use std::{path::PathBuf, time::Duration};
 
 /// Entry of the tasks that run throughout the window.
-const STREAM: &str = "stream";
+const LONG_RUNNING_ENTRY: &str = "stream";
 /// Entry that is changed at `changes_per_s`.
-const CHANGED: &str = "changed";
+const CHANGED_ENTRY: &str = "changed";
 /// Entry of the short jobs submitted at `starts_per_s`.
-const RENDER: &str = "render";
+const SHORT_JOB_ENTRY: &str = "render";
 /// Timeout for all tasks of a run to be started.
-const SETTLE_LIMIT: Duration = Duration::from_secs(300);
+const TASKS_STARTED_TIMEOUT: Duration = Duration::from_secs(300);
 /// Pause before the window, so that it does not include the cost of starting.
-const SETTLE: Duration = Duration::from_secs(5);
+const STEADY_AFTER: Duration = Duration::from_secs(5);
 
 /// Arguments of `capacity`.
 #[derive(Debug, Args)]
@@ -147,7 +147,7 @@
         plan.poll_ms = args.poll_ms;
     })
     .await?;
-    let endless = vec![STREAM.to_owned()];
+    let endless = vec![LONG_RUNNING_ENTRY.to_owned()];
     site.switch_workers(&WorkerSwitches {
         endless,
         ..WorkerSwitches::default()
@@ -155,10 +155,10 @@
     .await?;
     let client = site.daemons[0].client();
     client
-        .put_entry(&entries::small(STREAM, "long-running"), None)
+        .put_entry(&entries::small(LONG_RUNNING_ENTRY, "long-running"), None)
         .await?;
     client
-        .put_entry(&entries::small(RENDER, "batch"), None)
+        .put_entry(&entries::small(SHORT_JOB_ENTRY, "batch"), None)
         .await?;
     for i in 2..case.entries {
         client
@@ -167,10 +167,10 @@
     }
     start_tasks(&site, case.tasks).await?;
     let changer = actix_rt::spawn(change(client.clone(), case.changes_per_s));
-    let feeder = actix_rt::spawn(feed(client, case.starts_per_s));
-    tokio::time::sleep(SETTLE).await;
+    let submitter = actix_rt::spawn(submit_jobs(client, case.starts_per_s));
+    tokio::time::sleep(STEADY_AFTER).await;
     let row = measure_window(args, &site, case).await;
-    feeder.abort();
+    submitter.abort();
     changer.abort();
     row
 }
@@ -181,7 +181,7 @@
         return;
     }
     let mut ticks = tokio::time::interval(Duration::from_secs(1) / per_second);
-    let mut entry = entries::small(CHANGED, "batch");
+    let mut entry = entries::small(CHANGED_ENTRY, "batch");
     let mut seen = None;
     loop {
         ticks.tick().await;
@@ -194,7 +194,7 @@
 }
 
 /// Submits short jobs at a fixed rate, without waiting for the answers.
-async fn feed(client: DaemonClient, per_second: u32) {
+async fn submit_jobs(client: DaemonClient, per_second: u32) {
     if per_second == 0 {
         return;
     }
@@ -204,33 +204,35 @@
         let client = client.clone();
         actix_rt::spawn(async move {
             // A refused job is not repeated; the measured rate of starts shows it.
-            let _ = client.submit_job(RENDER).await;
+            let _ = client.submit_job(SHORT_JOB_ENTRY).await;
         });
     }
 }
 
 /// Submits `tasks` jobs, at most 64 at a time, and waits until that many tasks have started.
 async fn start_tasks(site: &Site, tasks: usize) -> Result<()> {
-    const AT_ONCE: usize = 64;
+    const MAX_CONCURRENT: usize = 64;
     let client = site.daemons[0].client();
-    until("the first job is taken", SETTLE_LIMIT, async || {
-        tasks == 0 || client.submit_job(STREAM).await.is_ok()
-    })
+    until(
+        "the first job is taken",
+        TASKS_STARTED_TIMEOUT,
+        async || tasks == 0 || client.submit_job(LONG_RUNNING_ENTRY).await.is_ok(),
+    )
     .await?;
     let mut left = tasks.saturating_sub(1);
     while left > 0 {
-        let batch = left.min(AT_ONCE);
-        let calls = (0..batch).map(|_| client.submit_job(STREAM));
-        let taken = futures::future::join_all(calls).await;
-        left -= taken.iter().filter(|outcome| outcome.is_ok()).count();
+        let batch = left.min(MAX_CONCURRENT);
+        let calls = (0..batch).map(|_| client.submit_job(LONG_RUNNING_ENTRY));
+        let submitted = futures::future::join_all(calls).await;
+        left -= submitted.iter().filter(|outcome| outcome.is_ok()).count();
     }
-    until("all tasks run", SETTLE_LIMIT, async || {
-        started(site).await >= tasks
+    until("all tasks run", TASKS_STARTED_TIMEOUT, async || {
+        tasks_started(site).await >= tasks
     })
     .await
 }
 
-async fn started(site: &Site) -> usize {
+async fn tasks_started(site: &Site) -> usize {
     let mut sum = 0;
     for daemon in &site.daemons {
         let text = daemon.metrics().await.unwrap_or_default();
@@ -247,12 +249,12 @@
 async fn measure_window(args: &CapacityArgs, site: &Site, case: Case) -> Result<CapacityRow> {
     let owner = owner(site).await;
     let id = site.daemons[owner].process.id();
-    let before = (process_use(id)?, site.platform_counts().await?);
+    let before = (process_usage(id)?, site.platform_counts().await?);
     let worker_bytes = site.worker_bytes().await?;
-    let starts = started(site).await;
+    let starts = tasks_started(site).await;
     tokio::time::sleep(Duration::from_secs(args.window_s)).await;
-    let after = (process_use(id)?, site.platform_counts().await?);
-    let starts = started(site).await - starts;
+    let after = (process_usage(id)?, site.platform_counts().await?);
+    let starts = tasks_started(site).await - starts;
     let worker_bytes = site.worker_bytes().await? - worker_bytes;
     let seconds = args.window_s as f64;
     let rate = |from: u64, to: u64| (to - from) as f64 / seconds;
--- a/crates/lapisdrum-load/src/catalogue.rs
+++ b/crates/lapisdrum-load/src/catalogue.rs
@@ -11,9 +11,9 @@
 use tokio::time::Instant;
 
 /// Interval at which a daemon's revision is polled.
-const LOOK: Duration = Duration::from_millis(5);
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 /// Timeout for a change to be in force; a change that takes longer is recorded with this time.
-const LIMIT: Duration = Duration::from_secs(60);
+const CHANGE_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Arguments of `catalogue`.
 #[derive(Debug, Args)]
@@ -44,7 +44,7 @@
         ..PlatformSwitches::default()
     };
     site.switch_platform(&slow).await?;
-    let (mut all, mut last) = (Histogram::<u64>::new(3)?, Histogram::<u64>::new(3)?);
+    let (mut each_daemon, mut last_daemon) = (Histogram::<u64>::new(3)?, Histogram::<u64>::new(3)?);
     let mut seen = None;
     for i in 0..args.changes {
         let mut entry = entries::small("render", "batch");
@@ -54,12 +54,12 @@
         let sent_at = Instant::now();
         let revision = client.put_entry(&entry, seen).await?.revision;
         seen = Some(revision);
-        let waits = (0..args.daemons).map(|i| in_force(&site, i, revision, sent_at));
+        let waits = (0..args.daemons).map(|i| ms_until_in_force(&site, i, revision, sent_at));
         let times = futures::future::join_all(waits).await;
         for ms in &times {
-            all.saturating_record(*ms);
+            each_daemon.saturating_record(*ms);
         }
-        last.saturating_record(times.into_iter().max().unwrap_or(0));
+        last_daemon.saturating_record(times.into_iter().max().unwrap_or(0));
     }
     let cells = |what: &str, times: &Histogram<u64>| {
         vec![
@@ -71,19 +71,22 @@
     };
     table::print(
         &["in force", "half ms", "99th ms", "greatest ms"],
-        &[cells("at a daemon", &all), cells("at all", &last)],
+        &[
+            cells("at a daemon", &each_daemon),
+            cells("at all", &last_daemon),
+        ],
     );
     Ok(())
 }
 
-/// Milliseconds from `since` until a daemon has a revision in force, or until [`LIMIT`] has passed.
-async fn in_force(site: &Site, daemon: usize, revision: Revision, since: Instant) -> u64 {
+/// Milliseconds from `since` until a daemon has a revision in force, or until [`CHANGE_TIMEOUT`] has passed.
+async fn ms_until_in_force(site: &Site, daemon: usize, revision: Revision, since: Instant) -> u64 {
     let name = "lapisdrum_catalogue_revision";
-    while since.elapsed() < LIMIT {
+    while since.elapsed() < CHANGE_TIMEOUT {
         if site.daemons[daemon].metric(name).await >= revision.0 {
             break;
         }
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
     since.elapsed().as_millis() as u64
 }
--- a/crates/lapisdrum-load/src/entries.rs
+++ b/crates/lapisdrum-load/src/entries.rs
@@ -3,7 +3,7 @@
 use lapisdrum::core::catalogue::RawEntry;
 
 /// Limit on concurrency and queue length that no experiment reaches.
-const PLENTY: u32 = 1_000_000;
+const NO_EFFECTIVE_LIMIT: u32 = 1_000_000;
 
 /// An entry that asks for few resources (10 millicores, 10 MB) and has no effective limits.
 pub fn small(name: &str, class: &str) -> RawEntry {
@@ -14,9 +14,9 @@
         millicores: 10,
         memory_mb: 10,
         accelerators: 0,
-        concurrency: Some(PLENTY),
+        concurrency: Some(NO_EFFECTIVE_LIMIT),
         rate_per_s: None,
-        queue: Some(PLENTY),
+        queue: Some(NO_EFFECTIVE_LIMIT),
         body_bytes: None,
         idempotent: false,
         deadline_ms: None,
--- a/crates/lapisdrum-load/src/ledger.rs
+++ b/crates/lapisdrum-load/src/ledger.rs
@@ -22,11 +22,11 @@
 use tokio::time::{Instant, MissedTickBehavior};
 
 /// Timeout for the first job to be accepted, which needs an owner of the shard.
-const SERVE_LIMIT: Duration = Duration::from_secs(30);
+const FIRST_JOB_TIMEOUT: Duration = Duration::from_secs(30);
 /// Time under load before the window, so that the window shows the steady state.
-const WARM_UP: Duration = Duration::from_secs(4);
+const WARM_UP_TIME: Duration = Duration::from_secs(4);
 /// Interval between bursts of submitted jobs.
-const LOT: Duration = Duration::from_millis(20);
+const SUBMIT_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Arguments of `ledger`.
 #[derive(Debug, Args)]
@@ -109,18 +109,18 @@
     client
         .put_entry(&entries::small("render", "batch"), None)
         .await?;
-    until("the first job is taken", SERVE_LIMIT, async || {
+    until("the first job is taken", FIRST_JOB_TIMEOUT, async || {
         client.submit_job("render").await.is_ok()
     })
     .await?;
-    let load = Load::start(&site, args.rate);
-    tokio::time::sleep(WARM_UP).await;
+    let load = JobLoad::start(&site, args.rate);
+    tokio::time::sleep(WARM_UP_TIME).await;
     load.reset();
     let (counts, starts) = (site.platform_counts().await?, site.starts().await);
-    let begun = Instant::now();
+    let started_at = Instant::now();
     tokio::time::sleep(Duration::from_secs(args.window_s)).await;
     let (counts_after, starts_after) = (site.platform_counts().await?, site.starts().await);
-    let seconds = begun.elapsed().as_secs_f64();
+    let seconds = started_at.elapsed().as_secs_f64();
     let per_s = |from: u64, to: u64| (to - from) as f64 / seconds;
     let latencies = load.stop();
     Ok(LedgerRow {
@@ -130,32 +130,35 @@
         not_accepted: latencies.failed,
         table_writes_per_s: per_s(counts.writes, counts_after.writes),
         table_reads_per_s: per_s(counts.reads, counts_after.reads),
-        accepted_ms_p50: latencies.taken.value_at_quantile(0.5),
-        accepted_ms_p99: latencies.taken.value_at_quantile(0.99),
+        accepted_ms_p50: latencies.accepted_ms.value_at_quantile(0.5),
+        accepted_ms_p99: latencies.accepted_ms.value_at_quantile(0.99),
     })
 }
 
 /// Times of accepted submissions in milliseconds, and the number of the others.
 struct Latencies {
-    taken: Histogram<u64>,
+    accepted_ms: Histogram<u64>,
     failed: u64,
 }
 
 impl Latencies {
     fn new() -> Self {
         // The library allows 0 to 5 significant digits.
-        let taken = Histogram::new(3).unwrap_or_else(|e| panic!("a histogram: {e}"));
-        Self { taken, failed: 0 }
+        let accepted_ms = Histogram::new(3).unwrap_or_else(|e| panic!("a histogram: {e}"));
+        Self {
+            accepted_ms,
+            failed: 0,
+        }
     }
 }
 
 /// Submits jobs at a fixed rate until it is stopped.
-struct Load {
+struct JobLoad {
     latencies: Rc<RefCell<Latencies>>,
     stopped: Rc<Cell<bool>>,
 }
 
-impl Load {
+impl JobLoad {
     fn start(site: &Site, rate: u64) -> Self {
         let load = Self {
             latencies: Rc::new(RefCell::new(Latencies::new())),
@@ -164,13 +167,13 @@
         let client = site.daemons[0].client();
         let (latencies, stopped) = (Rc::clone(&load.latencies), Rc::clone(&load.stopped));
         actix_rt::spawn(async move {
-            let begun = Instant::now();
-            let mut ticks = tokio::time::interval(LOT);
+            let started_at = Instant::now();
+            let mut ticks = tokio::time::interval(SUBMIT_INTERVAL);
             ticks.set_missed_tick_behavior(MissedTickBehavior::Burst);
             let mut sent = 0;
             while !stopped.get() {
                 ticks.tick().await;
-                let due = (begun.elapsed().as_secs_f64() * rate as f64) as u64;
+                let due = (started_at.elapsed().as_secs_f64() * rate as f64) as u64;
                 for _ in sent..due {
                     let (client, latencies) = (client.clone(), Rc::clone(&latencies));
                     actix_rt::spawn(async move {
@@ -179,7 +182,7 @@
                         let mut latencies = latencies.borrow_mut();
                         let ms = sent_at.elapsed().as_millis() as u64;
                         match accepted {
-                            true => latencies.taken.saturating_record(ms),
+                            true => latencies.accepted_ms.saturating_record(ms),
                             false => latencies.failed += 1,
                         }
                     });
--- a/crates/lapisdrum-load/src/measure.rs
+++ b/crates/lapisdrum-load/src/measure.rs
@@ -10,7 +10,7 @@
 
 /// Resources that a process has used since its start.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ProcessUse {
+pub struct ProcessUsage {
     /// Processor time, user and system.
     pub cpu: Duration,
     /// Resident memory in kilobytes.
@@ -21,7 +21,7 @@
 
 /// Reads the resources used by the process with this id. A field of `/proc` that is missing or not a
 /// number counts as zero.
-pub fn process_use(id: u32) -> Result<ProcessUse> {
+pub fn process_usage(id: u32) -> Result<ProcessUsage> {
     let stat = fs::read_to_string(format!("/proc/{id}/stat"))?;
     let fields = stat
         .rsplit_once(')')
@@ -36,7 +36,7 @@
     };
     let cpu = Duration::from_secs_f64((ticks() + ticks()) / TICKS_PER_SECOND);
     let status = fs::read_to_string(format!("/proc/{id}/status"))?;
-    Ok(ProcessUse {
+    Ok(ProcessUsage {
         cpu,
         resident_kb: field(&status, "VmRSS:"),
         peak_kb: field(&status, "VmHWM:"),
--- a/crates/lapisdrum-load/src/policy/rows.rs
+++ b/crates/lapisdrum-load/src/policy/rows.rs
@@ -127,7 +127,7 @@
     let trial = TaskTrial {
         hosts: profile.all_workers,
         per_rack: profile.per_rack,
-        room: Size {
+        task_capacity: Size {
             millicores: profile.cores * 500,
             memory_mb: profile.memory_mb / 2,
             accelerators: 0,
--- a/crates/lapisdrum-load/src/policy/tasks.rs
+++ b/crates/lapisdrum-load/src/policy/tasks.rs
@@ -85,7 +85,7 @@
     pub per_rack: usize,
     /// Capacity for tasks per host. [`super::rows::tasks`] gives half of the host and keeps the rest for
     /// requests.
-    pub room: Size,
+    pub task_capacity: Size,
     /// Average number of batch tasks that arrive per second.
     pub starts_per_s: f64,
     /// Length of the trial in seconds.
@@ -270,7 +270,7 @@
             let open = !host.distress.is_on() || !self.decisions.mitigates;
             if open && self.memory.may_place(&task.id, &host.worker, now) {
                 indexes.push(index);
-                candidates.push(host.candidate(self.inputs.room));
+                candidates.push(host.candidate(self.inputs.task_capacity));
             }
         }
         let to_place = TaskToPlace {
--- a/crates/lapisdrum-load/src/recovery.rs
+++ b/crates/lapisdrum-load/src/recovery.rs
@@ -66,17 +66,17 @@
     let cx = Daemon::new(cfg);
     let shard = ShardId::new(&DataCentre::try_from("westlands")?, 0);
     let version = put(&cx, epoch_key(&shard), &EpochRow { epoch: Epoch(1) }).await?;
-    let (state, batches) = history(&shard, jobs)?;
+    let (state, batches) = ledger_with_jobs(&shard, jobs)?;
     for batch in &batches {
         put(&cx, row_key(&shard, batch.sequence), batch).await?;
     }
     let by_rows = recover(&cx, &shard, version, jobs).await?;
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let copy = state.clone();
-    let copied = begun.elapsed();
-    let begun = Instant::now();
+    let copied = started_at.elapsed();
+    let started_at = Instant::now();
     let object = serde_json::to_vec(&copy)?;
-    let serialised = begun.elapsed();
+    let serialised = started_at.elapsed();
     let size = object.len();
     cx.platform
         .put_object("snapshot/measured", object.into())
@@ -114,18 +114,18 @@
 
 async fn recover(cx: &Cx, shard: &ShardId, version: u64, jobs: usize) -> Result<Duration> {
     let journal = Journal::new(shard.clone(), Epoch(1), version);
-    let begun = Instant::now();
+    let started_at = Instant::now();
     journal.recover(cx).await?;
-    let took = begun.elapsed();
+    let took = started_at.elapsed();
     ensure!(journal.state().jobs.len() == jobs, "every job is recovered");
     Ok(took)
 }
 
 /// The state with `jobs` running jobs, and the rows that lead to it.
-fn history(shard: &ShardId, jobs: usize) -> Result<(State, Vec<Batch>)> {
+fn ledger_with_jobs(shard: &ShardId, jobs: usize) -> Result<(State, Vec<Batch>)> {
     let mut events = Vec::with_capacity(jobs * EVENTS_PER_JOB);
     for i in 0..jobs {
-        events.extend(life(shard, i)?);
+        events.extend(job_events(shard, i)?);
     }
     let (mut state, mut batches) = (State::default(), Vec::new());
     for (i, chunk) in events.chunks(EVENTS_PER_ROW).enumerate() {
@@ -141,7 +141,7 @@
     Ok((state, batches))
 }
 
-fn life(shard: &ShardId, i: usize) -> Result<[Event; EVENTS_PER_JOB]> {
+fn job_events(shard: &ShardId, i: usize) -> Result<[Event; EVENTS_PER_JOB]> {
     let job = JobId::new(shard, i as u64);
     let placement = Placement {
         worker: WorkerId::try_from(format!("worker-{}", i % WORKERS))?,
--- a/crates/lapisdrum-load/src/requests.rs
+++ b/crates/lapisdrum-load/src/requests.rs
@@ -19,13 +19,13 @@
 use tokio::time::Instant;
 
 /// Timeout for the daemon to receive its floors (worker capacity for requests) and answer a request.
-const SETTLE_LIMIT: Duration = Duration::from_secs(30);
+const READY_TIMEOUT: Duration = Duration::from_secs(30);
 /// Timeout of one call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(10);
 /// Largest latency that the histogram records, in microseconds: one minute.
-const MOST_MICROS: u64 = 60_000_000;
+const MAX_LATENCY_MICROS: u64 = 60_000_000;
 /// Significant digits of a recorded latency.
-const DIGITS: u8 = 3;
+const SIGNIFICANT_DIGITS: u8 = 3;
 
 /// Arguments of `requests`.
 #[derive(Debug, Args)]
@@ -84,16 +84,16 @@
     };
     site.daemons[0].client().put_entry(&map_entry, None).await?;
     let daemon = site.daemons[0].plan.callers;
-    until("a map is answered", SETTLE_LIMIT, async || {
-        ask(daemon, "/v1/run/map").await.is_ok()
+    until("a map is answered", READY_TIMEOUT, async || {
+        send_request(daemon, "/v1/run/map").await.is_ok()
     })
     .await?;
     // The daemon receives floors, shares and estimated run times over several polls.
     tokio::time::sleep(Duration::from_secs(5)).await;
     let mut rows = Vec::new();
     for &callers in &args.callers {
-        rows.push(one_run(&args, "daemon", &[daemon], "/v1/run/map", callers).await?);
-        rows.push(one_run(&args, "worker", &site.workers, "/v1/requests", callers).await?);
+        rows.push(run_one(&args, "daemon", &[daemon], "/v1/run/map", callers).await?);
+        rows.push(run_one(&args, "worker", &site.workers, "/v1/requests", callers).await?);
     }
     print(&rows);
     if let Some(path) = &args.json {
@@ -102,8 +102,8 @@
     Ok(())
 }
 
-async fn ask(address: SocketAddr, path: &str) -> Result<()> {
-    ask_by(
+async fn send_request(address: SocketAddr, path: &str) -> Result<()> {
+    send_request_with(
         &awc::Client::builder().timeout(CALL_TIMEOUT).finish(),
         address,
         path,
@@ -111,7 +111,7 @@
     .await
 }
 
-async fn ask_by(http: &awc::Client, address: SocketAddr, path: &str) -> Result<()> {
+async fn send_request_with(http: &awc::Client, address: SocketAddr, path: &str) -> Result<()> {
     let req = http.post(format!("http://{address}{path}"));
     let req = req.insert_header(("lapisdrum-request", "load"));
     let mut answer = req.send_body("studio 14").await.map_err(|e| eyre!("{e}"))?;
@@ -122,7 +122,7 @@
     }
 }
 
-async fn one_run(
+async fn run_one(
     args: &RequestsArgs,
     through: &'static str,
     addresses: &[SocketAddr],
@@ -130,8 +130,8 @@
     callers: usize,
 ) -> Result<RequestsRow> {
     let latencies = Rc::new(RefCell::new(Histogram::<u64>::new_with_max(
-        MOST_MICROS,
-        DIGITS,
+        MAX_LATENCY_MICROS,
+        SIGNIFICANT_DIGITS,
     )?));
     let others = Rc::new(RefCell::new(0_u64));
     let end = Instant::now() + Duration::from_secs(args.window_s);
@@ -141,10 +141,10 @@
         async move {
             let http = awc::Client::builder().timeout(CALL_TIMEOUT).finish();
             while Instant::now() < end {
-                let began = Instant::now();
-                match ask_by(&http, address, path).await {
+                let sent_at = Instant::now();
+                match send_request_with(&http, address, path).await {
                     Ok(()) => {
-                        let micros = began.elapsed().as_micros() as u64;
+                        let micros = sent_at.elapsed().as_micros() as u64;
                         latencies.borrow_mut().saturating_record(micros);
                     }
                     Err(_) => *others.borrow_mut() += 1,
--- a/crates/lapisdrum-load/src/site.rs
+++ b/crates/lapisdrum-load/src/site.rs
@@ -19,13 +19,13 @@
 use tokio::time::Instant;
 
 /// Timeout for a daemon to be ready.
-const START_LIMIT: Duration = Duration::from_secs(30);
+const READY_TIMEOUT: Duration = Duration::from_secs(30);
 /// Timeout of one call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(30);
 /// Interval at which [`until`] checks its condition.
-const POLL: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// Number of workers per rack in the membership list.
-const RACK_SIZE: usize = 8;
+const WORKERS_PER_RACK: usize = 8;
 
 /// A child process that is killed when the handle is dropped.
 pub struct Process {
@@ -142,17 +142,17 @@
         workers: usize,
         adjust: impl Fn(&mut DaemonPlan),
     ) -> Result<Self> {
-        let (platform_process, platform) = standin(&["platform"], 1)?;
+        let (platform_process, platform) = start_standins(&["platform"], 1)?;
         let count = workers.to_string();
-        let (fleet, workers) = standin(&["workers", "--count", &count], workers)?;
+        let (worker_process, workers) = start_standins(&["workers", "--count", &count], workers)?;
         let host = |(i, address): (usize, &SocketAddr)| {
-            let rack = format!("rack-{}", i / RACK_SIZE);
+            let rack = format!("rack-{}", i / WORKERS_PER_RACK);
             site::host(&format!("worker-{i}"), *address, "westlands", &rack)
         };
         let hosts: Vec<HostWire> = workers.iter().enumerate().map(host).collect();
         let platform = platform[0];
         put(platform, "/control/hosts", &hosts).await?;
-        let _processes = vec![platform_process, fleet];
+        let _processes = vec![platform_process, worker_process];
         let mut site = Self {
             daemons: Vec::new(),
             hosts,
@@ -167,7 +167,7 @@
         }
         for daemon in &site.daemons {
             let client = daemon.client();
-            until("a daemon is ready", START_LIMIT, async || {
+            until("a daemon is ready", READY_TIMEOUT, async || {
                 client.is_ready().await
             })
             .await?;
@@ -223,7 +223,7 @@
     }
 }
 
-fn standin(args: &[&str], addresses: usize) -> Result<(Process, Vec<SocketAddr>)> {
+fn start_standins(args: &[&str], addresses: usize) -> Result<(Process, Vec<SocketAddr>)> {
     let listen = SocketAddr::from((site::free_address().ip(), 0)).to_string();
     let all = [&["standins"], args, &["--listen", &listen]].concat();
     let mut process = Process::start(&all, Stdio::piped())?;
@@ -250,18 +250,18 @@
     Ok((process, found))
 }
 
-/// Polls `holds` until it returns true; fails after `limit` and names `what` in the error.
+/// Polls `condition` until it returns true; fails after `limit` and names `what` in the error.
 pub async fn until(
     what: &str,
     limit: Duration,
-    mut holds: impl AsyncFnMut() -> bool,
+    mut condition: impl AsyncFnMut() -> bool,
 ) -> Result<()> {
     let end = Instant::now() + limit;
     while Instant::now() < end {
-        if holds().await {
+        if condition().await {
             return Ok(());
         }
-        tokio::time::sleep(POLL).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
     bail!("not within {limit:?}: {what}")
 }
--- a/crates/lapisdrum-load/src/takeover.rs
+++ b/crates/lapisdrum-load/src/takeover.rs
@@ -13,7 +13,7 @@
 use tokio::time::Instant;
 
 /// Timeout of each condition that a trial waits for.
-const LIMIT: Duration = Duration::from_secs(60);
+const CONDITION_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Arguments of `takeover`.
 #[derive(Debug, Args)]
@@ -44,15 +44,15 @@
         times.push(took.as_millis() as u64);
     }
     times.sort_unstable();
-    let half = times[times.len() / 2];
-    let most = times[times.len() - 1];
+    let median = times[times.len() / 2];
+    let greatest = times[times.len() - 1];
     table::print(
         &["trials", "least ms", "half ms", "greatest ms"],
         &[vec![
             times.len().to_string(),
             times[0].to_string(),
-            half.to_string(),
-            most.to_string(),
+            median.to_string(),
+            greatest.to_string(),
         ]],
     );
     if let Some(path) = &args.json {
@@ -77,24 +77,28 @@
         .put_entry(&entries::small("render", "batch"), None)
         .await?;
     let other = site.daemons[1].client();
-    until("jobs are taken at both", LIMIT, async || {
+    until("jobs are taken at both", CONDITION_TIMEOUT, async || {
         client.submit_job("render").await.is_ok() && other.submit_job("render").await.is_ok()
     })
     .await?;
     for _ in 0..args.jobs {
         client.submit_job("render").await?;
     }
-    let dead = site.owner().await;
+    let killed = site.owner().await;
     // Kills the owner at a random point within the interval of its lease renewals.
     tokio::time::sleep(Duration::from_millis(rand::random_range(0..1_000))).await;
-    site.daemons[dead].process.kill();
-    let died = Instant::now();
-    let survivor = &site.daemons[1 - dead];
+    site.daemons[killed].process.kill();
+    let killed_at = Instant::now();
+    let survivor = &site.daemons[1 - killed];
     let client = survivor.client();
-    until("the survivor starts a task", LIMIT, async || {
-        let _ = client.submit_job("render").await;
-        survivor.metric("lapisdrum_task_starts_total").await > 0
-    })
+    until(
+        "the survivor starts a task",
+        CONDITION_TIMEOUT,
+        async || {
+            let _ = client.submit_job("render").await;
+            survivor.metric("lapisdrum_task_starts_total").await > 0
+        },
+    )
     .await?;
-    Ok(died.elapsed())
+    Ok(killed_at.elapsed())
 }
--- a/examples/quickstart.rs
+++ b/examples/quickstart.rs
@@ -25,7 +25,7 @@
 const CATALOGUE: &str = include_str!("catalogue.toml");
 const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 const STEP_TIMEOUT: Duration = Duration::from_secs(20);
-const POLL: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 fn main() -> Result<()> {
     actix_rt::System::new().block_on(quickstart())
@@ -173,7 +173,7 @@
             let body = answer.body().await?;
             return Ok(String::from_utf8_lossy(&body).into_owned());
         }
-        tokio::time::sleep(POLL).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
     bail!("no answer to the route map within {STEP_TIMEOUT:?}")
 }
@@ -184,18 +184,18 @@
         match client.submit_job(entry).await {
             Ok(job) => return Ok(job.job.to_string()),
             Err(e) if tokio::time::Instant::now() > deadline => return Err(e.into()),
-            Err(_) => tokio::time::sleep(POLL).await,
+            Err(_) => tokio::time::sleep(POLL_INTERVAL).await,
         }
     }
 }
 
-async fn until(what: &str, mut holds: impl AsyncFnMut() -> bool) -> Result<()> {
+async fn until(what: &str, mut condition: impl AsyncFnMut() -> bool) -> Result<()> {
     let deadline = tokio::time::Instant::now() + STEP_TIMEOUT;
     while tokio::time::Instant::now() < deadline {
-        if holds().await {
+        if condition().await {
             return Ok(());
         }
-        tokio::time::sleep(POLL).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
     bail!("not within {STEP_TIMEOUT:?}: {what}")
 }
--- a/tests/testsuite/policy/stories.rs
+++ b/tests/testsuite/policy/stories.rs
@@ -223,7 +223,7 @@
 /// hundreds of tasks to and fro. With what was learned, tasks are kept apart and few are moved.
 #[test]
 fn batch_waves_leave_services_alone() {
-    let room = Size {
+    let task_capacity = Size {
         millicores: 16_000,
         memory_mb: 62_000,
         accelerators: 0,
@@ -231,7 +231,7 @@
     let trial = TaskTrial {
         hosts: 20,
         per_rack: 8,
-        room,
+        task_capacity,
         starts_per_s: 0.4,
         seconds: 2_400,
         seed: SEED,
