--- a/crates/lapisdrum-load/src/capacity.rs
+++ b/crates/lapisdrum-load/src/capacity.rs
@@ -214,7 +214,7 @@
     const MAX_CONCURRENT: usize = 64;
     let client = site.daemons[0].client();
     until(
-        "the first job is taken",
+        "the first job is accepted",
         TASKS_STARTED_TIMEOUT,
         async || tasks == 0 || client.submit_job(LONG_RUNNING_ENTRY).await.is_ok(),
     )
@@ -226,9 +226,11 @@
         let submitted = futures::future::join_all(calls).await;
         left -= submitted.iter().filter(|outcome| outcome.is_ok()).count();
     }
-    until("all tasks run", TASKS_STARTED_TIMEOUT, async || {
-        tasks_started(site).await >= tasks
-    })
+    until(
+        "all tasks have started",
+        TASKS_STARTED_TIMEOUT,
+        async || tasks_started(site).await >= tasks,
+    )
     .await
 }
 
--- a/crates/lapisdrum-load/src/ledger.rs
+++ b/crates/lapisdrum-load/src/ledger.rs
@@ -109,7 +109,7 @@
     client
         .put_entry(&entries::small("render", "batch"), None)
         .await?;
-    until("the first job is taken", FIRST_JOB_TIMEOUT, async || {
+    until("the first job is accepted", FIRST_JOB_TIMEOUT, async || {
         client.submit_job("render").await.is_ok()
     })
     .await?;
@@ -144,7 +144,8 @@
 impl Latencies {
     fn new() -> Self {
         // The library allows 0 to 5 significant digits.
-        let accepted_ms = Histogram::new(3).unwrap_or_else(|e| panic!("a histogram: {e}"));
+        let accepted_ms =
+            Histogram::new(3).unwrap_or_else(|e| panic!("cannot create histogram: {e}"));
         Self {
             accepted_ms,
             failed: 0,
--- a/crates/lapisdrum-load/src/recovery.rs
+++ b/crates/lapisdrum-load/src/recovery.rs
@@ -91,7 +91,10 @@
         delete = delete.delete(row_key(&shard, batch.sequence));
     }
     let deleted = cx.platform.txn(&delete).await;
-    ensure!(matches!(deleted, TxnOutcome::Committed(_)), "rows deleted");
+    ensure!(
+        matches!(deleted, TxnOutcome::Committed(_)),
+        "the platform did not delete the rows"
+    );
     let from_snapshot = recover(&cx, &shard, version, jobs).await?;
     let ms = |span: Duration| format!("{:.1}", span.as_secs_f64() * 1_000.0);
     Ok(vec![
@@ -108,7 +111,7 @@
 async fn put(cx: &Cx, key: String, value: &impl serde::Serialize) -> Result<u64> {
     match cx.platform.txn(&Txn::default().put(key, value)).await {
         TxnOutcome::Committed(versions) => Ok(versions[0]),
-        other => eyre::bail!("the table did not take a row: {other:?}"),
+        other => eyre::bail!("the platform did not commit a row: {other:?}"),
     }
 }
 
@@ -117,7 +120,10 @@
     let started_at = Instant::now();
     journal.recover(cx).await?;
     let took = started_at.elapsed();
-    ensure!(journal.state().jobs.len() == jobs, "every job is recovered");
+    ensure!(
+        journal.state().jobs.len() == jobs,
+        "the recovered ledger does not have all jobs"
+    );
     Ok(took)
 }
 
--- a/crates/lapisdrum-load/src/requests.rs
+++ b/crates/lapisdrum-load/src/requests.rs
@@ -84,7 +84,7 @@
     };
     site.daemons[0].client().put_entry(&map_entry, None).await?;
     let daemon = site.daemons[0].plan.callers;
-    until("a map is answered", READY_TIMEOUT, async || {
+    until("the daemon answers a request", READY_TIMEOUT, async || {
         send_request(daemon, "/v1/run/map").await.is_ok()
     })
     .await?;
--- a/crates/lapisdrum-load/src/site.rs
+++ b/crates/lapisdrum-load/src/site.rs
@@ -231,15 +231,15 @@
         .child
         .stdout
         .take()
-        .ok_or_else(|| eyre!("stdout is piped"))?;
+        .ok_or_else(|| eyre!("stdout of the stand-in is not piped"))?;
     let lines = BufReader::new(stdout).lines().take(addresses);
     let parse = |line: std::io::Result<String>| -> Result<SocketAddr> {
         let line = line?;
         let address = line.strip_prefix("listening on ");
         address
-            .ok_or_else(|| eyre!("stand-in said `{line}`"))?
+            .ok_or_else(|| eyre!("unexpected output of stand-in: `{line}`"))?
             .parse()
-            .wrap_err("an address")
+            .wrap_err("invalid address in the output of a stand-in")
     };
     let found = lines.map(parse).collect::<Result<Vec<_>>>()?;
     ensure!(
@@ -263,7 +263,7 @@
         }
         tokio::time::sleep(POLL_INTERVAL).await;
     }
-    bail!("not within {limit:?}: {what}")
+    bail!("timed out after {limit:?} waiting until {what}")
 }
 
 fn client() -> awc::Client {
--- a/crates/lapisdrum-load/src/takeover.rs
+++ b/crates/lapisdrum-load/src/takeover.rs
@@ -77,7 +77,7 @@
         .put_entry(&entries::small("render", "batch"), None)
         .await?;
     let other = site.daemons[1].client();
-    until("jobs are taken at both", CONDITION_TIMEOUT, async || {
+    until("both daemons accept jobs", CONDITION_TIMEOUT, async || {
         client.submit_job("render").await.is_ok() && other.submit_job("render").await.is_ok()
     })
     .await?;
@@ -92,7 +92,7 @@
     let survivor = &site.daemons[1 - killed];
     let client = survivor.client();
     until(
-        "the survivor starts a task",
+        "the remaining daemon starts a task",
         CONDITION_TIMEOUT,
         async || {
             let _ = client.submit_job("render").await;
--- a/examples/quickstart.rs
+++ b/examples/quickstart.rs
@@ -153,7 +153,7 @@
     let names = file.entry.iter().map(|raw: &RawEntry| raw.name.as_str());
     ensure!(
         names.count() == 3,
-        "the example catalogue has three entries"
+        "the example catalogue must have three entries"
     );
     Ok(file)
 }
@@ -197,5 +197,5 @@
         }
         tokio::time::sleep(POLL_INTERVAL).await;
     }
-    bail!("not within {STEP_TIMEOUT:?}: {what}")
+    bail!("timed out after {STEP_TIMEOUT:?} waiting until {what}")
 }
