--- a/crates/lapisdrum-load/src/capacity.rs
+++ b/crates/lapisdrum-load/src/capacity.rs
@@ -138,12 +138,12 @@
 }
 
 async fn run_one(args: &CapacityArgs, case: Case) -> Result<CapacityRow> {
-    let more = match &args.settings {
+    let extra_settings = match &args.settings {
         Some(path) => std::fs::read_to_string(path)?,
         None => "[log]\nlevel = \"warn\"\n".to_owned(),
     };
     let site = Site::start(args.daemons, case.workers, |plan| {
-        plan.more = more.clone();
+        plan.extra_settings = extra_settings.clone();
         plan.poll_ms = args.poll_ms;
     })
     .await?;
--- a/crates/lapisdrum-load/src/catalogue.rs
+++ b/crates/lapisdrum-load/src/catalogue.rs
@@ -34,11 +34,14 @@
 
 /// Makes the changes one after another, at each daemon in turn, and prints the times.
 pub async fn run(args: CatalogueArgs) -> Result<()> {
-    let more = match &args.settings {
+    let extra_settings = match &args.settings {
         Some(path) => std::fs::read_to_string(path)?,
         None => "[log]\nlevel = \"warn\"\n".to_owned(),
     };
-    let site = Site::start(args.daemons, 1, |plan| plan.more = more.clone()).await?;
+    let site = Site::start(args.daemons, 1, |plan| {
+        plan.extra_settings = extra_settings.clone()
+    })
+    .await?;
     let slow = PlatformSwitches {
         slow_ms: args.slow_ms,
         ..PlatformSwitches::default()
--- a/crates/lapisdrum-load/src/ledger.rs
+++ b/crates/lapisdrum-load/src/ledger.rs
@@ -98,8 +98,11 @@
 }
 
 async fn run_one(args: &LedgerArgs, writing: String, settings: &str) -> Result<LedgerRow> {
-    let more = format!("[log]\nlevel = \"warn\"\n\n[shards]\n{settings}");
-    let site = Site::start(1, args.workers, |plan| plan.more = more.clone()).await?;
+    let extra_settings = format!("[log]\nlevel = \"warn\"\n\n[shards]\n{settings}");
+    let site = Site::start(1, args.workers, |plan| {
+        plan.extra_settings = extra_settings.clone()
+    })
+    .await?;
     let switches = WorkerSwitches {
         task_ms: args.task_ms,
         ..WorkerSwitches::default()
--- a/crates/lapisdrum-load/src/recovery.rs
+++ b/crates/lapisdrum-load/src/recovery.rs
@@ -61,7 +61,7 @@
 async fn run_one(jobs: usize) -> Result<Vec<String>> {
     let site = Site::start(0, 1, |_| {}).await?;
     let mut plan = DaemonPlan::new("measured", "westlands", site.platform);
-    plan.more = "[log]\nlevel = \"warn\"\n".to_owned();
+    plan.extra_settings = "[log]\nlevel = \"warn\"\n".to_owned();
     let cfg = Settings::parse("measured.toml", &plan.settings())?;
     let cx = Daemon::new(cfg);
     let shard = ShardId::new(&DataCentre::try_from("westlands")?, 0);
--- a/crates/lapisdrum-load/src/requests.rs
+++ b/crates/lapisdrum-load/src/requests.rs
@@ -69,7 +69,7 @@
 /// Measures each number of callers through the daemon and directly to the workers.
 pub async fn run(args: RequestsArgs) -> Result<()> {
     let site = Site::start(1, args.workers, |plan| {
-        plan.more = "[log]\nlevel = \"warn\"\n".to_owned();
+        plan.extra_settings = "[log]\nlevel = \"warn\"\n".to_owned();
     })
     .await?;
     let switches = WorkerSwitches {
--- a/crates/lapisdrum-load/src/takeover.rs
+++ b/crates/lapisdrum-load/src/takeover.rs
@@ -62,11 +62,14 @@
 }
 
 async fn run_one(args: &TakeoverArgs) -> Result<Duration> {
-    let more = match &args.settings {
+    let extra_settings = match &args.settings {
         Some(path) => std::fs::read_to_string(path)?,
         None => "[log]\nlevel = \"warn\"\n".to_owned(),
     };
-    let mut site = Site::start(2, args.workers, |plan| plan.more = more.clone()).await?;
+    let mut site = Site::start(2, args.workers, |plan| {
+        plan.extra_settings = extra_settings.clone()
+    })
+    .await?;
     let switches = WorkerSwitches {
         task_ms: 60_000,
         ..WorkerSwitches::default()
--- a/crates/lapisdrum-standins/src/site.rs
+++ b/crates/lapisdrum-standins/src/site.rs
@@ -47,11 +47,11 @@
     /// Interval between reads of the membership list, in milliseconds.
     pub poll_ms: u64,
     /// Further settings as TOML tables, such as `[shards]`.
-    pub more: String,
+    pub extra_settings: String,
 }
 
 impl DaemonPlan {
-    /// A daemon on free addresses with the settings in [`QUICK`].
+    /// A daemon on free addresses with the settings in [`FAST_SETTINGS`].
     pub fn new(name: &str, data_centre: &str, platform: SocketAddr) -> Self {
         Self {
             name: name.to_owned(),
@@ -60,8 +60,8 @@
             peers: free_address(),
             platform,
             ask_first: Vec::new(),
-            poll_ms: QUICK_POLL_MS,
-            more: QUICK.to_owned(),
+            poll_ms: FAST_POLL_MS,
+            extra_settings: FAST_SETTINGS.to_owned(),
         }
     }
 
@@ -83,16 +83,16 @@
             asked.join(", "),
             self.platform,
             self.poll_ms,
-            self.more
+            self.extra_settings
         )
     }
 }
 
 /// Shorter than the default, so that tests see membership changes sooner.
-const QUICK_POLL_MS: u64 = 200;
+const FAST_POLL_MS: u64 = 200;
 
 /// Settings with shorter intervals than the defaults, so that a test takes seconds.
-pub const QUICK: &str = "\
+pub const FAST_SETTINGS: &str = "\
 [log]
 level = \"warn\"
 
--- a/tests/testsuite/cli/logs.rs
+++ b/tests/testsuite/cli/logs.rs
@@ -34,7 +34,9 @@
     let platform = Standin::platform();
     let dir = TempDir::new().expect("a temporary folder");
     let mut plan = DaemonPlan::new("westlands-0", "westlands", platform.address);
-    plan.more = plan.more.replace("level = \"warn\"", "format = \"json\"");
+    plan.extra_settings = plan
+        .extra_settings
+        .replace("level = \"warn\"", "format = \"json\"");
     let (config, log) = (dir.path().join("daemon.toml"), dir.path().join("log"));
     fs::write(&config, plan.settings()).expect("settings");
     let started = Command::new(lapisdrum_binary())
--- a/tests/testsuite/daemon/journal.rs
+++ b/tests/testsuite/daemon/journal.rs
@@ -51,8 +51,8 @@
         let (stop, stopped) = watch::channel(false);
         actix_rt::spawn(Rc::clone(&platform).serve(listener, stopped));
         let mut plan = DaemonPlan::new("karen-0", "karen", address);
-        plan.more = plan
-            .more
+        plan.extra_settings = plan
+            .extra_settings
             .replace("[shards]", "[shards]\nsnapshot_batches = 3");
         let cfg = Settings::parse("daemon.toml", &plan.settings()).expect("settings");
         let shard = ShardId::new(&cfg.daemon.data_centre, 0);
--- a/tests/testsuite/process/ownership.rs
+++ b/tests/testsuite/process/ownership.rs
@@ -105,7 +105,9 @@
 #[actix_rt::test]
 async fn shards_are_balanced_over_the_data_centre_without_a_break() {
     let two = |plan: &mut lapisdrum_standins::site::DaemonPlan| {
-        plan.more = plan.more.replace("[shards]", "[shards]\ncount = 2");
+        plan.extra_settings = plan
+            .extra_settings
+            .replace("[shards]", "[shards]\ncount = 2");
     };
     let mut site = Site::start_with(1, 4, two).await;
     runs::prepare(&site, 500).await;
