--- a/crates/lapisdrum-load/src/capacity.rs
+++ b/crates/lapisdrum-load/src/capacity.rs
@@ -2,8 +2,8 @@
 //! entries.
 //!
 //! Each run starts its own site, waits until the load is steady, then measures the owner's processor
-//! time, resident memory and the platform's traffic over a window. docs/CAPACITY.md fits its lines to
-//! these points.
+//! time, resident memory and the platform's traffic over a window. docs/CAPACITY.md draws its lines
+//! through these points.
 
 use crate::{
     entries,
