--- a/crates/lapisdrum-load/src/capacity.rs
+++ b/crates/lapisdrum-load/src/capacity.rs
@@ -1,12 +1,13 @@
-//! `lapisdrum-load capacity`: what a daemon costs its host against workers, tasks and entries.
+//! `lapisdrum-load capacity`: measures the resources that a daemon uses by number of workers, tasks and
+//! entries.
 //!
-//! Each run starts a site of its own, lets it settle, then measures the owner's processor time,
-//! resident memory and the platform's traffic over a window. docs/CAPACITY.md draws its lines
+//! Each run starts its own site, waits until the load is steady, then measures the owner's processor
+//! time, resident memory and the platform's traffic over a window. docs/CAPACITY.md draws its lines
 //! through these points.
 
 use crate::{
     entries,
-    measure::process_use,
+    measure::process_usage,
     site::{Site, until},
     table,
 };
@@ -17,48 +18,48 @@
 use serde::Serialize;
 use std::{path::PathBuf, time::Duration};
 
-/// The entry of tasks that run all the time.
-const STREAM: &str = "stream";
-/// The entry that is changed.
-const CHANGED: &str = "changed";
-/// The entry of short jobs.
-const RENDER: &str = "render";
-/// Time for a run's tasks to be running.
-const SETTLE_LIMIT: Duration = Duration::from_secs(300);
-/// Pause before the window, so that start-up costs stay out of it.
-const SETTLE: Duration = Duration::from_secs(5);
+/// Entry of the tasks that run throughout the window.
+const LONG_RUNNING_ENTRY: &str = "stream";
+/// Entry that is changed at `changes_per_s`.
+const CHANGED_ENTRY: &str = "changed";
+/// Entry of the short jobs submitted at `starts_per_s`.
+const SHORT_JOB_ENTRY: &str = "render";
+/// Timeout for all tasks of a run to be started.
+const TASKS_STARTED_TIMEOUT: Duration = Duration::from_secs(300);
+/// Pause before the window, so that it does not include the cost of starting.
+const STEADY_AFTER: Duration = Duration::from_secs(5);
 
 /// Arguments of `capacity`.
 #[derive(Debug, Args)]
 pub struct CapacityArgs {
-    /// Workers of each run.
+    /// Number of workers; one run for each combination of values.
     #[arg(long, value_delimiter = ',', default_value = "50")]
     workers: Vec<usize>,
-    /// Running tasks of each run.
+    /// Number of running tasks.
     #[arg(long, value_delimiter = ',', default_value = "0")]
     tasks: Vec<usize>,
-    /// Catalogue entries of each run.
+    /// Number of catalogue entries.
     #[arg(long, value_delimiter = ',', default_value = "3")]
     entries: Vec<usize>,
-    /// Short jobs submitted each second during the window, of each run.
+    /// Short jobs submitted per second during the window.
     #[arg(long, value_delimiter = ',', default_value = "0")]
     starts_per_s: Vec<u32>,
-    /// Catalogue changes made each second during the window, of each run.
+    /// Catalogue changes made per second during the window.
     #[arg(long, value_delimiter = ',', default_value = "0")]
     changes_per_s: Vec<u32>,
-    /// Daemons.
+    /// Number of daemons.
     #[arg(long, default_value_t = 1)]
     daemons: usize,
-    /// Time between two reads of the membership list, in milliseconds.
+    /// Interval between reads of the membership list, in milliseconds.
     #[arg(long, default_value_t = 1_000)]
     poll_ms: u64,
-    /// Length of the window in seconds.
+    /// Length of the window, in seconds.
     #[arg(long, default_value_t = 20)]
     window_s: u64,
-    /// Settings besides the addresses: a TOML file; the defaults when absent.
+    /// TOML file with further daemon settings, without the addresses; defaults if absent.
     #[arg(long)]
     settings: Option<PathBuf>,
-    /// Where to write the rows as JSON.
+    /// File to write the rows to, as JSON.
     #[arg(long)]
     json: Option<PathBuf>,
 }
@@ -66,37 +67,37 @@
 /// One run's figures; CPU, memory and traffic are the first daemon's share.
 #[derive(Clone, Debug, Serialize)]
 pub struct CapacityRow {
-    /// Workers.
+    /// Number of workers.
     pub workers: usize,
-    /// Running tasks.
+    /// Number of running tasks.
     pub tasks: usize,
-    /// Catalogue entries.
+    /// Number of catalogue entries.
     pub entries: usize,
-    /// Daemons.
+    /// Number of daemons.
     pub daemons: usize,
-    /// Catalogue changes asked for a second.
+    /// Catalogue changes requested per second.
     pub changes_per_s: u32,
-    /// Tasks started a second, as measured.
+    /// Tasks started per second by all daemons, as measured.
     pub starts_per_s: f64,
-    /// Processor time of the owner, in hundredths of a core.
+    /// Processor time of the owner, in percent of a core.
     pub owner_cpu_percent: f64,
     /// Resident memory of the owner, in megabytes.
     pub owner_resident_mb: f64,
-    /// Most resident memory of the owner, in megabytes.
+    /// Peak resident memory of the owner, in megabytes.
     pub owner_peak_mb: f64,
-    /// Table writes a second, all daemons.
+    /// Table writes per second of all daemons.
     pub table_writes_per_s: f64,
-    /// Table and list reads a second, all daemons.
+    /// Table reads per second of all daemons: of single rows and of lists of rows.
     pub table_reads_per_s: f64,
-    /// Bytes a second from the platform, all daemons.
+    /// Bytes per second from the platform to all daemons.
     pub platform_read_bytes_per_s: f64,
-    /// Bytes a second to the platform, all daemons.
+    /// Bytes per second from all daemons to the platform.
     pub platform_write_bytes_per_s: f64,
-    /// Bytes a second to and from workers for commands, all daemons.
+    /// Bytes per second of commands and their answers between all daemons and the workers.
     pub worker_bytes_per_s: f64,
 }
 
-/// Runs every combination and prints the table.
+/// Measures each combination and prints the table.
 pub async fn run(args: CapacityArgs) -> Result<()> {
     let mut rows = Vec::new();
     for &workers in &args.workers {
@@ -126,7 +127,7 @@
     Ok(())
 }
 
-/// What one run varies.
+/// Parameters of one run.
 #[derive(Clone, Copy, Debug)]
 struct Case {
     workers: usize,
@@ -137,16 +138,16 @@
 }
 
 async fn run_one(args: &CapacityArgs, case: Case) -> Result<CapacityRow> {
-    let more = match &args.settings {
+    let extra_settings = match &args.settings {
         Some(path) => std::fs::read_to_string(path)?,
         None => "[log]\nlevel = \"warn\"\n".to_owned(),
     };
     let site = Site::start(args.daemons, case.workers, |plan| {
-        plan.more = more.clone();
+        plan.extra_settings = extra_settings.clone();
         plan.poll_ms = args.poll_ms;
     })
     .await?;
-    let endless = vec![STREAM.to_owned()];
+    let endless = vec![LONG_RUNNING_ENTRY.to_owned()];
     site.switch_workers(&WorkerSwitches {
         endless,
         ..WorkerSwitches::default()
@@ -154,10 +155,10 @@
     .await?;
     let client = site.daemons[0].client();
     client
-        .put_entry(&entries::small(STREAM, "long-running"), None)
+        .put_entry(&entries::small(LONG_RUNNING_ENTRY, "long-running"), None)
         .await?;
     client
-        .put_entry(&entries::small(RENDER, "batch"), None)
+        .put_entry(&entries::small(SHORT_JOB_ENTRY, "batch"), None)
         .await?;
     for i in 2..case.entries {
         client
@@ -166,34 +167,34 @@
     }
     start_tasks(&site, case.tasks).await?;
     let changer = actix_rt::spawn(change(client.clone(), case.changes_per_s));
-    let feeder = actix_rt::spawn(feed(client, case.starts_per_s));
-    tokio::time::sleep(SETTLE).await;
+    let submitter = actix_rt::spawn(submit_jobs(client, case.starts_per_s));
+    tokio::time::sleep(STEADY_AFTER).await;
     let row = measure_window(args, &site, case).await;
-    feeder.abort();
+    submitter.abort();
     changer.abort();
     row
 }
 
-/// Changes an entry at a steady rate.
+/// Changes an entry at a fixed rate.
 async fn change(client: DaemonClient, per_second: u32) {
     if per_second == 0 {
         return;
     }
     let mut ticks = tokio::time::interval(Duration::from_secs(1) / per_second);
-    let mut entry = entries::small(CHANGED, "batch");
+    let mut entry = entries::small(CHANGED_ENTRY, "batch");
     let mut seen = None;
     loop {
         ticks.tick().await;
         entry.priority = Some(u32::from(entry.priority != Some(1)));
-        // A change that is refused is one fewer; the writes at the table show it.
+        // A refused change is not repeated; the measured table writes show it.
         if let Ok(done) = client.put_entry(&entry, seen).await {
             seen = Some(done.revision);
         }
     }
 }
 
-/// Hands short jobs in at a steady rate, each by a call of its own.
-async fn feed(client: DaemonClient, per_second: u32) {
+/// Submits short jobs at a fixed rate, without waiting for the answers.
+async fn submit_jobs(client: DaemonClient, per_second: u32) {
     if per_second == 0 {
         return;
     }
@@ -202,34 +203,38 @@
         ticks.tick().await;
         let client = client.clone();
         actix_rt::spawn(async move {
-            // A refused job is one start fewer; the measured rate shows it.
-            let _ = client.submit_job(RENDER).await;
+            // A refused job is not repeated; the measured rate of starts shows it.
+            let _ = client.submit_job(SHORT_JOB_ENTRY).await;
         });
     }
 }
 
-/// Hands `tasks` jobs in, some at a time, and waits until all of them run.
+/// Submits `tasks` jobs, at most 64 at a time, and waits until that many tasks have started.
 async fn start_tasks(site: &Site, tasks: usize) -> Result<()> {
-    const AT_ONCE: usize = 64;
+    const MAX_CONCURRENT: usize = 64;
     let client = site.daemons[0].client();
-    until("the first job is taken", SETTLE_LIMIT, async || {
-        tasks == 0 || client.submit_job(STREAM).await.is_ok()
-    })
+    until(
+        "the first job is accepted",
+        TASKS_STARTED_TIMEOUT,
+        async || tasks == 0 || client.submit_job(LONG_RUNNING_ENTRY).await.is_ok(),
+    )
     .await?;
     let mut left = tasks.saturating_sub(1);
     while left > 0 {
-        let batch = left.min(AT_ONCE);
-        let calls = (0..batch).map(|_| client.submit_job(STREAM));
-        let taken = futures::future::join_all(calls).await;
-        left -= taken.iter().filter(|outcome| outcome.is_ok()).count();
+        let batch = left.min(MAX_CONCURRENT);
+        let calls = (0..batch).map(|_| client.submit_job(LONG_RUNNING_ENTRY));
+        let submitted = futures::future::join_all(calls).await;
+        left -= submitted.iter().filter(|outcome| outcome.is_ok()).count();
     }
-    until("all tasks run", SETTLE_LIMIT, async || {
-        started(site).await >= tasks
-    })
+    until(
+        "all tasks have started",
+        TASKS_STARTED_TIMEOUT,
+        async || tasks_started(site).await >= tasks,
+    )
     .await
 }
 
-async fn started(site: &Site) -> usize {
+async fn tasks_started(site: &Site) -> usize {
     let mut sum = 0;
     for daemon in &site.daemons {
         let text = daemon.metrics().await.unwrap_or_default();
@@ -246,12 +251,12 @@
 async fn measure_window(args: &CapacityArgs, site: &Site, case: Case) -> Result<CapacityRow> {
     let owner = owner(site).await;
     let id = site.daemons[owner].process.id();
-    let before = (process_use(id)?, site.platform_counts().await?);
+    let before = (process_usage(id)?, site.platform_counts().await?);
     let worker_bytes = site.worker_bytes().await?;
-    let starts = started(site).await;
+    let starts = tasks_started(site).await;
     tokio::time::sleep(Duration::from_secs(args.window_s)).await;
-    let after = (process_use(id)?, site.platform_counts().await?);
-    let starts = started(site).await - starts;
+    let after = (process_usage(id)?, site.platform_counts().await?);
+    let starts = tasks_started(site).await - starts;
     let worker_bytes = site.worker_bytes().await? - worker_bytes;
     let seconds = args.window_s as f64;
     let rate = |from: u64, to: u64| (to - from) as f64 / seconds;
@@ -273,7 +278,7 @@
     })
 }
 
-/// The daemon that owns the first shard.
+/// Index of the first daemon that owns exactly one shard; 0 if none does.
 async fn owner(site: &Site) -> usize {
     for (i, daemon) in site.daemons.iter().enumerate() {
         let text = daemon.metrics().await.unwrap_or_default();
--- a/crates/lapisdrum-load/src/ledger.rs
+++ b/crates/lapisdrum-load/src/ledger.rs
@@ -1,7 +1,7 @@
-//! `lapisdrum-load ledger`: table writes and reads a second against tasks started a second.
+//! `lapisdrum-load ledger`: measures table writes and reads per second by task starts per second.
 //!
-//! Jobs are submitted at a fixed rate, whatever the daemon answers. The first setting writes each
-//! event into a row of its own at once; the others gather events for a linger.
+//! Jobs are submitted at a fixed rate regardless of the daemon's answers (open loop). The first setting
+//! writes each event into its own row immediately; the others batch events for a linger time.
 
 use crate::{
     entries,
@@ -21,58 +21,58 @@
 };
 use tokio::time::{Instant, MissedTickBehavior};
 
-/// Time for the shard to be served.
-const SERVE_LIMIT: Duration = Duration::from_secs(30);
-/// Load before the window, so that it shows the steady state.
-const WARM_UP: Duration = Duration::from_secs(4);
-/// Time between two lots of jobs submitted.
-const LOT: Duration = Duration::from_millis(20);
+/// Timeout for the first job to be accepted, which needs an owner of the shard.
+const FIRST_JOB_TIMEOUT: Duration = Duration::from_secs(30);
+/// Time under load before the window, so that the window shows the steady state.
+const WARM_UP_TIME: Duration = Duration::from_secs(4);
+/// Interval between bursts of submitted jobs.
+const SUBMIT_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Arguments of `ledger`.
 #[derive(Debug, Args)]
 pub struct LedgerArgs {
-    /// Jobs submitted a second.
+    /// Jobs submitted per second.
     #[arg(long, default_value_t = 200)]
     rate: u64,
-    /// Workers.
+    /// Number of workers.
     #[arg(long, default_value_t = 65)]
     workers: usize,
-    /// Time for a task, in milliseconds.
+    /// Run time of a task, in milliseconds.
     #[arg(long, default_value_t = 1_000)]
     task_ms: u64,
     /// Length of each window, in seconds.
     #[arg(long, default_value_t = 10)]
     window_s: u64,
-    /// Lingers to try besides row by row, in milliseconds.
+    /// Linger times to measure in addition to row by row, in milliseconds.
     #[arg(long, value_delimiter = ',', default_value = "0,50,250")]
     lingers: Vec<u64>,
-    /// Where to write the rows as JSON.
+    /// File to write the rows to, as JSON.
     #[arg(long)]
     json: Option<PathBuf>,
 }
 
-/// One setting's figures over the window.
+/// Results of one setting over the window.
 #[derive(Clone, Debug, Serialize)]
 pub struct LedgerRow {
-    /// How rows are written.
+    /// Name of the setting under which events are written to rows.
     pub writing: String,
-    /// Jobs submitted a second.
+    /// Jobs submitted per second.
     pub rate: u64,
-    /// Tasks started a second.
+    /// Tasks started per second.
     pub starts_per_s: f64,
-    /// Jobs refused or unknown.
+    /// Number of jobs that were refused or whose submission had no answer.
     pub not_accepted: u64,
-    /// Table writes a second, of every kind.
+    /// Table writes per second, of all kinds.
     pub table_writes_per_s: f64,
-    /// Reads a second, of every kind.
+    /// Table reads per second, of all kinds.
     pub table_reads_per_s: f64,
-    /// Time until an acceptance was answered, at half.
+    /// Median time from submission to the answer of accepted jobs, in milliseconds.
     pub accepted_ms_p50: u64,
-    /// The same at the 99th percentile.
+    /// 99th percentile of that time, in milliseconds.
     pub accepted_ms_p99: u64,
 }
 
-/// Runs every setting and prints the table.
+/// Measures each setting and prints the table.
 pub async fn run(args: LedgerArgs) -> Result<()> {
     let by_row =
         "linger_urgent_ms = 0\nlinger_batch_ms = 0\nwrite_spacing_ms = 0\nrow_events = 1\n";
@@ -98,8 +98,11 @@
 }
 
 async fn run_one(args: &LedgerArgs, writing: String, settings: &str) -> Result<LedgerRow> {
-    let more = format!("[log]\nlevel = \"warn\"\n\n[shards]\n{settings}");
-    let site = Site::start(1, args.workers, |plan| plan.more = more.clone()).await?;
+    let extra_settings = format!("[log]\nlevel = \"warn\"\n\n[shards]\n{settings}");
+    let site = Site::start(1, args.workers, |plan| {
+        plan.extra_settings = extra_settings.clone()
+    })
+    .await?;
     let switches = WorkerSwitches {
         task_ms: args.task_ms,
         ..WorkerSwitches::default()
@@ -109,18 +112,18 @@
     client
         .put_entry(&entries::small("render", "batch"), None)
         .await?;
-    until("the first job is taken", SERVE_LIMIT, async || {
+    until("the first job is accepted", FIRST_JOB_TIMEOUT, async || {
         client.submit_job("render").await.is_ok()
     })
     .await?;
-    let load = Load::start(&site, args.rate);
-    tokio::time::sleep(WARM_UP).await;
+    let load = JobLoad::start(&site, args.rate);
+    tokio::time::sleep(WARM_UP_TIME).await;
     load.reset();
     let (counts, starts) = (site.platform_counts().await?, site.starts().await);
-    let begun = Instant::now();
+    let started_at = Instant::now();
     tokio::time::sleep(Duration::from_secs(args.window_s)).await;
     let (counts_after, starts_after) = (site.platform_counts().await?, site.starts().await);
-    let seconds = begun.elapsed().as_secs_f64();
+    let seconds = started_at.elapsed().as_secs_f64();
     let per_s = |from: u64, to: u64| (to - from) as f64 / seconds;
     let latencies = load.stop();
     Ok(LedgerRow {
@@ -130,32 +133,36 @@
         not_accepted: latencies.failed,
         table_writes_per_s: per_s(counts.writes, counts_after.writes),
         table_reads_per_s: per_s(counts.reads, counts_after.reads),
-        accepted_ms_p50: latencies.taken.value_at_quantile(0.5),
-        accepted_ms_p99: latencies.taken.value_at_quantile(0.99),
+        accepted_ms_p50: latencies.accepted_ms.value_at_quantile(0.5),
+        accepted_ms_p99: latencies.accepted_ms.value_at_quantile(0.99),
     })
 }
 
-/// How long acceptances took, in milliseconds, and how many failed.
+/// Times of accepted submissions in milliseconds, and the number of the others.
 struct Latencies {
-    taken: Histogram<u64>,
+    accepted_ms: Histogram<u64>,
     failed: u64,
 }
 
 impl Latencies {
     fn new() -> Self {
-        // Three digits are within what the library allows.
-        let taken = Histogram::new(3).unwrap_or_else(|e| panic!("a histogram: {e}"));
-        Self { taken, failed: 0 }
+        // The library allows 0 to 5 significant digits.
+        let accepted_ms =
+            Histogram::new(3).unwrap_or_else(|e| panic!("cannot create histogram: {e}"));
+        Self {
+            accepted_ms,
+            failed: 0,
+        }
     }
 }
 
-/// Hands jobs in at a rate until it is stopped.
-struct Load {
+/// Submits jobs at a fixed rate until it is stopped.
+struct JobLoad {
     latencies: Rc<RefCell<Latencies>>,
     stopped: Rc<Cell<bool>>,
 }
 
-impl Load {
+impl JobLoad {
     fn start(site: &Site, rate: u64) -> Self {
         let load = Self {
             latencies: Rc::new(RefCell::new(Latencies::new())),
@@ -164,13 +171,13 @@
         let client = site.daemons[0].client();
         let (latencies, stopped) = (Rc::clone(&load.latencies), Rc::clone(&load.stopped));
         actix_rt::spawn(async move {
-            let begun = Instant::now();
-            let mut ticks = tokio::time::interval(LOT);
+            let started_at = Instant::now();
+            let mut ticks = tokio::time::interval(SUBMIT_INTERVAL);
             ticks.set_missed_tick_behavior(MissedTickBehavior::Burst);
             let mut sent = 0;
             while !stopped.get() {
                 ticks.tick().await;
-                let due = (begun.elapsed().as_secs_f64() * rate as f64) as u64;
+                let due = (started_at.elapsed().as_secs_f64() * rate as f64) as u64;
                 for _ in sent..due {
                     let (client, latencies) = (client.clone(), Rc::clone(&latencies));
                     actix_rt::spawn(async move {
@@ -179,7 +186,7 @@
                         let mut latencies = latencies.borrow_mut();
                         let ms = sent_at.elapsed().as_millis() as u64;
                         match accepted {
-                            true => latencies.taken.saturating_record(ms),
+                            true => latencies.accepted_ms.saturating_record(ms),
                             false => latencies.failed += 1,
                         }
                     });
@@ -190,7 +197,7 @@
         load
     }
 
-    /// Begins to count.
+    /// Discards the results so far.
     fn reset(&self) {
         *self.latencies.borrow_mut() = Latencies::new();
     }
--- a/crates/lapisdrum-load/src/policy/tasks.rs
+++ b/crates/lapisdrum-load/src/policy/tasks.rs
@@ -1,8 +1,9 @@
-//! Placement, interference and eviction over virtual time: batch waves beside services.
+//! Simulates placement, interference and eviction in virtual time: waves of batch tasks on hosts that
+//! also run services.
 //!
-//! Hosts are counters and a hidden table of who slows whom; the policies see it only through late
-//! reports. A second is a step. It tests the decisions by what services and batch work get; nothing
-//! fails and nobody restarts here.
+//! A hidden table defines how much each kind of task slows each other kind; the policies see it only
+//! through delayed reports. One step is one second. The trial compares decisions by the slowdown of
+//! services and by the batch work done. Nothing fails or restarts.
 
 use super::load::{RunTime, valid};
 use hdrhistogram::Histogram;
@@ -22,92 +23,93 @@
 use rand::{Rng, SeedableRng, rngs::StdRng};
 use std::{collections::VecDeque, time::Duration};
 
-/// Services; each host runs one of them or none.
+/// Number of services; each host runs one of them or none.
 const SERVICES: u32 = 2;
-/// Kinds of batch work.
+/// Number of kinds of batch tasks.
 const BATCH_KINDS: u32 = 12;
-/// Part of the pairs that disturb each other.
-const NOISY_PAIRS: f64 = 0.2;
-/// Seconds between two reports of a host.
-const REPORT_EVERY: u64 = 5;
+/// Fraction of the pairs of kinds with strong interference.
+const INTERFERING_FRACTION: f64 = 0.2;
+/// Interval between reports of a host, in seconds.
+const REPORT_INTERVAL_S: u64 = 5;
 /// Age of a report when it arrives, in seconds.
 const REPORT_LAG: usize = 5;
-/// Speed of a throttled task, and the part of its disturbance that is left.
-const THROTTLED: f64 = 0.3;
-/// Seconds between two checkpoints of a task.
-const CHECKPOINT_EVERY: u64 = 60;
-/// Seconds from one wave to the next, and the length of a wave.
+/// Speed of a throttled task, and its interference, as a fraction of those at full speed.
+const THROTTLED_SPEED: f64 = 0.3;
+/// Interval between checkpoints of a task, in seconds.
+const CHECKPOINT_INTERVAL_S: u64 = 60;
+/// Interval from the start of one wave of batch tasks to the next, and the length of a wave, in seconds.
 const WAVE: (u64, u64) = (600, 120);
-/// Run time of a batch task alone.
+/// Run time of a batch task without neighbours.
 const BATCH_RUN: RunTime = RunTime {
     median_ms: 120_000.0,
     sigma: 0.5,
 };
 
-/// Which decisions a trial is run under.
+/// Decisions under which a trial runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TaskDecisions {
-    /// Placement learns from reports; otherwise it goes by declared sizes alone.
-    pub learns: bool,
-    /// Hosts in distress are relieved.
-    pub relieves: bool,
-    /// There are services at all; without them it is the batch-only figure.
+    /// Whether placement uses slowdowns estimated from reports; otherwise only declared sizes.
+    pub uses_estimates: bool,
+    /// Whether tasks are throttled or evicted on hosts whose service is slowed too much.
+    pub mitigates: bool,
+    /// Whether services run; without them, the trial measures batch work by itself.
     pub services: bool,
 }
 
 impl TaskDecisions {
-    /// All of them, with their names in tables.
+    /// All combinations under test, with their names in tables.
     pub const ALL: [(&'static str, Self); 4] = [
         ("policy", Self::new(true, true, true)),
         ("no relief", Self::new(true, false, true)),
         ("blind placement", Self::new(false, true, true)),
         ("blind, no relief", Self::new(false, false, true)),
     ];
-    /// Batch work alone.
+    /// The policy's decisions without services.
     pub const BATCH_ONLY: Self = Self::new(true, true, false);
 
-    const fn new(learns: bool, relieves: bool, services: bool) -> Self {
+    const fn new(uses_estimates: bool, mitigates: bool, services: bool) -> Self {
         Self {
-            learns,
-            relieves,
+            uses_estimates,
+            mitigates,
             services,
         }
     }
 }
 
-/// One trial's inputs.
+/// Inputs of one trial.
 #[derive(Clone, Copy, Debug)]
 pub struct TaskTrial {
-    /// Hosts.
+    /// Number of hosts.
     pub hosts: usize,
-    /// Hosts of a rack.
+    /// Hosts per rack.
     pub per_rack: usize,
-    /// What each host has for tasks: half of it, the rest is kept for requests.
-    pub room: Size,
-    /// Batch tasks that arrive a second, on average.
+    /// Capacity for tasks per host. [`super::rows::tasks`] gives half of the host and keeps the rest for
+    /// requests.
+    pub task_capacity: Size,
+    /// Average number of batch tasks that arrive per second.
     pub starts_per_s: f64,
-    /// Length in seconds.
+    /// Length of the trial in seconds.
     pub seconds: u64,
-    /// Seed of every draw.
+    /// Seed of the random number generator.
     pub seed: u64,
 }
 
-/// What services and batch work got.
+/// Results of one trial.
 #[derive(Clone, Debug)]
 pub struct TaskResult {
-    /// Slowdown of services in thousandths, by host and second.
+    /// Slowdown of services in thousandths; one sample per host and second.
     pub slowdown: Histogram<u64>,
-    /// Tasks finished.
+    /// Number of finished tasks.
     pub finished: u64,
-    /// Work finished, in seconds of run time alone.
+    /// Work of finished tasks, in seconds of run time without neighbours.
     pub work_s: f64,
-    /// Tasks evicted.
+    /// Number of evictions.
     pub evictions: u64,
-    /// Throttles set.
+    /// Number of times that a task was throttled.
     pub throttles: u64,
     /// Work lost by evictions, in seconds.
     pub lost_s: f64,
-    /// Tasks that wait at the end.
+    /// Number of tasks that wait at the end of the trial.
     pub waiting: usize,
 }
 
@@ -130,14 +132,14 @@
     running_kinds: Vec<RunningKind>,
     history: History,
     distress: Distress,
-    /// Slowdowns of the last seconds: of the service, and of each task's kind.
+    /// Slowdowns of the last [`REPORT_LAG`] seconds: of the service, and of each unthrottled task by kind.
     measured: VecDeque<(Millis, Vec<(Kind, f64)>)>,
 }
 
 struct Trial {
     decisions: TaskDecisions,
     inputs: TaskTrial,
-    truth: Vec<Vec<f64>>,
+    interference: Vec<Vec<f64>>,
     sizes: Vec<Size>,
     hosts: Vec<Host>,
     waiting: VecDeque<Task>,
@@ -148,7 +150,7 @@
     next_job: u64,
 }
 
-/// Runs a trial under some decisions.
+/// Runs a trial under the given decisions.
 pub fn run(inputs: TaskTrial, decisions: TaskDecisions) -> TaskResult {
     let mut trial = Trial::new(inputs, decisions);
     for second in 0..inputs.seconds {
@@ -167,13 +169,13 @@
             known.kind(&valid(EntryName::try_from(format!("kind{i}"))));
         }
         let row = |rng: &mut StdRng| (0..kinds).map(|_| draw_effect(rng)).collect();
-        let truth = (0..kinds).map(|_| row(&mut rng)).collect();
+        let interference = (0..kinds).map(|_| row(&mut rng)).collect();
         let sizes = (0..kinds).map(|_| draw_size(&mut rng)).collect();
         let hosts = (0..inputs.hosts).map(|i| Host::new(i, &inputs, decisions));
         Self {
             decisions,
             inputs,
-            truth,
+            interference,
             sizes,
             hosts: hosts.collect(),
             waiting: VecDeque::new(),
@@ -200,13 +202,13 @@
         self.place(now);
         for index in 0..self.hosts.len() {
             self.run_host(index, second, now);
-            if (second + index as u64).is_multiple_of(REPORT_EVERY) {
+            if (second + index as u64).is_multiple_of(REPORT_INTERVAL_S) {
                 self.report(index, now);
             }
         }
     }
 
-    /// New tasks: a third of them evenly, the rest in waves of one kind each.
+    /// Adds new tasks: a third at a steady rate, the rest in waves of one kind each.
     fn arrive(&mut self, second: u64) {
         let (every, long) = WAVE;
         let in_wave = second % every < long;
@@ -257,7 +259,7 @@
                 throttled: false,
                 ..task
             });
-            host.note_residents(now);
+            host.note_running_kinds(now);
         }
     }
 
@@ -265,10 +267,10 @@
         let mut indexes = Vec::new();
         let mut candidates = Vec::new();
         for (index, host) in self.hosts.iter().enumerate() {
-            let open = !host.distress.is_on() || !self.decisions.relieves;
+            let open = !host.distress.is_on() || !self.decisions.mitigates;
             if open && self.memory.may_place(&task.id, &host.worker, now) {
                 indexes.push(index);
-                candidates.push(host.candidate(self.inputs.room));
+                candidates.push(host.candidate(self.inputs.task_capacity));
             }
         }
         let to_place = TaskToPlace {
@@ -285,19 +287,19 @@
         let host = &mut self.hosts[index];
         let mut measured = Vec::new();
         if let Some(service) = host.service {
-            let slowdown = host.slowdown_of(&self.truth, service, None);
+            let slowdown = host.slowdown_of(&self.interference, service, None);
             self.result
                 .slowdown
                 .saturating_record((slowdown * 1e3) as u64);
             measured.push((service, slowdown));
         }
         let slowdowns: Vec<f64> = (0..host.tasks.len())
-            .map(|i| host.slowdown_of(&self.truth, host.tasks[i].kind, Some(i)))
+            .map(|i| host.slowdown_of(&self.interference, host.tasks[i].kind, Some(i)))
             .collect();
         for (task, slowdown) in host.tasks.iter_mut().zip(slowdowns) {
-            let speed = if task.throttled { THROTTLED } else { 1.0 };
+            let speed = if task.throttled { THROTTLED_SPEED } else { 1.0 };
             task.done_s += speed / slowdown;
-            if (second - task.started).is_multiple_of(CHECKPOINT_EVERY) {
+            if (second - task.started).is_multiple_of(CHECKPOINT_INTERVAL_S) {
                 task.saved_s = task.done_s;
             }
             if !task.throttled {
@@ -319,22 +321,22 @@
             running
         });
         if host.tasks.len() != before {
-            host.note_residents(now);
+            host.note_running_kinds(now);
         }
     }
 
-    /// A late report: placement learns, and a host in distress is relieved.
+    /// Passes a delayed report to the slowdown model and, if enabled, to the mitigation of the host.
     fn report(&mut self, index: usize, now: Millis) {
         let Some((measured_at, slowdowns)) = self.hosts[index].measured.front().cloned() else {
             return;
         };
-        if self.decisions.learns {
+        if self.decisions.uses_estimates {
             let host = &self.hosts[index];
             if let Some(present) = host.history.during(measured_at, Duration::from_secs(1)) {
                 let present = present.to_vec();
                 for (kind, slowdown) in &slowdowns {
                     let noise = self.rng.random_range(0.95..1.05);
-                    let beside = without_one(&present, *kind);
+                    let beside = neighbours_of_one(&present, *kind);
                     self.known.note(&Report {
                         kind: *kind,
                         beside: &beside,
@@ -346,12 +348,12 @@
         }
         let service = self.hosts[index].service;
         let distress = slowdowns.iter().find(|(kind, _)| Some(*kind) == service);
-        if let (true, Some((_, slowdown))) = (self.decisions.relieves, distress) {
-            self.relieve(index, *slowdown, measured_at, now);
+        if let (true, Some((_, slowdown))) = (self.decisions.mitigates, distress) {
+            self.mitigate(index, *slowdown, measured_at, now);
         }
     }
 
-    fn relieve(&mut self, index: usize, slowdown: f64, measured_at: Millis, now: Millis) {
+    fn mitigate(&mut self, index: usize, slowdown: f64, measured_at: Millis, now: Millis) {
         let host = &mut self.hosts[index];
         let service = host.service.unwrap_or(Kind(0));
         let tasks: Vec<HostTask<'_>> = host
@@ -388,7 +390,7 @@
         };
         let mut task = host.tasks.swap_remove(at);
         self.memory.note(job, &host.worker, now);
-        host.note_residents(now);
+        host.note_running_kinds(now);
         self.result.evictions += 1;
         self.result.lost_s += task.done_s - task.saved_s;
         task.done_s = task.saved_s;
@@ -424,7 +426,7 @@
         }
     }
 
-    fn note_residents(&mut self, now: Millis) {
+    fn note_running_kinds(&mut self, now: Millis) {
         self.running_kinds.clear();
         let service = self.service.map(|kind| (kind, Class::LatencyCritical));
         let tasks = self.tasks.iter().map(|task| (task.kind, Class::Batch));
@@ -449,9 +451,10 @@
         self.history.note(neighbours, now);
     }
 
-    /// The true slowdown of a kind by everything on the host but task `own`.
-    fn slowdown_of(&self, truth: &[Vec<f64>], kind: Kind, own: Option<usize>) -> f64 {
-        let row = &truth[kind.0 as usize];
+    /// The slowdown of `kind` by all tasks on the host except task `own`, and by the service if that is of
+    /// another kind.
+    fn slowdown_of(&self, interference: &[Vec<f64>], kind: Kind, own: Option<usize>) -> f64 {
+        let row = &interference[kind.0 as usize];
         let others = self
             .tasks
             .iter()
@@ -459,7 +462,7 @@
             .filter(|(i, _)| Some(*i) != own);
         let tasks: f64 = others
             .map(|(_, task)| {
-                row[task.kind.0 as usize] * if task.throttled { THROTTLED } else { 1.0 }
+                row[task.kind.0 as usize] * if task.throttled { THROTTLED_SPEED } else { 1.0 }
             })
             .sum();
         let service = self.service.filter(|service| *service != kind);
@@ -470,12 +473,12 @@
         for task in self.tasks.iter_mut().filter(|task| task.id == *job) {
             task.throttled = throttled;
         }
-        self.note_residents(now);
+        self.note_running_kinds(now);
     }
 }
 
-/// Neighbours of one of `kind`: all but itself.
-fn without_one(present: &[Neighbour], kind: Kind) -> Vec<Neighbour> {
+/// The neighbours of one task of `kind`: all that are present except itself.
+fn neighbours_of_one(present: &[Neighbour], kind: Kind) -> Vec<Neighbour> {
     let others = present.iter().map(|neighbour| Neighbour {
         count: neighbour.count - u32::from(neighbour.kind == kind),
         ..*neighbour
@@ -484,7 +487,7 @@
 }
 
 fn draw_effect(rng: &mut StdRng) -> f64 {
-    match rng.random_range(0.0..1.0) < NOISY_PAIRS {
+    match rng.random_range(0.0..1.0) < INTERFERING_FRACTION {
         true => rng.random_range(0.2..0.8),
         false => rng.random_range(0.0..0.03),
     }
--- a/crates/lapisdrum-load/src/recovery.rs
+++ b/crates/lapisdrum-load/src/recovery.rs
@@ -1,5 +1,5 @@
-//! `lapisdrum-load recovery`: time to recover a shard's ledger against its length, by rows alone and
-//! from a snapshot, and what a snapshot costs the daemon's thread.
+//! `lapisdrum-load recovery`: measures the time to recover a shard's ledger by its length, from rows only
+//! and from a snapshot, and the time that a snapshot takes on the daemon's thread.
 
 use crate::{site::Site, table};
 use clap::Args;
@@ -24,22 +24,22 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Events to a row: what 200 starts a second write at the default spacing.
+/// Events per row, as written at 200 starts per second and the default write spacing.
 const EVENTS_PER_ROW: usize = 40;
-/// Events of each job: accepted, placed, checkpointed.
+/// Events per job: accepted, placed, checkpointed.
 const EVENTS_PER_JOB: usize = 3;
-/// Workers that the jobs are spread over.
+/// Number of workers that the jobs are spread over.
 const WORKERS: usize = 500;
 
 /// Arguments of `recovery`.
 #[derive(Debug, Args)]
 pub struct RecoveryArgs {
-    /// Running jobs in the ledger of each run.
+    /// Number of running jobs in the ledger; one run for each value.
     #[arg(long, value_delimiter = ',', default_value = "1000,5000,17800")]
     jobs: Vec<usize>,
 }
 
-/// Runs every length both ways and prints the table.
+/// Measures each length both ways and prints the table.
 pub async fn run(args: RecoveryArgs) -> Result<()> {
     let mut rows = Vec::new();
     for &jobs in &args.jobs {
@@ -61,22 +61,22 @@
 async fn run_one(jobs: usize) -> Result<Vec<String>> {
     let site = Site::start(0, 1, |_| {}).await?;
     let mut plan = DaemonPlan::new("measured", "westlands", site.platform);
-    plan.more = "[log]\nlevel = \"warn\"\n".to_owned();
+    plan.extra_settings = "[log]\nlevel = \"warn\"\n".to_owned();
     let cfg = Settings::parse("measured.toml", &plan.settings())?;
     let cx = Daemon::new(cfg);
     let shard = ShardId::new(&DataCentre::try_from("westlands")?, 0);
     let version = put(&cx, epoch_key(&shard), &EpochRow { epoch: Epoch(1) }).await?;
-    let (state, batches) = history(&shard, jobs)?;
+    let (state, batches) = ledger_with_jobs(&shard, jobs)?;
     for batch in &batches {
         put(&cx, row_key(&shard, batch.sequence), batch).await?;
     }
     let by_rows = recover(&cx, &shard, version, jobs).await?;
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let copy = state.clone();
-    let copied = begun.elapsed();
-    let begun = Instant::now();
+    let copied = started_at.elapsed();
+    let started_at = Instant::now();
     let object = serde_json::to_vec(&copy)?;
-    let serialised = begun.elapsed();
+    let serialised = started_at.elapsed();
     let size = object.len();
     cx.platform
         .put_object("snapshot/measured", object.into())
@@ -91,7 +91,10 @@
         delete = delete.delete(row_key(&shard, batch.sequence));
     }
     let deleted = cx.platform.txn(&delete).await;
-    ensure!(matches!(deleted, TxnOutcome::Committed(_)), "rows deleted");
+    ensure!(
+        matches!(deleted, TxnOutcome::Committed(_)),
+        "the platform did not delete the rows"
+    );
     let from_snapshot = recover(&cx, &shard, version, jobs).await?;
     let ms = |span: Duration| format!("{:.1}", span.as_secs_f64() * 1_000.0);
     Ok(vec![
@@ -108,24 +111,27 @@
 async fn put(cx: &Cx, key: String, value: &impl serde::Serialize) -> Result<u64> {
     match cx.platform.txn(&Txn::default().put(key, value)).await {
         TxnOutcome::Committed(versions) => Ok(versions[0]),
-        other => eyre::bail!("the table did not take a row: {other:?}"),
+        other => eyre::bail!("the platform did not commit a row: {other:?}"),
     }
 }
 
 async fn recover(cx: &Cx, shard: &ShardId, version: u64, jobs: usize) -> Result<Duration> {
     let journal = Journal::new(shard.clone(), Epoch(1), version);
-    let begun = Instant::now();
+    let started_at = Instant::now();
     journal.recover(cx).await?;
-    let took = begun.elapsed();
-    ensure!(journal.state().jobs.len() == jobs, "every job is recovered");
+    let took = started_at.elapsed();
+    ensure!(
+        journal.state().jobs.len() == jobs,
+        "the recovered ledger does not have all jobs"
+    );
     Ok(took)
 }
 
-/// The rows of `jobs` running jobs, and the state that they make.
-fn history(shard: &ShardId, jobs: usize) -> Result<(State, Vec<Batch>)> {
+/// The state with `jobs` running jobs, and the rows that lead to it.
+fn ledger_with_jobs(shard: &ShardId, jobs: usize) -> Result<(State, Vec<Batch>)> {
     let mut events = Vec::with_capacity(jobs * EVENTS_PER_JOB);
     for i in 0..jobs {
-        events.extend(life(shard, i)?);
+        events.extend(job_events(shard, i)?);
     }
     let (mut state, mut batches) = (State::default(), Vec::new());
     for (i, chunk) in events.chunks(EVENTS_PER_ROW).enumerate() {
@@ -141,7 +147,7 @@
     Ok((state, batches))
 }
 
-fn life(shard: &ShardId, i: usize) -> Result<[Event; EVENTS_PER_JOB]> {
+fn job_events(shard: &ShardId, i: usize) -> Result<[Event; EVENTS_PER_JOB]> {
     let job = JobId::new(shard, i as u64);
     let placement = Placement {
         worker: WorkerId::try_from(format!("worker-{}", i % WORKERS))?,
--- a/crates/lapisdrum-load/src/site.rs
+++ b/crates/lapisdrum-load/src/site.rs
@@ -1,4 +1,4 @@
-//! A site of processes for an experiment: a platform, workers, daemons, ended with their handle.
+//! Processes of an experiment: a platform, workers and daemons, killed when their handle is dropped.
 
 use eyre::{Result, WrapErr as _, bail, ensure, eyre};
 use lapisdrum::{api::client::DaemonClient, store::wire::HostWire};
@@ -18,16 +18,16 @@
 };
 use tokio::time::Instant;
 
-/// Time for a process to serve.
-const START_LIMIT: Duration = Duration::from_secs(30);
-/// Time for one call.
+/// Timeout for a daemon to be ready.
+const READY_TIMEOUT: Duration = Duration::from_secs(30);
+/// Timeout of one call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(30);
-/// Time between two looks at something awaited.
-const POLL: Duration = Duration::from_millis(20);
-/// Workers to a rack in an experiment's hosts.
-const RACK_SIZE: usize = 8;
+/// Interval at which [`until`] checks its condition.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Number of workers per rack in the membership list.
+const WORKERS_PER_RACK: usize = 8;
 
-/// A process that is ended with its handle, by its id.
+/// A child process that is killed when the handle is dropped.
 pub struct Process {
     child: Child,
 }
@@ -43,12 +43,12 @@
         Ok(Self { child })
     }
 
-    /// Its id.
+    /// Process id.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// Ends it without warning.
+    /// Kills the process (`SIGKILL`) and waits for its end.
     pub fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
@@ -65,13 +65,13 @@
 pub struct Daemon {
     /// The process.
     pub process: Process,
-    /// Its settings.
+    /// Settings with which it was started.
     pub plan: DaemonPlan,
     config: PathBuf,
 }
 
 impl Daemon {
-    /// Starts a daemon without waiting for it.
+    /// Starts a daemon without waiting until it is ready.
     pub fn start(plan: DaemonPlan) -> Result<Self> {
         let name = format!(
             "lapisdrum-{}-{:016x}.toml",
@@ -89,12 +89,12 @@
         })
     }
 
-    /// A client of it.
+    /// A new client of the daemon's address for callers.
     pub fn client(&self) -> DaemonClient {
         DaemonClient::new(&self.plan.callers.to_string(), CALL_TIMEOUT)
     }
 
-    /// Its metrics as text.
+    /// Metrics of the daemon, as text.
     pub async fn metrics(&self) -> Result<String> {
         let http = client();
         let sent = http
@@ -105,7 +105,7 @@
         Ok(String::from_utf8_lossy(&answer.body().await?).into_owned())
     }
 
-    /// One of its metrics without labels; zero without an answer.
+    /// Value of a metric without labels; zero if the daemon does not answer or has no such metric.
     pub async fn metric(&self, name: &str) -> u64 {
         let text = self.metrics().await.unwrap_or_default();
         let mut lines = text.lines().filter_map(|line| line.split_once(' '));
@@ -123,36 +123,36 @@
 
 /// A platform, workers and daemons as processes.
 pub struct Site {
-    /// The daemons.
+    /// Daemon processes, in the order in which they were started.
     pub daemons: Vec<Daemon>,
-    /// The membership list.
+    /// Hosts in the membership list.
     pub hosts: Vec<HostWire>,
-    /// Where the platform listens.
+    /// Address of the platform.
     pub platform: SocketAddr,
-    /// Where each worker listens.
+    /// Addresses of the workers, in the order of `hosts`.
     pub workers: Vec<SocketAddr>,
     _processes: Vec<Process>,
 }
 
 impl Site {
-    /// Starts a platform, `workers` workers in one process and `daemons` daemons, and waits until
-    /// every daemon is ready.
+    /// Starts a platform, `workers` workers in one process and `daemons` daemons with settings changed
+    /// by `adjust`, and waits until all daemons are ready.
     pub async fn start(
         daemons: usize,
         workers: usize,
         adjust: impl Fn(&mut DaemonPlan),
     ) -> Result<Self> {
-        let (platform_process, platform) = standin(&["platform"], 1)?;
+        let (platform_process, platform) = start_standins(&["platform"], 1)?;
         let count = workers.to_string();
-        let (fleet, workers) = standin(&["workers", "--count", &count], workers)?;
+        let (worker_process, workers) = start_standins(&["workers", "--count", &count], workers)?;
         let host = |(i, address): (usize, &SocketAddr)| {
-            let rack = format!("rack-{}", i / RACK_SIZE);
+            let rack = format!("rack-{}", i / WORKERS_PER_RACK);
             site::host(&format!("worker-{i}"), *address, "westlands", &rack)
         };
         let hosts: Vec<HostWire> = workers.iter().enumerate().map(host).collect();
         let platform = platform[0];
         put(platform, "/control/hosts", &hosts).await?;
-        let _processes = vec![platform_process, fleet];
+        let _processes = vec![platform_process, worker_process];
         let mut site = Self {
             daemons: Vec::new(),
             hosts,
@@ -167,7 +167,7 @@
         }
         for daemon in &site.daemons {
             let client = daemon.client();
-            until("a daemon is ready", START_LIMIT, async || {
+            until("a daemon is ready", READY_TIMEOUT, async || {
                 client.is_ready().await
             })
             .await?;
@@ -175,7 +175,7 @@
         Ok(site)
     }
 
-    /// Tasks started by all daemons so far.
+    /// Number of tasks started by all daemons so far.
     pub async fn starts(&self) -> u64 {
         let mut sum = 0;
         for daemon in &self.daemons {
@@ -184,7 +184,7 @@
         sum
     }
 
-    /// The daemon that owns a shard; the first when none does.
+    /// Index of the first daemon that owns a shard; 0 if none does.
     pub async fn owner(&self) -> usize {
         for (i, daemon) in self.daemons.iter().enumerate() {
             if daemon.metric("lapisdrum_shards_owned").await > 0 {
@@ -194,12 +194,12 @@
         0
     }
 
-    /// Sets what the platform does wrong.
+    /// Sets the faults that the platform injects.
     pub async fn switch_platform(&self, switches: &PlatformSwitches) -> Result<()> {
         put(self.platform, "/control/switches", switches).await
     }
 
-    /// Sets how every worker behaves.
+    /// Sets the behaviour of all workers.
     pub async fn switch_workers(&self, switches: &WorkerSwitches) -> Result<()> {
         for worker in &self.workers {
             put(*worker, "/control/switches", switches).await?;
@@ -207,7 +207,7 @@
         Ok(())
     }
 
-    /// Bytes of commands to workers and of their answers so far.
+    /// Bytes of commands to all workers and of their answers so far.
     pub async fn worker_bytes(&self) -> Result<u64> {
         let calls = self
             .workers
@@ -217,13 +217,13 @@
         counts.into_iter().sum()
     }
 
-    /// The platform's reads and writes so far.
+    /// Reads and writes that the platform has served so far.
     pub async fn platform_counts(&self) -> Result<PlatformCounts> {
         get(self.platform, "/control/counts").await
     }
 }
 
-fn standin(args: &[&str], addresses: usize) -> Result<(Process, Vec<SocketAddr>)> {
+fn start_standins(args: &[&str], addresses: usize) -> Result<(Process, Vec<SocketAddr>)> {
     let listen = SocketAddr::from((site::free_address().ip(), 0)).to_string();
     let all = [&["standins"], args, &["--listen", &listen]].concat();
     let mut process = Process::start(&all, Stdio::piped())?;
@@ -231,15 +231,15 @@
         .child
         .stdout
         .take()
-        .ok_or_else(|| eyre!("stdout is piped"))?;
+        .ok_or_else(|| eyre!("stdout of the stand-in is not piped"))?;
     let lines = BufReader::new(stdout).lines().take(addresses);
     let parse = |line: std::io::Result<String>| -> Result<SocketAddr> {
         let line = line?;
         let address = line.strip_prefix("listening on ");
         address
-            .ok_or_else(|| eyre!("stand-in said `{line}`"))?
+            .ok_or_else(|| eyre!("unexpected output of stand-in: `{line}`"))?
             .parse()
-            .wrap_err("an address")
+            .wrap_err("invalid address in the output of a stand-in")
     };
     let found = lines.map(parse).collect::<Result<Vec<_>>>()?;
     ensure!(
@@ -250,27 +250,27 @@
     Ok((process, found))
 }
 
-/// Waits until something holds.
+/// Polls `condition` until it returns true; fails after `limit` and names `what` in the error.
 pub async fn until(
     what: &str,
     limit: Duration,
-    mut holds: impl AsyncFnMut() -> bool,
+    mut condition: impl AsyncFnMut() -> bool,
 ) -> Result<()> {
     let end = Instant::now() + limit;
     while Instant::now() < end {
-        if holds().await {
+        if condition().await {
             return Ok(());
         }
-        tokio::time::sleep(POLL).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
-    bail!("not within {limit:?}: {what}")
+    bail!("timed out after {limit:?} waiting until {what}")
 }
 
 fn client() -> awc::Client {
     awc::Client::builder().timeout(CALL_TIMEOUT).finish()
 }
 
-/// Sends a JSON value to a stand-in.
+/// Sends a JSON value to a stand-in; fails unless the answer has a success status.
 pub async fn put(address: SocketAddr, path: &str, value: &impl Serialize) -> Result<()> {
     let sent = client()
         .put(format!("http://{address}{path}"))
--- a/crates/lapisdrum-load/src/takeover.rs
+++ b/crates/lapisdrum-load/src/takeover.rs
@@ -1,4 +1,5 @@
-//! `lapisdrum-load takeover`: time from an owner's death to the first task that its successor starts.
+//! `lapisdrum-load takeover`: measures the time from the kill of a shard's owner to the first task that
+//! the next owner starts.
 
 use crate::{
     entries,
@@ -11,30 +12,30 @@
 use std::{path::PathBuf, time::Duration};
 use tokio::time::Instant;
 
-/// Longest time for anything awaited.
-const LIMIT: Duration = Duration::from_secs(60);
+/// Timeout of each condition that a trial waits for.
+const CONDITION_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Arguments of `takeover`.
 #[derive(Debug, Args)]
 pub struct TakeoverArgs {
-    /// Deaths to measure, each on a site of its own.
+    /// Number of trials; each kills one owner on its own site.
     #[arg(long, default_value_t = 10)]
     trials: usize,
-    /// Workers.
+    /// Number of workers.
     #[arg(long, default_value_t = 65)]
     workers: usize,
-    /// Jobs accepted before the death.
+    /// Number of jobs accepted before the owner is killed.
     #[arg(long, default_value_t = 200)]
     jobs: usize,
-    /// Settings besides the addresses: a TOML file; the defaults when absent.
+    /// TOML file with further daemon settings, without the addresses; defaults if absent.
     #[arg(long)]
     settings: Option<PathBuf>,
-    /// Where to write the times as JSON, in milliseconds.
+    /// File to write the times to, as JSON, in milliseconds.
     #[arg(long)]
     json: Option<PathBuf>,
 }
 
-/// Runs the trials and prints half, greatest and each.
+/// Runs the trials and prints each time, and the least, median and greatest.
 pub async fn run(args: TakeoverArgs) -> Result<()> {
     let mut times = Vec::new();
     for _ in 0..args.trials {
@@ -43,15 +44,15 @@
         times.push(took.as_millis() as u64);
     }
     times.sort_unstable();
-    let half = times[times.len() / 2];
-    let most = times[times.len() - 1];
+    let median = times[times.len() / 2];
+    let greatest = times[times.len() - 1];
     table::print(
         &["trials", "least ms", "half ms", "greatest ms"],
         &[vec![
             times.len().to_string(),
             times[0].to_string(),
-            half.to_string(),
-            most.to_string(),
+            median.to_string(),
+            greatest.to_string(),
         ]],
     );
     if let Some(path) = &args.json {
@@ -61,11 +62,14 @@
 }
 
 async fn run_one(args: &TakeoverArgs) -> Result<Duration> {
-    let more = match &args.settings {
+    let extra_settings = match &args.settings {
         Some(path) => std::fs::read_to_string(path)?,
         None => "[log]\nlevel = \"warn\"\n".to_owned(),
     };
-    let mut site = Site::start(2, args.workers, |plan| plan.more = more.clone()).await?;
+    let mut site = Site::start(2, args.workers, |plan| {
+        plan.extra_settings = extra_settings.clone()
+    })
+    .await?;
     let switches = WorkerSwitches {
         task_ms: 60_000,
         ..WorkerSwitches::default()
@@ -76,24 +80,28 @@
         .put_entry(&entries::small("render", "batch"), None)
         .await?;
     let other = site.daemons[1].client();
-    until("jobs are taken at both", LIMIT, async || {
+    until("both daemons accept jobs", CONDITION_TIMEOUT, async || {
         client.submit_job("render").await.is_ok() && other.submit_job("render").await.is_ok()
     })
     .await?;
     for _ in 0..args.jobs {
         client.submit_job("render").await?;
     }
-    let dead = site.owner().await;
-    // Anywhere within a renewal's interval.
+    let killed = site.owner().await;
+    // Kills the owner at a random point within the interval of its lease renewals.
     tokio::time::sleep(Duration::from_millis(rand::random_range(0..1_000))).await;
-    site.daemons[dead].process.kill();
-    let died = Instant::now();
-    let survivor = &site.daemons[1 - dead];
+    site.daemons[killed].process.kill();
+    let killed_at = Instant::now();
+    let survivor = &site.daemons[1 - killed];
     let client = survivor.client();
-    until("the survivor starts a task", LIMIT, async || {
-        let _ = client.submit_job("render").await;
-        survivor.metric("lapisdrum_task_starts_total").await > 0
-    })
+    until(
+        "the remaining daemon starts a task",
+        CONDITION_TIMEOUT,
+        async || {
+            let _ = client.submit_job("render").await;
+            survivor.metric("lapisdrum_task_starts_total").await > 0
+        },
+    )
     .await?;
-    Ok(died.elapsed())
+    Ok(killed_at.elapsed())
 }
--- a/crates/lapisdrum-standins/src/platform/table.rs
+++ b/crates/lapisdrum-standins/src/platform/table.rs
@@ -1,28 +1,28 @@
-//! The transactional table, without I/O.
+//! An in-memory transactional table.
 
 use indexmap::IndexMap;
 use lapisdrum::store::wire::{Row, Txn, TxnConflict, TxnDone};
 use serde_json::Value;
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-struct Cell {
+struct VersionedValue {
     value: Value,
     version: u64,
 }
 
-/// Rows under keys; versions rise over the whole table and are never used again.
+/// Rows by key. Versions increase across the whole table and are never reused.
 #[derive(Clone, Debug, Default)]
 pub struct Table {
-    rows: IndexMap<String, Cell>,
+    rows: IndexMap<String, VersionedValue>,
     last_version: u64,
-    /// Transactions that wrote.
+    /// Committed transactions.
     pub writes: u64,
-    /// Reads of rows and lists.
+    /// Calls of [`Table::get`] and [`Table::list`].
     pub reads: u64,
 }
 
 impl Table {
-    /// Runs a transaction: all of it or nothing.
+    /// Commits a transaction, or returns the first key whose version differs from the expected one.
     pub fn txn(&mut self, txn: &Txn) -> Result<TxnDone, TxnConflict> {
         for compare in &txn.compare {
             let version = self.version(&compare.key);
@@ -45,30 +45,30 @@
         Ok(TxnDone { versions })
     }
 
-    /// Reads a row.
+    /// Reads a row and counts the read.
     pub fn get(&mut self, key: &str) -> Option<Row> {
         self.reads += 1;
-        self.rows.get(key).map(|cell| row(key, cell))
+        self.rows.get(key).map(|stored| row(key, stored))
     }
 
-    /// Reads the rows under a prefix in key order.
+    /// Reads the rows whose keys start with `prefix`, in key order.
     pub fn list(&mut self, prefix: &str) -> Vec<Row> {
         self.reads += 1;
         let found = self.rows.iter().filter(|(key, _)| key.starts_with(prefix));
-        let mut rows: Vec<Row> = found.map(|(key, cell)| row(key, cell)).collect();
+        let mut rows: Vec<Row> = found.map(|(key, stored)| row(key, stored)).collect();
         rows.sort_by(|a, b| a.key.cmp(&b.key));
         rows
     }
 
     fn version(&self, key: &str) -> u64 {
-        self.rows.get(key).map_or(0, |cell| cell.version)
+        self.rows.get(key).map_or(0, |stored| stored.version)
     }
 
     fn put(&mut self, key: &str, value: Value) -> u64 {
         self.last_version += 1;
         self.rows.insert(
             key.to_owned(),
-            Cell {
+            VersionedValue {
                 value,
                 version: self.last_version,
             },
@@ -77,10 +77,10 @@
     }
 }
 
-fn row(key: &str, cell: &Cell) -> Row {
+fn row(key: &str, stored: &VersionedValue) -> Row {
     Row {
         key: key.to_owned(),
-        value: cell.value.clone(),
-        version: cell.version,
+        value: stored.value.clone(),
+        version: stored.version,
     }
 }
--- a/crates/lapisdrum-standins/src/users/rows.rs
+++ b/crates/lapisdrum-standins/src/users/rows.rs
@@ -1,4 +1,4 @@
-//! The store: rows in tables and parts, changed by conditional transactions, and raw objects.
+//! The store: rows in tables and partitions, changed by conditional transactions, and raw objects.
 
 use actix_http::{Method, StatusCode};
 use actix_rt::net::TcpListener;
@@ -15,8 +15,8 @@
 };
 use tokio::sync::watch;
 
-/// Largest body of a call, in bytes.
-const BODY_BYTES: usize = 8 * 1024 * 1024;
+/// Largest body accepted, in bytes.
+const MAX_BODY_BYTES: usize = 8 * 1024 * 1024;
 
 #[derive(Clone, Debug)]
 struct RowValue {
@@ -24,17 +24,17 @@
     version: u64,
 }
 
-/// The store's contents and switches.
+/// The store's contents, counters and fault switch.
 #[derive(Debug)]
 pub struct RowStore {
-    /// By table, part and key.
+    /// By table, partition and key.
     rows: RefCell<BTreeMap<(String, String, String), RowValue>>,
     objects: RefCell<IndexMap<String, Bytes>>,
     version: Cell<u64>,
-    began: Instant,
-    /// Whether every call is answered with 503 and nothing done.
+    started_at: Instant,
+    /// Whether calls have no effect and are answered with 503.
     pub is_down: Cell<bool>,
-    /// Calls that were answered, by path.
+    /// Number of calls by path, without those answered with 503.
     pub calls: RefCell<IndexMap<String, u64>>,
 }
 
@@ -44,36 +44,37 @@
             rows: RefCell::default(),
             objects: RefCell::default(),
             version: Cell::new(0),
-            began: Instant::now(),
+            started_at: Instant::now(),
             is_down: Cell::new(false),
             calls: RefCell::default(),
         }
     }
 }
 
-fn text(value: &Value, field: &str) -> String {
+fn string_field(value: &Value, field: &str) -> String {
     value[field].as_str().unwrap_or_default().to_owned()
 }
 
 fn key_of(entry: &Value) -> (String, String, String) {
     (
-        text(entry, "table"),
-        text(entry, "part"),
-        text(entry, "key"),
+        string_field(entry, "table"),
+        string_field(entry, "part"),
+        string_field(entry, "key"),
     )
 }
 
 impl RowStore {
     /// Serves the store until `stop` turns true.
     pub async fn serve(self: Rc<Self>, listener: TcpListener, stop: watch::Receiver<bool>) {
-        http::serve(listener, BODY_BYTES, stop, move |read| {
+        http::serve(listener, MAX_BODY_BYTES, stop, move |read| {
             let store = Rc::clone(&self);
             async move { store.answer(read) }
         })
         .await;
     }
 
-    /// Writes a row as an operator or a worker does; `value` is the raw text, base64 is added here.
+    /// Writes a row into the unnamed partition, as an operator or a worker does; `value` is stored as
+    /// base64 of its JSON text.
     pub fn put(&self, table: &str, key: &str, value: &Value) {
         self.version.set(self.version.get() + 1);
         let row = RowValue {
@@ -84,14 +85,14 @@
         self.rows.borrow_mut().insert(at, row);
     }
 
-    /// Removes a row as the platform does.
+    /// Removes a row of the unnamed partition, as the platform does.
     pub fn remove(&self, table: &str, key: &str) {
         self.version.set(self.version.get() + 1);
         let at = (table.to_owned(), String::new(), key.to_owned());
         self.rows.borrow_mut().remove(&at);
     }
 
-    /// A row's value in any part, if it is there and is JSON.
+    /// The value of a row in the given partition, if it exists and is JSON.
     pub fn value(&self, table: &str, part: &str, key: &str) -> Option<Value> {
         let at = (table.to_owned(), part.to_owned(), key.to_owned());
         let rows = self.rows.borrow();
@@ -133,10 +134,10 @@
     }
 
     fn now_ms(&self) -> u64 {
-        self.began.elapsed().as_millis() as u64
+        self.started_at.elapsed().as_millis() as u64
     }
 
-    fn wire(&self, at: &(String, String, String), row: &RowValue) -> Value {
+    fn wire_row(&self, at: &(String, String, String), row: &RowValue) -> Value {
         json!({ "table": at.0, "part": at.1, "key": at.2, "value": row.value, "schemaVersion": row.version })
     }
 
@@ -147,23 +148,25 @@
         let list = |field: &str| body[field].as_array().cloned().unwrap_or_default();
         let (expect, put, remove) = (list("expect"), list("setKeys"), list("remove"));
         let all = expect.iter().chain(&put).chain(&remove);
-        let parts: std::collections::BTreeSet<String> = all.map(|e| text(e, "part")).collect();
+        let parts: std::collections::BTreeSet<String> =
+            all.map(|e| string_field(e, "part")).collect();
         if parts.len() > 1 || expect.len() + put.len() + remove.len() > 100 {
             return HttpResponse::empty(StatusCode::BAD_REQUEST);
         }
         if put
             .iter()
-            .any(|e| matches!(text(e, "table").as_str(), "op" | "servers"))
+            .any(|e| matches!(string_field(e, "table").as_str(), "op" | "servers"))
         {
             return HttpResponse::empty(StatusCode::FORBIDDEN);
         }
         let mut rows = self.rows.borrow_mut();
         let version_of = |entry: &Value| rows.get(&key_of(entry)).map_or(0, |row| row.version);
-        let holds = |entry: &Value| entry["schemaVersion"].as_u64() == Some(version_of(entry));
-        if !expect.iter().all(holds) {
+        let is_expected_version =
+            |entry: &Value| entry["schemaVersion"].as_u64() == Some(version_of(entry));
+        if !expect.iter().all(is_expected_version) {
             let found = expect.iter().filter_map(|entry| {
                 let at = key_of(entry);
-                Some(self.wire(&at, rows.get(&at)?))
+                Some(self.wire_row(&at, rows.get(&at)?))
             });
             let found: Vec<Value> = found.collect();
             let answer = json!({ "rows": found, "schemaVersion": self.version.get(), "nowMs": self.now_ms() });
@@ -172,7 +175,7 @@
         self.version.set(self.version.get() + 1);
         for entry in &put {
             let row = RowValue {
-                value: text(entry, "value"),
+                value: string_field(entry, "value"),
                 version: self.version.get(),
             };
             rows.insert(key_of(entry), row);
@@ -193,7 +196,7 @@
             .iter()
             .filter(|(at, _)| at.0 == table && at.1 == part && at.2 >= from)
             .take(limit + 1)
-            .map(|(at, row)| self.wire(at, row))
+            .map(|(at, row)| self.wire_row(at, row))
             .collect();
         let has_more = found.len() > limit;
         found.truncate(limit);
--- a/examples/quickstart.rs
+++ b/examples/quickstart.rs
@@ -1,8 +1,8 @@
-//! The whole path on one machine, with stand-ins embedded and nothing to set up.
+//! Runs the scheduler end to end in one process, with embedded stand-ins and no setup.
 //!
-//! A platform, two workers and two daemons run in this process. An operator adds three entries
-//! through one daemon; a caller's request goes through the other; a batch job runs to its end; a
-//! long-running task starts in one place and keeps running. At the end stands the time line.
+//! The process contains a platform, two workers and two daemons. An operator adds three entries
+//! through one daemon, a caller sends a request through the other, a batch job runs to its end, and a
+//! long-running task keeps running on one worker. The timeline is printed at the end.
 
 use actix_rt::net::TcpListener;
 use eyre::{Context as _, Result, bail, ensure};
@@ -25,7 +25,7 @@
 const CATALOGUE: &str = include_str!("catalogue.toml");
 const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 const STEP_TIMEOUT: Duration = Duration::from_secs(20);
-const POLL: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 fn main() -> Result<()> {
     actix_rt::System::new().block_on(quickstart())
@@ -33,7 +33,7 @@
 
 async fn quickstart() -> Result<()> {
     let (stop, stopped) = watch::channel(false);
-    // Outlives the daemons, which give their shards up through it.
+    // The platform outlives the daemons, which release their shards through it.
     let (_platform_stop, platform_stopped) = watch::channel(false);
     let platform = start_platform(&platform_stopped).await?;
     let daemons = [
@@ -153,12 +153,13 @@
     let names = file.entry.iter().map(|raw: &RawEntry| raw.name.as_str());
     ensure!(
         names.count() == 3,
-        "the example catalogue has three entries"
+        "the example catalogue must have three entries"
     );
     Ok(file)
 }
 
-/// Asks until the entry is in force at the daemon and it has floors, then returns the answer.
+/// Sends the request until the daemon has the entry in force and holds floors (worker capacity) for
+/// it, then returns the answer.
 async fn ask_for_map(address: &str) -> Result<String> {
     let http = awc::Client::builder().timeout(CALL_TIMEOUT).finish();
     let deadline = tokio::time::Instant::now() + STEP_TIMEOUT;
@@ -172,7 +173,7 @@
             let body = answer.body().await?;
             return Ok(String::from_utf8_lossy(&body).into_owned());
         }
-        tokio::time::sleep(POLL).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
     bail!("no answer to the route map within {STEP_TIMEOUT:?}")
 }
@@ -183,18 +184,18 @@
         match client.submit_job(entry).await {
             Ok(job) => return Ok(job.job.to_string()),
             Err(e) if tokio::time::Instant::now() > deadline => return Err(e.into()),
-            Err(_) => tokio::time::sleep(POLL).await,
+            Err(_) => tokio::time::sleep(POLL_INTERVAL).await,
         }
     }
 }
 
-async fn until(what: &str, mut holds: impl AsyncFnMut() -> bool) -> Result<()> {
+async fn until(what: &str, mut condition: impl AsyncFnMut() -> bool) -> Result<()> {
     let deadline = tokio::time::Instant::now() + STEP_TIMEOUT;
     while tokio::time::Instant::now() < deadline {
-        if holds().await {
+        if condition().await {
             return Ok(());
         }
-        tokio::time::sleep(POLL).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
-    bail!("not within {STEP_TIMEOUT:?}: {what}")
+    bail!("timed out after {STEP_TIMEOUT:?} waiting until {what}")
 }
