--- a/tests/testsuite/main.rs
+++ b/tests/testsuite/main.rs
@@ -1,4 +1,4 @@
-//! The one test binary: a module a subject.
+//! The integration tests, in one binary to keep link times short.
 
 mod attribution;
 mod bad_input;
--- a/tests/testsuite/policy/admission.rs
+++ b/tests/testsuite/policy/admission.rs
@@ -1,4 +1,4 @@
-//! No limit is exceeded at any instant.
+//! Concurrency and rate limits hold at all times.
 
 use super::{entry, owner};
 use assert_matches::assert_matches;
@@ -33,7 +33,7 @@
 }
 
 proptest! {
-    /// However a limit is divided, the parts add up to it, and a daemon more or less never gains.
+    /// The parts of a limit add up to it, and a daemon beyond the number of parts gets none.
     #[test]
     fn parts_add_up_to_the_limit(whole in 0..100_000_u32, parts in 1..300_u32) {
         let sum: u32 = (0..parts).map(|index| split_evenly(whole, parts, index)).sum();
@@ -50,8 +50,8 @@
         prop_assert_eq!(shares.iter().map(|s| s.queue).sum::<u32>(), queue);
     }
 
-    /// Runs of an entry stay within its share, and those of an owner within its quota, whatever the
-    /// order of starts, ends and changed shares. A share lowered below what runs lets nothing start.
+    /// Runs stay within the share of their entry and the quota of their owner, in any order of
+    /// starts, ends and changed shares. Nothing starts while a share is below what already runs.
     #[test]
     fn runs_stay_within_share_and_quota(acts in prop::collection::vec(act(), 1..200)) {
         let entries = [entry("a"), entry("b"), entry("c")];
@@ -82,8 +82,8 @@
         }
     }
 
-    /// In no span of one second are more requests let in than the rate, however they arrive, and a
-    /// steady stream at the rate is let in whole.
+    /// No span of one second admits more requests than the rate, and a request that fits is always
+    /// admitted.
     #[test]
     fn no_second_exceeds_the_rate(rate in 1..20_u32, gaps in prop::collection::vec(0..300_u64, 1..400)) {
         let (entry, owner) = (entry("a"), owner("one"));
@@ -105,7 +105,8 @@
     }
 }
 
-/// A caller refused for its owner's rate must not have used up a part of its entry's rate.
+/// Guards against a request refused for its owner's rate that still counts against its entry's
+/// rate.
 #[test]
 fn a_refusal_charges_nobody() {
     let (entry, owner) = (entry("a"), owner("one"));
@@ -129,7 +130,7 @@
     );
 }
 
-/// Ten thousand entries that were busy once must not be remembered for ever.
+/// Guards against memory that grows with every entry that ever had a request.
 #[test]
 fn idle_entries_are_forgotten() {
     let owner = owner("one");
--- a/tests/testsuite/policy/drain.rs
+++ b/tests/testsuite/policy/drain.rs
@@ -1,4 +1,4 @@
-//! The measured drain rate, and returns that spread.
+//! The measured drain rate of a queue, and retry times spread over the time that it takes to drain.
 
 use super::seeded;
 use lapisdrum::{
@@ -8,8 +8,8 @@
 use proptest::prelude::*;
 use std::time::Duration;
 
-/// A queue that is empty nine tenths of the time and drains a hundred a second while it is not: the
-/// idle time must not make it look slow.
+/// Guards against idle time that lowers the drain rate: the queue is empty nine tenths of the time
+/// and drains 100 items a second otherwise.
 #[test]
 fn idle_time_does_not_count() {
     let mut rate = DrainRate::default();
@@ -27,8 +27,8 @@
     assert!((95.0..105.0).contains(&measured), "{measured}");
 }
 
-/// All workers hang: nothing is started any more, and the measured rate falls while the queue waits,
-/// instead of promising callers the rate of a minute ago.
+/// Guards against a drain rate that stays high while all workers hang and the queue waits; callers
+/// would get retry times based on the rate before.
 #[test]
 fn a_queue_that_stands_still_looks_slow() {
     let mut rate = DrainRate::default();
@@ -43,9 +43,9 @@
     assert!(after < before / 10.0, "{before} and {after}");
 }
 
-/// A thousand callers are refused in the same moment by a queue that drains a hundred a second. Told
-/// one fixed time they would all return together; here no half second gets more than twice what
-/// it can serve, and nobody is sent away for more than the longest time.
+/// Guards against refused callers that all retry together: 1000 are refused at once by a queue that
+/// drains 100 a second. No half second gets more than twice what can be served in it, and no retry
+/// time exceeds the maximum.
 #[test]
 fn returns_are_spread_over_the_time_that_serving_them_takes() {
     let mut rng = seeded(3);
@@ -67,7 +67,8 @@
 }
 
 proptest! {
-    /// Whatever is measured, a caller comes back after the shortest and before the longest time.
+    /// The retry time stays between its minimum and its maximum plus jitter, whatever the measured
+    /// rate.
     #[test]
     fn returns_are_bounded(
         seed in any::<u64>(),
--- a/tests/testsuite/policy/eviction.rs
+++ b/tests/testsuite/policy/eviction.rs
@@ -1,4 +1,4 @@
-//! Throttle before evict, the right task, and never to and fro.
+//! Throttling before eviction, the choice of the task, and no oscillation.
 
 use super::{job, seeded, worker};
 use lapisdrum::{
@@ -23,9 +23,9 @@
     }
 }
 
-/// A wave of renders slows the maps. The first reports throttle the worst of them; nothing more is
-/// done until that has had time to show, and only then, with the maps still slow, the others, and at
-/// last one is evicted.
+/// Guards against evicting a task that throttling would have been enough for: renders slow the
+/// maps, and each step is taken only once the one before had time to show. The task with the most
+/// harm is throttled first, then the other; eviction comes last.
 #[test]
 fn a_task_is_throttled_before_any_is_evicted() {
     let (quiet, noisy) = (job(0), job(1));
@@ -61,8 +61,8 @@
     }
 }
 
-/// Six renders are known to slow the maps by a half each. All that are needed are throttled at once:
-/// one at a time, the wave would be over first.
+/// Guards against a wave that ends before enough tasks are throttled: each of six renders slows the
+/// maps by a half, and as many as needed are throttled in one step.
 #[test]
 fn a_wave_is_throttled_at_once() {
     let jobs: Vec<JobId> = (0..6).map(job).collect();
@@ -81,8 +81,8 @@
     );
 }
 
-/// A host that is busy but out of distress: a throttled task runs at full speed again when that leaves
-/// the host out of distress, and stays throttled when it would not.
+/// On a busy host out of distress a throttled task is released if the host then stays out of
+/// distress, and stays throttled otherwise.
 #[test]
 fn a_throttle_is_undone_only_where_there_is_room() {
     let (mild, noisy) = (job(0), job(1));
@@ -110,7 +110,7 @@
     assert_eq!(steps, [MitigationStep::Release(mild)]);
 }
 
-/// The least important goes first; among equals the one that loses least work.
+/// The task of the lowest priority is evicted; among equals the one that loses the least work.
 #[test]
 fn the_cheapest_task_is_evicted() {
     let (a, b, c) = (job(0), job(1), job(2));
@@ -134,7 +134,7 @@
     assert_eq!(chosen.map(|t| t.job), Some(&c));
 }
 
-/// Services and long-running tasks are never evicted for relief: a livestream has one place.
+/// Services and long-running tasks are never evicted to mitigate interference.
 #[test]
 fn only_batch_work_is_moved() {
     let stream = job(0);
@@ -145,7 +145,8 @@
     assert!(select_for_eviction(&tasks, &EvictionMemory::default(), Millis(0)).is_none());
 }
 
-/// An evicted render isn't put back where it came from, and its next host doesn't evict it at once.
+/// Guards against tasks that are moved back and forth: an evicted task is neither placed on the
+/// same worker soon, nor evicted again soon.
 #[test]
 fn an_evicted_task_does_not_go_to_and_fro() {
     let (render, home) = (job(0), worker(0));
@@ -167,8 +168,8 @@
 }
 
 proptest! {
-    /// Whatever is reported, however late: at most one step in the settling time, and a task is
-    /// never evicted twice within the time for which it is spared.
+    /// However late the reports are, there is at most one step within the settle time, and no task
+    /// is evicted twice within the cooldown.
     #[test]
     fn steps_keep_their_pace(seed in any::<u64>()) {
         let mut rng = seeded(seed);
--- a/tests/testsuite/policy/headroom.rs
+++ b/tests/testsuite/policy/headroom.rs
@@ -1,4 +1,4 @@
-//! Slots that long runs leave to shorter ones.
+//! Slots that long runs leave free for short ones.
 
 use super::entry;
 use lapisdrum::{
@@ -11,8 +11,8 @@
 const SHORT: Duration = Duration::from_millis(20);
 const LONG: Duration = Duration::from_secs(1);
 
-/// Short requests have needed 30 of 64 slots for a while. In a moment in which none of them waits,
-/// long ones may take what is beyond that and its swings, and no more.
+/// Guards against long runs that take the slots of short requests while none of these waits: short
+/// ones needed 30 of 64 slots, so long ones may take only what exceeds that and its variation.
 #[test]
 fn long_runs_leave_what_short_ones_are_about_to_need() {
     let (short, long) = (entry("short"), entry("long"));
@@ -28,7 +28,8 @@
     assert!(!may_start(30));
 }
 
-/// Short requests need every slot. The long entry still gets half of its fair share.
+/// Guards against starvation: short requests need every slot, and the long entry still gets half of
+/// its fair share.
 #[test]
 fn a_long_entry_is_not_starved() {
     let mut headroom = Headroom::default();
@@ -46,7 +47,8 @@
     assert!((16..=33).contains(&started), "{started}");
 }
 
-/// The short entry has gone quiet: after some half-lives the long one may use every slot.
+/// The short entry has no requests any more: after several half-lives the long one may use every
+/// slot.
 #[test]
 fn what_is_no_longer_needed_is_given_back() {
     let mut headroom = Headroom::default();
@@ -61,7 +63,8 @@
 }
 
 proptest! {
-    /// Entries that run alike keep nothing from each other: any free slot may be taken.
+    /// Entries with similar run times reserve nothing against each other: any free slot may be
+    /// taken.
     #[test]
     fn entries_that_run_alike_share_every_slot(a in 0..64_u32, b in 0..64_u32) {
         let mut headroom = Headroom::default();
--- a/tests/testsuite/policy/health.rs
+++ b/tests/testsuite/policy/health.rs
@@ -1,4 +1,4 @@
-//! Workers that fail everything are told apart from jobs that fail everywhere.
+//! Telling workers that fail every job from jobs that fail on every worker.
 
 use super::{entry, job, seeded, worker};
 use lapisdrum::{
@@ -13,8 +13,8 @@
 
 const POOL: usize = 12;
 
-/// One worker fails every task it starts within a second, so it is always free and draws the next.
-/// After three distinct jobs it is set aside, and the jobs run elsewhere without blame.
+/// Guards against a worker that fails every task within a second, is therefore always free and gets
+/// the next one. It is ejected after three distinct jobs failed there.
 #[test]
 fn a_worker_that_fails_everything_is_set_aside() {
     let mut health = Health::default();
@@ -35,8 +35,8 @@
     );
 }
 
-/// A job that can never run is tried on worker after worker. The job is named at fault, no worker is
-/// set aside, and none has to answer for it later.
+/// Guards against ejecting workers for a job that can never run: the job is at fault, and its
+/// failures do not count against the workers later.
 #[test]
 fn a_job_that_fails_everywhere_sets_no_worker_aside() {
     let mut health = Health::default();
@@ -54,8 +54,8 @@
     assert_eq!(health.ejected_count(Millis(0)), 0);
 }
 
-/// A broken release: a hundred jobs of one entry are tried, none succeeds. The first worker may be
-/// suspected for it, but not one after another.
+/// Guards against a broken release that ejects worker after worker: 100 jobs of one entry run and
+/// none succeeds.
 #[test]
 fn an_entry_that_fails_everywhere_sets_few_workers_aside() {
     let mut health = Health::default();
@@ -66,8 +66,8 @@
     assert_eq!(health.ejected_count(Millis(100)), 0);
 }
 
-/// The worker comes back with one task at a time: a failure sends it away for longer, a success
-/// clears it.
+/// An ejected worker returns on probation, with one task at a time: a failure ejects it for longer,
+/// a success makes it healthy.
 #[test]
 fn a_worker_comes_back_slowly() {
     let mut health = Health::default();
@@ -94,8 +94,8 @@
     assert_eq!(health.worker_state(&worker(0), back), WorkerState::Healthy);
 }
 
-/// Three broken workers fail the same three jobs one after another. Each is set aside, and no job is
-/// condemned for it: a worker that is aside is no witness against a job.
+/// Guards against blaming jobs for broken workers: three workers fail the same three jobs one after
+/// another. Failures on an ejected worker do not count against a job.
 #[test]
 fn bad_workers_do_not_condemn_a_job() {
     let mut health = Health::default();
@@ -111,7 +111,7 @@
 }
 
 proptest! {
-    /// Whatever fails, at most a third of the workers are aside.
+    /// At most a third of the workers are ejected at any time.
     #[test]
     fn a_share_of_the_pool_is_kept(seed in any::<u64>(), pool in 1..20_usize) {
         let mut rng = seeded(seed);
--- a/tests/testsuite/policy/hysteresis.rs
+++ b/tests/testsuite/policy/hysteresis.rs
@@ -1,4 +1,4 @@
-//! Changes keep pace with a signal that lags.
+//! A switch with hysteresis, driven by a signal that lags.
 
 use lapisdrum::{
     core::time::Millis,
@@ -15,8 +15,8 @@
     settle_time: Duration::from_secs(10),
 };
 
-/// A change takes ten seconds to show. The reports until then still show the time before it; acted
-/// upon, they would turn the switch to and fro.
+/// Guards against oscillation: a change takes ten seconds to show, and reports measured before that
+/// still show the state before the change. They are ignored.
 #[test]
 fn reports_from_before_the_last_change_are_passed_over() {
     let mut switch = Switch::default();
@@ -31,7 +31,7 @@
     assert!(switch.report(&CONFIG, 1.0, Millis(19_000), Millis(24_000)));
 }
 
-/// The same report read twice is one report.
+/// Guards against one report that is read several times and counted each time.
 #[test]
 fn a_repeated_report_counts_once() {
     let mut switch = Switch::default();
@@ -41,7 +41,7 @@
 }
 
 proptest! {
-    /// Whatever is reported, and however late, the switch turns at most once in its settling time.
+    /// The switch changes at most once within its settle time, however late the reports are.
     #[test]
     fn it_never_swings(reports in prop::collection::vec((0.5..3.0_f64, 0..9_000_u64), 1..300)) {
         let mut switch = Switch::default();
--- a/tests/testsuite/policy/mod.rs
+++ b/tests/testsuite/policy/mod.rs
@@ -1,4 +1,4 @@
-//! The decisions under load: properties of each, and stories judged by what callers receive.
+//! Property tests of each load-control policy, and load scenarios judged by what callers receive.
 
 mod admission;
 mod drain;
--- a/tests/testsuite/policy/outliers.rs
+++ b/tests/testsuite/policy/outliers.rs
@@ -1,4 +1,4 @@
-//! Slow and failing workers are set aside, and a share of the pool is kept.
+//! Ejection of slow and failing workers, up to a share of the pool.
 
 use super::{seeded, worker};
 use lapisdrum::{
@@ -26,7 +26,7 @@
 }
 
 proptest! {
-    /// Whatever workers answer, at most a third of them are aside at any time.
+    /// At most a third of the workers are ejected at any time.
     #[test]
     fn a_share_of_the_pool_is_kept(seed in any::<u64>(), pool in 1..20_usize) {
         let mut rng = seeded(seed);
@@ -70,8 +70,8 @@
     assert_eq!(outliers.draw_share(&worker(0), Millis(0)), 0.0);
 }
 
-/// The load doubles and every worker takes three times as long: nobody is to blame, nobody is set
-/// aside.
+/// Guards against ejections under general overload: every worker takes three times as long, so none
+/// is an outlier.
 #[test]
 fn a_general_slowdown_sets_nobody_aside() {
     let mut outliers = sound_pool();
@@ -82,8 +82,8 @@
     }
 }
 
-/// A worker that comes back takes part in few draws at first, and in all of them after the ramp. One
-/// that is still slow goes away for twice as long.
+/// A worker whose ejection ended is drawn seldom at first, and as often as the others after the
+/// ramp-up. If it is still slow, the next ejection lasts twice as long.
 #[test]
 fn a_worker_comes_back_slowly() {
     let mut outliers = sound_pool();
--- a/tests/testsuite/policy/placement.rs
+++ b/tests/testsuite/policy/placement.rs
@@ -1,4 +1,4 @@
-//! A task goes where it fits, harms least, and apart from its like.
+//! The choice of a host by free capacity, expected slowdown and spread over racks.
 
 use super::{entry, seeded, worker};
 use lapisdrum::{
@@ -55,7 +55,8 @@
     }
 }
 
-/// Ten reports each of how much one `noisy` neighbour slows these kinds, in thousandths.
+/// Notes ten reports for each of `slowed`: its slowdown beside one `noisy` neighbour, in
+/// thousandths.
 fn learn(known: &mut SlowdownModel, noisy: Kind, slowed: &[(Kind, u32)]) {
     for i in 0..10 {
         for (kind, slowdown_permille) in slowed {
@@ -73,7 +74,7 @@
 }
 
 proptest! {
-    /// A host is chosen exactly when one fits, and the chosen one fits in every dimension.
+    /// A host is chosen if and only if one fits, and the chosen one fits in every dimension.
     #[test]
     fn only_hosts_that_fit_are_chosen(
         frees in prop::collection::vec((0..32_u64, 0..1_000_u64, 0..2_u64), 0..80),
@@ -97,7 +98,8 @@
     }
 }
 
-/// Small tasks go to the host that is fullest, so that a whole host stays free for a large one.
+/// Guards against small tasks on empty hosts, which leave no whole host for a large task: the
+/// fullest host that fits is chosen.
 #[test]
 fn small_tasks_leave_room_for_large_ones() {
     let (racks, workers) = (racks(1), [worker(0), worker(1), worker(2)]);
@@ -117,8 +119,8 @@
     assert_eq!(chosen, Some(1));
 }
 
-/// Renders slow route maps to three times their run time and leave the checks alone. Before that was
-/// measured a render goes to the tighter fit, beside the maps; afterwards it goes beside the checks.
+/// Renders slow route maps to three times their run time and do not slow the checks. Without
+/// reports a render goes to the tighter fit, beside the maps; with them it goes beside the checks.
 #[test]
 fn a_noisy_task_is_kept_from_the_service() {
     let mut known = SlowdownModel::default();
@@ -155,7 +157,7 @@
     );
 }
 
-/// Nothing is known of a task yet. It is tried beside batch work rather than beside a service.
+/// A task without any reports is placed beside batch work rather than beside a service.
 #[test]
 fn unknown_work_is_not_tried_on_a_service_first() {
     let mut known = SlowdownModel::default();
@@ -187,8 +189,8 @@
     );
 }
 
-/// Eight streams of one entry over four racks of equal hosts: two in each, so that a switch that
-/// fails takes two of them and not eight.
+/// Guards against a rack failure that takes all tasks of an entry: eight streams over four racks of
+/// equal hosts are placed two in each.
 #[test]
 fn tasks_of_an_entry_are_spread_over_racks() {
     let (racks, workers) = (racks(4), (0..8).map(worker).collect::<Vec<_>>());
@@ -220,8 +222,8 @@
     assert_eq!(in_rack, [2; 4]);
 }
 
-/// Renders triple the time of route maps, and every host runs maps. A render waits rather than go
-/// there; a livestream, which has to run, is placed all the same.
+/// Renders slow route maps to three times their run time, and every host runs maps. A batch render
+/// waits; a long-running task is placed all the same.
 #[test]
 fn batch_waits_rather_than_slow_a_service() {
     let mut known = SlowdownModel::default();
@@ -265,8 +267,8 @@
     assert_eq!(stream, Some(0));
 }
 
-/// Renders slow route maps by a third, which is within what batch work may cause, and leave the checks
-/// alone: they still go beside the checks while there is room.
+/// Renders slow route maps by 30 %, which batch work may, and do not slow the checks. They go
+/// beside the checks where those fit, and otherwise beside the maps.
 #[test]
 fn a_mildly_noisy_task_goes_where_it_harms_less() {
     let mut known = SlowdownModel::default();
--- a/tests/testsuite/policy/polling.rs
+++ b/tests/testsuite/policy/polling.rs
@@ -1,17 +1,17 @@
-//! Many processes that poll one store of a fixed rate.
+//! Many processes that poll one store of a fixed request rate.
 
 use super::seeded;
 use lapisdrum::policy::polling::{PollRate, urgent_pause};
 use rand::{Rng, rngs::StdRng};
 use std::{cmp::Reverse, collections::BinaryHeap, time::Duration};
 
-/// Usual pauses between two reads of a lease, and of the catalogue.
+/// Configured pauses between two reads of a lease, and of the catalogue.
 const LEASE: Duration = Duration::from_millis(150);
 const CATALOGUE: Duration = Duration::from_millis(600);
-/// Longest time that a read takes; it differs from call to call.
+/// Upper bound of the duration of a read, which is drawn at random.
 const CALL: Duration = Duration::from_millis(20);
 const LENGTH: Duration = Duration::from_secs(60);
-/// What happens while the processes find the store's rate out doesn't count.
+/// Warm-up that is left out of the results: the processes still estimate the store's rate.
 const SETTLED: Duration = Duration::from_secs(5);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -20,26 +20,26 @@
     Catalogue,
 }
 
-/// What a run showed once the processes had settled.
+/// Results after the warm-up.
 #[derive(Debug, Default)]
 struct Seen {
-    /// The longest time between two reads of the catalogue by one process.
+    /// Longest time between two answered reads of the catalogue by one process.
     oldest_catalogue: Duration,
-    /// Parts of all reads, in thousandths.
+    /// Refused reads per thousand reads.
     refused_permille: usize,
     lease_reads: usize,
 }
 
-/// A store that answers so many reads a second, a few at once, and refuses the rest.
+/// A store with a token bucket: reads beyond its rate and burst are refused.
 struct Store {
     rate: f64,
-    /// Reads that it would answer at once.
+    /// Reads that would be answered now.
     tokens: f64,
     at: Duration,
 }
 
 impl Store {
-    /// Most reads that are answered at once, as a part of a second's.
+    /// Size of the token bucket, in seconds of the rate.
     const BURST: f64 = 0.05;
 
     fn new(rate: usize) -> Self {
@@ -104,8 +104,9 @@
     seen
 }
 
-/// Guards against a change of the catalogue that some of three hundred processes don't read for seconds, since reads of
-/// leases use the store's rate up. In force within 2 s is asked for; a read may come just before the change.
+/// Guards against catalogue changes that some of 300 processes read seconds late because reads of
+/// leases use up the store's rate. A change has to be in force within 2 s; a read may come just
+/// before it.
 #[test]
 fn the_catalogue_is_read_in_time_however_many_processes_poll() {
     for seed in 0..3 {
@@ -120,7 +121,7 @@
     }
 }
 
-/// Guards against leases that are looked at too seldom where the store has the rate for it.
+/// Guards against leases that are polled too seldom although the store has the rate for it.
 #[test]
 fn nothing_slows_down_below_the_rate() {
     let fixed = play(30, 2_000, false, &mut seeded(1));
@@ -129,7 +130,8 @@
     assert!(adapting.lease_reads * 100 >= fixed.lease_reads * 99);
 }
 
-/// Guards against a process that looks at leases seldom long after the store turned it away for a while.
+/// Guards against a process that still polls leases slowly long after the store stopped refusing
+/// its reads.
 #[test]
 fn a_process_that_was_turned_away_is_soon_back_at_its_pace() {
     let mut rate = PollRate::default();
--- a/tests/testsuite/policy/queueing.rs
+++ b/tests/testsuite/policy/queueing.rs
@@ -67,8 +67,8 @@
 }
 
 proptest! {
-    /// Whatever comes and goes: no entry has more waiting than its bound, each item leaves exactly
-    /// once (started, given up, or removed), and none is started that can't be finished in time.
+    /// No entry has more items waiting than its bound, each item leaves exactly once (started,
+    /// expired or removed), and none is started that cannot finish by its deadline.
     #[test]
     fn each_item_leaves_once_and_bounds_hold(acts in prop::collection::vec(act(), 1..300)) {
         let mut rng = seeded(1);
@@ -115,8 +115,8 @@
         }
     }
 
-    /// Two owners always have work waiting. Whatever their weights and however many callers each
-    /// has, starts are in proportion to the weights: no owner is starved, none gains by numbers.
+    /// Two owners always have items waiting: starts are in proportion to their weights, whatever
+    /// the number of their callers.
     #[test]
     fn owners_share_by_weight(a in 1..20_u32, b in 1..20_u32, callers in 1..30_u64) {
         let mut queue: Queue<usize> = Queue::default();
@@ -132,7 +132,7 @@
         prop_assert!((f64::from(served[0]) - expected).abs() <= 3.0, "{:?} for {} and {}", served, a, b);
     }
 
-    /// Owners whose runs take different times share run time, not starts.
+    /// Owners with different run times share run time, not starts.
     #[test]
     fn long_runs_count_for_more(times in 2..30_u32) {
         let mut queue: Queue<usize> = Queue::default();
@@ -148,7 +148,8 @@
         prop_assert!((short - long).abs() <= f64::from(times) * 2.0, "{} and {}", short, long);
     }
 
-    /// Batch work behind an endless line of latency-critical work is started once in so many turns.
+    /// Guards against starvation: batch items behind an endless queue of latency-critical ones are
+    /// started once every `BACKGROUND_START_INTERVAL` starts.
     #[test]
     fn batch_is_not_starved(turns in 1..20_u32) {
         let mut queue: Queue<bool> = Queue::default();
@@ -161,8 +162,8 @@
     }
 }
 
-/// A technician's check is due in 50 ms, another's in a second; both have had nothing yet. The one
-/// that is due first goes first although it came last.
+/// Of two callers that have had no start yet, the one with the earlier deadline is served first,
+/// although it came last.
 #[test]
 fn the_earliest_deadline_goes_first() {
     let mut queue: Queue<&str> = Queue::default();
@@ -178,7 +179,7 @@
     assert_eq!(take(&mut queue, Millis(0)), Some("batch"));
 }
 
-/// A queue of four places, all of them taken by the entry's caller 1.
+/// A queue with a bound of four, filled by caller 1 of the entry.
 fn full_of_one_caller() -> Queue<u32> {
     let mut queue: Queue<u32> = Queue::default();
     for n in 0..4 {
@@ -195,8 +196,8 @@
     queue
 }
 
-/// One caller fills the entry's queue. Another caller's first request is not refused for it: the
-/// full queue gives up the hot caller's last, who is told at once.
+/// Guards against one caller that fills an entry's queue and shuts the others out: the first
+/// request of another caller displaces the last one of the hot caller, which is refused at once.
 #[test]
 fn a_hot_caller_does_not_shut_others_out() {
     let mut queue = full_of_one_caller();
@@ -218,8 +219,8 @@
     assert_eq!(queue.waiting_of(&entry("map")), 4);
 }
 
-/// A daemon's share of an entry's queue is lowered while the queue is full: it shrinks as items leave,
-/// and no place is handed from one caller to another meanwhile.
+/// A bound lowered while the queue is full takes effect as items leave; until then no item of one
+/// caller is displaced for another's.
 #[test]
 fn a_lowered_bound_holds_from_then_on() {
     let mut queue = full_of_one_caller();
@@ -232,8 +233,8 @@
     assert_eq!(queue.waiting_of(&entry("map")), 4);
 }
 
-/// The queue drains a hundred a second and fifty wait. A caller whose deadline is in 300 ms is
-/// refused at once; left in line it would have been given up 300 ms later.
+/// Guards against requests that wait only to expire: 50 items wait and 100 drain per second, so a
+/// deadline in 300 ms is refused at once.
 #[test]
 fn what_cannot_be_in_time_is_refused_at_once() {
     let mut queue: Queue<u32> = Queue::default();
@@ -254,9 +255,9 @@
     assert_matches!(put, EnqueueOutcome::Waiting { .. });
 }
 
-/// The queue has stood for a quarter of a second: load is beyond capacity, and a longer line serves
-/// nobody more. Whoever would wait for longer than a run takes is refused; a caller with nothing in
-/// line still gets in.
+/// The queue has been standing for more than `STANDING_QUEUE_AFTER`, so the load exceeds the
+/// capacity and waiting longer does not help. A caller with items waiting is refused; one with none
+/// is still accepted.
 #[test]
 fn a_standing_queue_is_kept_short() {
     let mut queue: Queue<u32> = Queue::default();
@@ -278,8 +279,7 @@
     assert_matches!(put, EnqueueOutcome::Waiting { .. });
 }
 
-/// An item whose deadline passes in line is given up in the first millisecond in which it can't be
-/// finished any more, and its caller is told then.
+/// A waiting item expires in the first millisecond in which it cannot finish by its deadline.
 #[test]
 fn an_item_is_given_up_as_soon_as_it_is_too_late() {
     let mut queue: Queue<u32> = Queue::default();
@@ -300,7 +300,7 @@
     assert!(queue.is_empty());
 }
 
-/// An entry at its concurrency limit does not hold up the others behind it.
+/// An entry at its concurrency limit does not block the entries behind it.
 #[test]
 fn an_entry_at_its_limit_is_passed_over() {
     let mut queue: Queue<&str> = Queue::default();
@@ -312,7 +312,7 @@
     assert_matches!(next, None);
 }
 
-/// A flow that was away for long must not claim the turns that it did not use.
+/// Guards against a flow that saves up turns while it is idle and then claims them all at once.
 #[test]
 fn idleness_is_not_saved_up() {
     let mut queue: Queue<&str> = Queue::default();
--- a/tests/testsuite/policy/retry.rs
+++ b/tests/testsuite/policy/retry.rs
@@ -1,11 +1,12 @@
-//! Retries are safe and bounded.
+//! Which requests may be retried, and how many.
 
 use lapisdrum::policy::retry::{
     Failure, MAX_SAVED_RETRIES, RETRIES_PER_SUCCESS, RetryBudget, is_retry_safe,
 };
 use proptest::prelude::*;
 
-/// A certificate check may have run: sent again, the caller could get two certificate numbers.
+/// Guards against a certificate check that runs twice and yields two certificate numbers: a request
+/// that may have run is not retried.
 #[test]
 fn only_what_did_not_run_or_is_idempotent_is_sent_again() {
     assert!(is_retry_safe(Failure::NotRun, false));
@@ -16,8 +17,8 @@
 }
 
 proptest! {
-    /// Over any course of successes and failures, retries are at most the saved ones and a tenth of
-    /// the successes: workers that turn everything away are not sent it all over again.
+    /// Guards against a retry storm when workers refuse everything: retries never exceed the saved
+    /// ones plus a tenth of the successes.
     #[test]
     fn retries_add_at_most_a_tenth(course in prop::collection::vec(any::<bool>(), 1..2_000)) {
         let mut budget = RetryBudget::default();
@@ -37,7 +38,7 @@
     }
 }
 
-/// One worker in sixty dies: every request that met it is sent again, none is given up.
+/// One request in sixty fails because its worker died: each is retried.
 #[test]
 fn a_few_failures_are_all_retried() {
     let mut budget = RetryBudget::default();
--- a/tests/testsuite/policy/routing.rs
+++ b/tests/testsuite/policy/routing.rs
@@ -1,4 +1,4 @@
-//! The choice of a worker by outstanding work and recent latency.
+//! The choice of a worker by outstanding requests and recent latency.
 
 use super::{entry, seeded, worker};
 use lapisdrum::{
@@ -19,7 +19,7 @@
     .collect()
 }
 
-/// Sends one request to each of the workers, which takes `ms` on all but the first.
+/// Sends one request to each worker, answered after `ms`, or `first_ms` by the first worker.
 fn exchange(routing: &mut Routing, workers: &[WorkerId], ms: u64, first_ms: u64, at: Millis) {
     let map = entry("map");
     for (i, worker) in workers.iter().enumerate() {
@@ -42,7 +42,7 @@
 }
 
 proptest! {
-    /// A candidate is chosen whenever there is one, also when all are set aside or failing.
+    /// A worker is chosen whenever there is a candidate, also when all are ejected or failing.
     #[test]
     fn somebody_serves(seed in any::<u64>(), count in 0..10_usize, failures in 0..50_u32) {
         let workers: Vec<WorkerId> = (0..count).map(worker).collect();
@@ -60,8 +60,8 @@
     }
 }
 
-/// Of two draws the one with less outstanding is taken, so the busiest of ten is taken only when it
-/// is drawn twice.
+/// Of two workers drawn at random the one with fewer outstanding requests is chosen, so the busiest
+/// of ten is chosen only when it is drawn twice.
 #[test]
 fn the_busiest_worker_is_avoided() {
     let workers = pool();
@@ -73,8 +73,8 @@
     assert!(chosen.count() < 30);
 }
 
-/// A worker that took five times as long lately is drawn seldom, and forgotten about after a time
-/// without news, so that it is tried again once it has mended.
+/// A worker whose requests took longer than those of the others is chosen seldom. Its latency is
+/// forgotten over time, so that it is tried again once it has recovered.
 #[test]
 fn a_slow_worker_is_avoided_and_tried_again() {
     let workers = pool();
@@ -87,8 +87,8 @@
     assert!(draws_of_first(&routing, &workers, later) > 60);
 }
 
-/// A worker takes requests and answers none. It is avoided long before their timeouts, by the age of
-/// the oldest.
+/// Guards against sending more to a worker that answers nothing: the age of its oldest request
+/// counts long before the timeout.
 #[test]
 fn a_hanging_worker_is_avoided_before_its_first_timeout() {
     let workers = pool();
@@ -99,8 +99,8 @@
     assert!(draws_of_first(&routing, &workers, now) < 30);
 }
 
-/// A route map takes 20 ms and a catalogue page 2 s. A worker that happens to have served pages is
-/// not slow.
+/// Guards against latency that is compared across entries: a route map takes 20 ms and a catalogue
+/// page 2 s, and a worker that served pages is not slow.
 #[test]
 fn entries_with_long_runs_do_not_make_a_worker_look_slow() {
     let workers = pool();
@@ -123,7 +123,7 @@
     assert!((60..140).contains(&drawn), "{drawn}");
 }
 
-/// A worker that answers 503 at once is full, not bad: it stays in the pool.
+/// A worker that answers 503 at once is full, not faulty, and is not ejected.
 #[test]
 fn a_full_worker_is_not_blamed() {
     let workers = pool();
--- a/tests/testsuite/policy/slowdown.rs
+++ b/tests/testsuite/policy/slowdown.rs
@@ -1,4 +1,4 @@
-//! Slowdowns are estimated from late measurements, with age and uncertainty.
+//! Slowdown estimates from late measurements, and their uncertainty.
 
 use super::{entry, seeded};
 use lapisdrum::{
@@ -14,8 +14,8 @@
     Neighbour { kind, count }
 }
 
-/// A service is slowed by one of four kinds of batch work, and only ever seen beside two of them at
-/// once. The one is found out, and the others are not blamed for it.
+/// Guards against blaming quiet neighbours: one of four kinds of batch work slows a service, and
+/// each report is measured beside two of them.
 #[test]
 fn the_noisy_neighbour_is_found_among_quiet_ones() {
     let mut known = SlowdownModel::default();
@@ -44,7 +44,8 @@
     assert!(added[1..].iter().all(|quiet| *quiet < 0.2), "{added:?}");
 }
 
-/// One report makes no certainty, and certainty passes with age.
+/// The estimate nears the measured slowdown with more reports, and returns to the prior as they
+/// age.
 #[test]
 fn uncertainty_falls_with_reports_and_rises_with_age() {
     let mut known = SlowdownModel::default();
@@ -73,8 +74,8 @@
     assert!(known.uncertainty(service, batch, later) > 0.9);
 }
 
-/// Usage reports lag by seconds. A report is matched with what ran when it was measured, and one
-/// that was measured across a change is not used at all.
+/// Usage reports lag by seconds. A report is matched with the tasks that ran when it was measured,
+/// and is dropped when they changed during the measurement.
 #[test]
 fn a_late_report_is_matched_with_its_own_time() {
     let mut history = History::default();
@@ -87,8 +88,8 @@
     assert_eq!(history.during(Millis(13_000), span), Some(after.as_slice()));
 }
 
-/// While a neighbour is throttled the service is quick. Learned from, that would call the neighbour
-/// harmless, and it would be placed beside the service at full speed.
+/// Guards against a throttled neighbour that is taken for harmless and placed beside the service at
+/// full speed: no report is used while a neighbour is throttled.
 #[test]
 fn nothing_is_learned_while_something_is_throttled() {
     let mut history = History::default();
--- a/tests/testsuite/policy/stories.rs
+++ b/tests/testsuite/policy/stories.rs
@@ -1,7 +1,7 @@
-//! Load patterns told from the caller's side, against baselines in the same run.
+//! Load scenarios judged by what callers receive, compared with baselines in the same run.
 //!
 //! The limits asserted are the targets of docs/MEASUREMENTS.md, section "Policy", at a shorter
-//! length; virtual time and one seed make each verdict the same every time.
+//! length. Time is virtual and the seed fixed, so the results are reproducible.
 
 use lapisdrum::core::size::Size;
 use lapisdrum_load::policy::{
@@ -15,13 +15,13 @@
 const LENGTH: Duration = Duration::from_secs(5);
 const SEED: u64 = 7;
 
-/// What the callers of the judged stream received.
+/// What the callers of the first stream of the pattern received.
 fn received(pattern: Pattern, decisions: Decisions) -> Received {
     let trial = pattern.trial(&MWANGAZA, LENGTH, SEED);
     bench::run(&trial, decisions).swap_remove(0)
 }
 
-/// The same at half load with nothing wrong, to compare with.
+/// The reference: half load and no fault.
 fn calm() -> &'static Received {
     static CALM: OnceLock<Received> = OnceLock::new();
     CALM.get_or_init(|| received(Pattern::Uncontended, Decisions::POLICY))
@@ -31,9 +31,9 @@
     received.quantile_ms(0.99)
 }
 
-/// Callers send twice what all slots can run. Those that are served wait little, because the queue
-/// is kept short while it stands; the others are refused at once. Without admission the queue grows
-/// until every answer comes too late, and the slots are busy for nobody.
+/// Callers send twice what all slots can run. Served requests wait little, because a standing queue
+/// is kept short; the others are refused at once. Without admission control the queue grows until
+/// every answer comes too late.
 #[test]
 fn overload_serves_what_capacity_allows_and_quickly() {
     let calm = calm();
@@ -53,16 +53,16 @@
     );
     assert!(
         open.goodput() < 0.5 * capacity,
-        "the baseline shows the trouble"
+        "the baseline has to show the fault"
     );
     assert_eq!(full.unknown, 0);
-    // A refusal is given at once: nothing is held back until its deadline.
+    // Refusals come at once, not at the deadline.
     assert!(full.refusal.value_at_quantile(0.99) < 50_000);
 }
 
-/// The same overload, but the refused come back: first as they were told, then every 100 ms whatever
-/// they were told. The load at the door is many times the capacity; what is served and how quickly
-/// does not change, and obedient callers ask far less often.
+/// The same overload with refused callers that retry: after the time that they were given, or every
+/// 100 ms regardless of it. Goodput and latency do not change, and callers that keep to the given
+/// time send far fewer requests.
 #[test]
 fn returning_callers_do_not_add_to_an_overload() {
     let calm = calm();
@@ -80,9 +80,9 @@
     assert!(obedient.refused * 2 < impatient.refused);
 }
 
-/// One caller of an entry sends three times the capacity of all slots. Its own requests wait and are
-/// refused; the entry's hundred others are served as before, because callers are flows with equal
-/// shares. In order of arrival the others are refused with it.
+/// One caller of an entry sends three times the capacity of all slots. Its own requests wait and
+/// are refused; the 100 others are served as before, because callers are flows with equal shares.
+/// In order of arrival the others are refused with it.
 #[test]
 fn a_hot_caller_does_not_move_the_others() {
     let calm = calm();
@@ -101,13 +101,13 @@
     );
     assert!(
         in_order.goodput() < 0.5 * calm.goodput(),
-        "the baseline shows the trouble"
+        "the baseline has to show the fault"
     );
 }
 
-/// One worker in sixteen takes ten times as long. Its first answers are late, then it is drawn no
-/// more, because its recent latency counts and it is set aside. In turn it gets its sixteenth of the
-/// requests all the time, and the 99th percentile is its.
+/// One worker in sixteen takes ten times as long. After its first late answers it is avoided for
+/// its latency, and ejected. In turn (round robin) it gets a sixteenth of the requests throughout,
+/// which sets the 99th percentile.
 #[test]
 fn a_slow_worker_is_avoided() {
     let calm = calm();
@@ -121,12 +121,12 @@
     );
     assert!(
         p99(&in_turn) > 1.5 * p99(calm),
-        "the baseline shows the trouble"
+        "the baseline has to show the fault"
     );
 }
 
-/// One worker never answers. What it was sent first ends unknown at the deadline; no more is sent
-/// there once those have been outstanding for many times their usual run time.
+/// One worker never answers. Its first requests end as unknown at their deadline; no more are sent
+/// to it once these have been outstanding for many times their usual run time.
 #[test]
 fn a_hanging_worker_is_avoided() {
     let calm = calm();
@@ -141,9 +141,10 @@
     );
 }
 
-/// One worker fails whatever it is sent within half a millisecond, so it always has the least work
-/// outstanding. Callers see no failure: what failed is sent again within the budget, and the worker
-/// is set aside after a few. In turn one request in sixteen is sent twice for ever.
+/// One worker fails each request within half a millisecond, so it always has the fewest
+/// outstanding. Callers see no failure: failed requests are retried within the budget, and the
+/// worker is ejected after a few. In turn (round robin) one request in sixteen is always sent
+/// twice.
 #[test]
 fn a_worker_that_fails_at_once_draws_nothing_to_itself() {
     let failing = received(Pattern::OneFailing, Decisions::POLICY);
@@ -155,11 +156,11 @@
     );
     let again = |received: &Received| received.sends as f64 / received.done as f64 - 1.0;
     assert!(again(&failing) < 0.01, "{}", again(&failing));
-    assert!(again(&in_turn) > 0.04, "the baseline shows the trouble");
+    assert!(again(&in_turn) > 0.04, "the baseline has to show the fault");
 }
 
-/// Batch requests at twice the capacity stand in line all the time. Latency-critical requests go
-/// ahead of them and wait for the next free slot only; batch work gets what is left.
+/// Batch requests at twice the capacity always wait in the queue. Latency-critical requests go
+/// ahead of them and wait only for the next free slot; batch requests get the remaining slots.
 #[test]
 fn batch_requests_wait_behind_latency_critical_ones() {
     let calm = calm();
@@ -172,12 +173,12 @@
     assert!(both[1].goodput() > 0.45 * capacity, "{}", both[1].goodput());
     assert!(
         p99(&in_order[0]) > 2.0 * p99(calm),
-        "the baseline shows the trouble"
+        "the baseline has to show the fault"
     );
 }
 
-/// For two seconds ten times the capacity is asked for. Requests that can't be served in time are
-/// refused at once, the rest is served; a second after the burst everything is as before it.
+/// For two seconds callers send ten times the capacity. Requests that cannot be served in time are
+/// refused at once and the rest is served.
 #[test]
 fn a_burst_is_refused_at_once_and_forgotten() {
     let burst = received(Pattern::Burst, Decisions::POLICY);
@@ -191,9 +192,9 @@
     );
 }
 
-/// Long requests of another owner ask for every slot, each for a second. Short ones find a slot as
-/// quickly as without them, because long runs leave free what the short are about to need. In order
-/// of arrival the short wait behind them for half of their deadline.
+/// Long requests of another owner, one second each, ask for every slot. Short ones find a slot as
+/// quickly as without them, because long runs leave the expected need of the short ones free. In
+/// order of arrival the short ones wait behind them for half of their deadline.
 #[test]
 fn long_requests_do_not_hold_up_short_ones() {
     let calm = calm();
@@ -214,13 +215,14 @@
     assert!(both[1].done > 0, "long requests are served too");
     assert!(
         p99(&in_order[0]) > 3.0 * p99(calm),
-        "the baseline shows the trouble"
+        "the baseline has to show the fault"
     );
 }
 
-/// Waves of batch tasks run beside services; who disturbs whom is known only from late reports. With
-/// placement by size alone services are slowed several times over in each wave, and evicting sends
-/// hundreds of tasks to and fro. With what was learned, tasks are kept apart and few are moved.
+/// Waves of batch tasks run beside services, and interference is known only from late reports.
+/// Placement by size alone slows services several times over in each wave, and eviction alone moves
+/// hundreds of tasks. With the estimated slowdowns, tasks that interfere are placed apart and few
+/// are moved.
 #[test]
 fn batch_waves_leave_services_alone() {
     let room = Size {
