--- a/tests/testsuite/daemon/index.rs
+++ b/tests/testsuite/daemon/index.rs
@@ -1,4 +1,4 @@
-//! The index of a shard's jobs, against the state that it follows.
+//! The index of a shard's jobs, compared with the state.
 
 use lapisdrum::{
     core::{
@@ -79,7 +79,7 @@
     }
 }
 
-/// The index names the same jobs as a scan of the whole state would.
+/// Compares the index with a scan of the whole state.
 fn assert_agrees(index: &mut Index, state: &State) -> Result<(), TestCaseError> {
     for worker in ["worker-0", "worker-1", "worker-2"] {
         let worker = WorkerId::try_from(worker).expect("a name");
@@ -128,8 +128,8 @@
 }
 
 proptest! {
-    /// After any events in any order the index that followed them agrees with the state, and so does
-    /// one that is built from the state, as after a take-over.
+    /// An index updated by events and one built from the state, as after a take-over, both agree
+    /// with the state.
     #[test]
     fn the_index_agrees_with_the_state(steps in prop::collection::vec((0..JOBS, step()), 1..60)) {
         let (mut state, mut index) = (State::default(), Index::default());
@@ -144,7 +144,7 @@
         }
     }
 
-    /// The parts of a limit add up to the limit, whatever the number of shards.
+    /// The parts of a limit add up to it, whatever the number of shards.
     #[test]
     fn parts_add_up_to_the_limit(limit in 0..10_000_u32, count in 1..100_u32) {
         let sum: u32 = (0..count).map(|rank| even_part(limit, rank, count)).sum();
@@ -152,8 +152,8 @@
     }
 }
 
-/// Ended jobs go after their time, and before it when there are more than are kept; never all at
-/// once, and the oldest first.
+/// Ended jobs expire by age, and earlier when there are more than the maximum: oldest first, and a
+/// limited number per call.
 #[test]
 fn ended_jobs_are_kept_for_a_time_and_up_to_a_number() {
     let (mut state, mut index) = (State::default(), Index::default());
--- a/tests/testsuite/daemon/journal.rs
+++ b/tests/testsuite/daemon/journal.rs
@@ -1,4 +1,4 @@
-//! The ledger's writer against a platform that loses answers, and snapshots cut off half way.
+//! The ledger's writer with a platform that loses answers, and interrupted snapshots.
 
 use crate::support::wait;
 use actix_rt::net::TcpListener;
@@ -23,7 +23,7 @@
 
 const LIMIT: Duration = Duration::from_secs(20);
 
-/// A platform in this process, a daemon's context that reaches it, and the stop that ends it.
+/// A platform in this process, and a daemon's context connected to it.
 struct Bench {
     platform: Rc<Platform>,
     cx: Cx,
@@ -36,8 +36,8 @@
         Self::on(Rc::new(Platform::default())).await
     }
 
-    /// A bench on a copy of the platform as it is at this moment: what a successor would find if
-    /// everything stopped here.
+    /// Copies the current state of the platform: what a successor would find if everything stopped
+    /// now.
     async fn copy(&self) -> Self {
         let platform = Platform::default();
         *platform.table.borrow_mut() = self.platform.table.borrow().clone();
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Raises the epoch as a take-over does; a recovered ledger under it.
+    /// Raises the epoch as a take-over does, and recovers the ledger under it.
     async fn take(&self, epoch: u64) -> Rc<Journal> {
         let row = EpochRow {
             epoch: Epoch(epoch),
@@ -78,7 +78,7 @@
         Rc::new(journal)
     }
 
-    /// Has a ledger written, as long as `may_act` holds, and its snapshots kept.
+    /// Writes the ledger while `may_act` holds, and stores its snapshots.
     fn write(&self, journal: &Rc<Journal>, may_act: &Rc<Cell<bool>>) {
         let (cx, journal, may_act) = (Rc::clone(&self.cx), Rc::clone(journal), Rc::clone(may_act));
         actix_rt::spawn(async move {
@@ -99,9 +99,9 @@
     }
 }
 
-/// A job's row is sent while the lease holds; the answer is lost and the lease is over before that is
-/// known. Then another owner comes. The caller must not be told that nothing was written: the row is
-/// in the table, the next owner recovers it and runs the job.
+/// Guards against a job that is reported as not written but runs: its row is written, the answer is
+/// lost, and the lease ends before the outcome is known. The next owner recovers the row and runs
+/// the job.
 #[actix_rt::test]
 async fn a_row_that_was_sent_is_never_reported_as_not_written() {
     let bench = Bench::start().await;
@@ -123,12 +123,12 @@
         bench.cx.metrics.platform_unknown.get() > 0
     })
     .await;
-    // What the owner finds now that it may look again is another's epoch.
+    // Now that the owner may act again, it finds the epoch of another.
     may_act.set(true);
     assert_ne!(ticket.end().await, WriteEnd::NotWritten);
 }
 
-/// An owner that was never able to send a row says that it was not written, once another came.
+/// An owner that never sent a row reports it as not written once another owner has taken over.
 #[actix_rt::test]
 async fn a_row_that_was_held_back_is_reported_as_not_written() {
     let bench = Bench::start().await;
@@ -142,10 +142,9 @@
     assert_eq!(next.state().jobs.len(), 0);
 }
 
-/// Jobs are accepted one by one with a snapshot after every third row, while answers to snapshot
-/// steps are lost now and then. After every single row a successor that recovers from what is in
-/// table and store has every job that was acknowledged, and rows that a snapshot covers do not pile
-/// up.
+/// Guards against acknowledged jobs that are lost by an interrupted snapshot: a snapshot follows
+/// every third row, and some answers are lost. A successor that recovers after any row has every
+/// acknowledged job, and rows covered by a snapshot are deleted.
 #[actix_rt::test]
 async fn recovery_finds_every_acknowledged_job_at_every_step_of_snapshots() {
     let bench = Bench::start().await;
@@ -163,7 +162,7 @@
             Err(e) => panic!("not taken: {e:?}"),
         };
         assert_eq!(end, WriteEnd::Committed);
-        // Now, and at moments in which a snapshot's steps may be under way.
+        // At once, and at times when steps of a snapshot may be in flight.
         for pause_ms in [0, 1, 2, 5] {
             tokio::time::sleep(Duration::from_millis(pause_ms)).await;
             let successor = bench.copy().await.take(2).await;
@@ -177,8 +176,8 @@
     .await;
 }
 
-/// A snapshot's pointer that can't be read is an error. Taken for "no snapshot" the shard would
-/// begin anew with every job lost and nobody told.
+/// Guards against a malformed snapshot pointer that is taken for no snapshot: the shard would start
+/// empty and silently lose every job.
 #[actix_rt::test]
 async fn a_malformed_pointer_is_not_taken_for_an_empty_ledger() {
     let bench = Bench::start().await;
--- a/tests/testsuite/daemon/members.rs
+++ b/tests/testsuite/daemon/members.rs
@@ -1,4 +1,4 @@
-//! What counts as evidence that an earlier owner or a host is gone.
+//! Evidence that an earlier owner or a host has ended.
 
 use lapisdrum::{
     core::{
@@ -48,9 +48,9 @@
     }
 }
 
-/// Host A was replaced by B at the same address; B owned the shard and is now cut off. A's old row
-/// still lies in the table. It is no proof that B is gone: taken for one, B's streams would be
-/// started a second time while B goes on renewing them. A row that changes after the take-over is.
+/// Guards against tasks that are started twice: B replaced A at one address, owned the shard and is
+/// now cut off. A's old row in the table does not prove that B has ended, and B still renews its
+/// tasks. Only a row that changed after the take-over proves it.
 #[test]
 fn an_old_row_at_the_same_address_does_not_prove_an_owner_gone() {
     let (a, b) = (
@@ -68,7 +68,7 @@
     assert!(members.is_replaced(&b, taken));
 }
 
-/// The platform's list is evidence about an entry host only if it has named that host before.
+/// Absence from the platform's list is evidence only for a host that was listed before.
 #[test]
 fn only_a_host_that_was_listed_can_be_missed() {
     let (a, b) = (
@@ -87,7 +87,7 @@
     assert!(!members.is_host_gone(&b), "it was never listed");
 }
 
-/// A list without any host is a fault of the platform and no news: it would evict everything.
+/// Guards against evicting everything when the platform returns an empty list by mistake.
 #[test]
 fn an_empty_list_declares_nobody_dead() {
     let mut members = Members::default();
--- a/tests/testsuite/daemon/mod.rs
+++ b/tests/testsuite/daemon/mod.rs
@@ -1,4 +1,4 @@
-//! Tests of one daemon's parts in this process, against the platform stand-in.
+//! Components of a daemon, tested in this process against the platform stand-in.
 
 mod index;
 mod journal;
--- a/tests/testsuite/main.rs
+++ b/tests/testsuite/main.rs
@@ -1,4 +1,4 @@
-//! The integration tests, in one binary to keep link times short.
+//! The integration tests: one binary, with a module for each subject.
 
 mod attribution;
 mod bad_input;
--- a/tests/testsuite/model/catalogue.rs
+++ b/tests/testsuite/model/catalogue.rs
@@ -1,8 +1,8 @@
 //! The catalogue's revision: two operators who race on one entry, two daemons, one table.
 //!
-//! An operator's change is accepted and in force; then an answer is lost, news comes late or a daemon
-//! starts anew. Nobody may see the change undone, and the operator who repeats a change whose answer
-//! was lost must be told the truth about it.
+//! Guards against an accepted change that is undone when an answer is lost, an update comes late or
+//! a daemon restarts, and against a wrong outcome for an operator who repeats a change whose answer
+//! was lost.
 
 use super::explore::{Search, explore};
 use lapisdrum::{
@@ -15,22 +15,22 @@
 
 const PAIR: [usize; 2] = [0, 1];
 
-/// A safeguard that the specification leaves out.
+/// A safeguard that a specification leaves out, to show that it is needed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Without {
-    /// A daemon takes over whatever it is told.
+    /// Without: a daemon adopts only a catalogue of a greater revision.
     GreaterOnly,
-    /// A change does not assert its entry's and the revision's versions.
+    /// Without: a change asserts the versions of its entry and of the revision.
     Compare,
-    /// A repeat is not recognised by its change id.
+    /// Without: a repeat is recognised by its change id.
     ChangeId,
-    /// A repeat is recognised only while the entry's row still is its own.
+    /// Without: a repeat is recognised even after another change of the entry.
     ChangeRow,
-    /// A daemon starts by what a peer has when the table is away.
+    /// Without: a daemon starts with the catalogue of the table, not of a peer.
     TableAtStart,
 }
 
-/// The entry's row: who changed it and the revision that this made.
+/// The entry's row: the operator that changed it and the revision of that change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Entry {
     by: usize,
@@ -50,18 +50,18 @@
     Refused,
 }
 
-/// An operator with one change to make.
+/// An operator with one change.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 struct Operator {
-    /// The entry's revision as the operator saw it; 0 for none.
+    /// The entry's revision as the operator read it; 0 if there is no entry.
     seen: Option<u8>,
-    /// The transaction that a daemon has made of the change, with what it asserts.
+    /// The table that a daemon's transaction for the change asserts.
     sent: Option<View>,
-    /// One whose answer was given up on and that is still under way.
+    /// The same for a transaction whose caller timed out and that is still in flight.
     late: Option<View>,
     /// How often the change took effect.
     effects: u8,
-    /// The entry's revision that the change was made from, once it took effect.
+    /// The revision of the entry that the change was based on, once it took effect.
     based_on: u8,
     end: Option<End>,
 }
@@ -70,7 +70,7 @@
 struct Daemon {
     is_ready: bool,
     view: View,
-    /// A catalogue on its way here, from table or peer.
+    /// A catalogue in flight to the daemon, from the table or a peer.
     news: Option<View>,
     /// The greatest revision that this daemon served.
     served: u8,
@@ -98,7 +98,8 @@
 
 struct Spec {
     without: Option<Without>,
-    /// What a daemon served is held against it in this run alone, and it may start by what a peer has.
+    /// Whether a daemon may start with a peer's catalogue. The revisions that it served are then
+    /// compared within one run only.
     by_run: bool,
 }
 
@@ -215,7 +216,7 @@
         Some(())
     }
 
-    /// A daemon makes a transaction of a change, or answers at once.
+    /// A daemon answers a change at once or sends a transaction for it.
     fn send(&self, s: &mut State, o: usize) -> Option<()> {
         let operator = &mut s.operators[o];
         let seen = operator.seen?;
@@ -291,8 +292,9 @@
     operators.chain(PAIR.into_iter().flat_map(of_daemon))
 }
 
-/// A change undone at a daemon, made twice, won by both who based it on the same state, or denied to
-/// the operator who made it.
+/// A daemon serves an older revision than before, a change took effect twice or is refused although
+/// it took effect, two changes based on the same revision both took effect, or two daemons differ
+/// at one revision.
 fn is_broken(s: &State) -> bool {
     let is_undone = |daemon: &Daemon| daemon.is_ready && daemon.view.revision < daemon.served;
     let is_denied = |op: &Operator| op.end == Some(End::Refused) && op.effects > 0;
@@ -312,7 +314,7 @@
     s.operators.iter().all(|op| op.end.is_some()) && s.daemons.iter().all(is_current)
 }
 
-/// Nothing in the catalogue, or an entry that somebody else made.
+/// An empty catalogue, and one with an entry of a third operator.
 fn starts() -> [State; 2] {
     let table = View {
         revision: 1,
@@ -340,7 +342,7 @@
     assert_eq!(graph.stuck(is_settled), None);
 }
 
-/// As the daemon does it: with the table away it starts by what a peer has.
+/// A daemon that cannot read the table starts with the catalogue of a peer, as in the code.
 #[test]
 fn accepted_changes_never_revert_in_a_daemons_run_and_no_two_racing_changes_both_win() {
     for start in starts() {
@@ -352,7 +354,7 @@
     }
 }
 
-/// Were the table always asked at the start, no change would revert over a daemon's runs either.
+/// If every start read the table, no change would be undone across runs of a daemon either.
 #[test]
 fn accepted_changes_never_revert_over_runs_that_start_by_the_table() {
     for start in starts() {
--- a/tests/testsuite/model/explore.rs
+++ b/tests/testsuite/model/explore.rs
@@ -1,25 +1,25 @@
-//! Breadth-first search over all states of a specification, for safety and for liveness.
+//! Breadth-first search over all states of a specification, for safety and liveness.
 
 use indexmap::IndexSet;
 use pathfinding::directed::bfs::{bfs, bfs_reach};
 use std::{cell::RefCell, fmt::Debug, hash::Hash};
 
-/// What a whole search found.
+/// Result of a search.
 pub(crate) enum Search<S> {
-    /// No state is broken; all of them, and the steps between them by index.
+    /// No reachable state violates the safety property.
     Whole(Graph<S>),
-    /// The shortest way into a broken state, as the steps taken.
+    /// The steps of a shortest path into a state that violates the safety property.
     Broken(Vec<String>),
 }
 
-/// Every reachable state and step.
+/// Every reachable state, and the steps between them by index into the states.
 pub(crate) struct Graph<S> {
     pub(crate) states: IndexSet<S>,
     pub(crate) steps: Vec<(usize, usize)>,
 }
 
-/// Explores everything that is reachable from `start`. `next` lists the steps out of a state with
-/// their names; `is_broken` is the safety property's negation.
+/// Explores everything that is reachable from `start`. `next` returns the possible steps and the
+/// state after each; `is_broken` is the negation of the safety property.
 pub(crate) fn explore<S, T>(
     start: S,
     next: impl Fn(&S) -> Vec<(T, S)>,
@@ -65,13 +65,13 @@
 }
 
 impl<S: Eq + Hash> Graph<S> {
-    /// A state from which no state with `is_goal` can be reached, if there is one.
+    /// Returns a state from which no state with `is_goal` can be reached, if there is one.
     pub(crate) fn stuck(&self, is_goal: impl Fn(&S) -> bool) -> Option<&S> {
         let mut before: Vec<Vec<usize>> = vec![Vec::new(); self.states.len() + 1];
         for (from, to) in &self.steps {
             before[*to].push(*from);
         }
-        // One node more leads back to every goal.
+        // An additional node, with an edge back to every goal.
         let root = self.states.len();
         let goals = self.states.iter().enumerate();
         before[root].extend(
@@ -87,7 +87,7 @@
         self.states.get_index(stuck)
     }
 
-    /// How many states have a property; shows that a search went where it should.
+    /// Number of states with a property; asserts that the search covers them.
     pub(crate) fn count(&self, has: impl Fn(&S) -> bool) -> usize {
         self.states.iter().filter(|state| has(state)).count()
     }
--- a/tests/testsuite/model/handover.rs
+++ b/tests/testsuite/model/handover.rs
@@ -1,8 +1,9 @@
-//! The hand-over of a long-running task between two shards, searched whole over the real ledgers.
+//! The delegation of a long-running task from one shard to another, explored exhaustively over the
+//! real ledgers.
 //!
-//! Each shard is its journaled state, so the end of an owner between any two writes is covered: what a successor has is
-//! the ledger. A call that was sent may arrive at any later time, once more after it was answered, and its answer
-//! may be lost.
+//! The state of a shard is what its journal holds, so the end of an owner between any two writes is
+//! covered. A call may arrive at any later time and again after it was answered, and its answer may
+//! be lost.
 
 use super::explore::{Search, explore};
 use crate::sched::world::{step, terms};
@@ -21,21 +22,21 @@
     step: 0,
     index: 0,
 };
-/// Runs after which nothing is placed any more, to bound the search.
+/// Runs after which the task is not placed again; bounds the search.
 const MOST_RUNS: u32 = 3;
 
-/// A safeguard that the specification leaves out.
+/// A safeguard that a specification leaves out, to show that it is needed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Without {
-    /// The other shard is asked before the decision is in the journal.
+    /// Without: the decision is in the journal before the other shard is called.
     JournalFirst,
-    /// A call that brings an end doesn't bring the tasks.
+    /// Without: a call that ends the job also names its tasks.
     TasksWithEnd,
-    /// A repeated hand-over takes what the job's end took off.
+    /// Without: a repeated delegation does not revive a job that has ended.
     Tombstone,
 }
 
-/// A call of the first shard to the second.
+/// A call from the first shard to the second.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 enum Call {
     Adopt { last_run: u32 },
@@ -44,15 +45,15 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
-    /// The journaled state of both shards, in text form.
+    /// The journaled state of both shards as JSON.
     ledgers: [String; 2],
-    /// Calls that may arrive yet.
+    /// Calls that may still arrive.
     calls: BTreeSet<Call>,
-    /// Whether the job's end was confirmed by the second shard.
+    /// Whether the second shard has confirmed the end of the job.
     is_end_confirmed: bool,
 }
 
-/// A step and the state after it.
+/// The name of a step, and the state after it.
 type Step = (String, State);
 
 fn spec() -> Rc<JobSpec> {
@@ -91,7 +92,7 @@
         serde_json::from_str(&self.ledgers[shard]).expect("it is read back")
     }
 
-    /// The state after events in one shard's journal; none if the first doesn't fit.
+    /// The state after events in the journal of one shard, or `None` if the first is invalid.
     fn after(&self, shard: usize, events: &[Event]) -> Option<Self> {
         let mut ledger = self.ledger(shard);
         for (at, event) in events.iter().enumerate() {
@@ -198,7 +199,8 @@
         Some((format!("send {call:?}"), sent))
     }
 
-    /// A call is done once it arrives, or arrives again later; a confirmed end is one whose answer was heard.
+    /// Applies a call, which may arrive again later. The end counts as confirmed once such a call
+    /// has arrived.
     fn arrive(&self, state: &State, call: Call) -> State {
         let arrived = match call {
             Call::Adopt { last_run } if self.lacks(Without::Tombstone) => {
@@ -252,8 +254,8 @@
     Some((format!("lose {shard}"), after))
 }
 
-/// A job is forgotten minutes after its end: no call of before is under way any more, and the first shard doesn't forget
-/// what the second has not confirmed.
+/// A job is forgotten minutes after its end: no earlier call is in flight then, and the first shard
+/// keeps a delegated job until the second has confirmed its end.
 fn forget(state: &State, shard: usize) -> Option<Step> {
     let is_over = state
         .phase(shard)
@@ -266,14 +268,14 @@
     Some((format!("forget {shard}"), forgotten))
 }
 
-/// Two shards run the task, or it can be started after its job's end was confirmed.
+/// Both shards run the task, or the job is active again after its end was confirmed.
 fn is_broken(state: &State) -> bool {
     let both = state.is_alive(0) && state.is_alive(1);
     let revived = state.is_end_confirmed && state.phase(1) == Some(Phase::Active);
     both || revived
 }
 
-/// The job is over everywhere, and every shard knows.
+/// The job has ended in both shards, and the first knows so.
 fn is_settled(state: &State) -> bool {
     let over = |shard| state.phase(shard) != Some(Phase::Active);
     over(0) && over(1) && (state.is_end_confirmed || !state.is_delegated())
--- a/tests/testsuite/model/mod.rs
+++ b/tests/testsuite/model/mod.rs
@@ -1,4 +1,4 @@
-//! Small specifications of the core protocols, searched whole over the project's own functions.
+//! Specifications of the core protocols, explored exhaustively over the project's own functions.
 
 mod catalogue;
 mod explore;
--- a/tests/testsuite/model/ownership/mod.rs
+++ b/tests/testsuite/model/ownership/mod.rs
@@ -1,8 +1,8 @@
 //! Shard ownership, task leases and resumption: two daemons, two workers, one task, one table.
 //!
-//! The users' worst case: an artist's livestream runs on a worker that only the old owner can reach,
-//! and a new owner has taken the shard. Whatever is paused, lost, late or dead, in whatever order,
-//! no second copy may start, and the work must be able to finish in the end.
+//! Guards against a second copy of a task when a new owner takes the shard while the task runs on a
+//! worker that only the old owner can reach. With any order of pauses, losses, delays and deaths,
+//! no second copy starts and the job can still finish.
 
 mod spec;
 mod state;
@@ -11,9 +11,9 @@
 use spec::{Spec, Without};
 use state::{Phase, State};
 
-/// More than one copy runs, or one that the ledger does not place where it runs. The second covers
-/// three properties: what runs on a worker is committed there, an evicted attempt never runs on, and
-/// a finished job never runs again.
+/// More than one copy runs, or one runs where the ledger does not place it. The latter covers three
+/// properties: what runs on a worker is committed there, an evicted attempt does not run on, and a
+/// finished job does not run again.
 fn is_broken(s: &State) -> bool {
     let running = s.hosts.iter().filter(|host| host.is_running()).count();
     let strays = s.hosts.iter().zip(state::PAIR).any(|(host, at)| {
@@ -28,7 +28,7 @@
     s.hosts.iter().all(|host| host.is_running())
 }
 
-/// Searches everything and shows that nothing is broken and that the job can always be finished.
+/// Explores every state: none violates safety, and from each the job can finish.
 fn search_whole(spec: &Spec) {
     let graph = match explore(State::start(), |s| spec.next(s), is_broken) {
         Search::Whole(graph) => graph,
@@ -69,7 +69,7 @@
     });
 }
 
-/// Shows that the search finds what a safeguard is there for.
+/// Asserts that without a safeguard the search finds two running copies.
 fn counterexample(without: Without) {
     let spec = Spec {
         without: Some(without),
--- a/tests/testsuite/model/ownership/spec.rs
+++ b/tests/testsuite/model/ownership/spec.rs
@@ -1,8 +1,9 @@
-//! What may happen next. Each step does what the daemon's loops do, through the same functions.
+//! The possible steps. Each does what the daemon's loops do, through the same functions.
 //!
-//! A pause is a daemon that takes no step; a cut is a message that is lost; both need no step of
-//! their own. A daemon's decision and the send that follows it are one step, as they are in the code
-//! (nothing is awaited between), but for a committed placement, whose start is a step of its own.
+//! A paused daemon is one that takes no step, and a network cut is a sequence of lost messages, so
+//! neither has a step of its own. A daemon's decision and the send that follows are one step, as
+//! the code awaits nothing between them. The exception is a committed placement, whose start is a
+//! separate step.
 
 use super::state::{
     self, Book, HOLD, Host, Message, NOW, Owner, Ownership, PAIR, PLAN, Phase, Ran, Run, State,
@@ -22,33 +23,32 @@
     worker::wire::{RejectReason, RenewTasks},
 };
 
-/// A safeguard that the specification leaves out.
+/// A safeguard that a specification leaves out, to show that it is needed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Without {
-    /// The worker takes commands of any epoch.
+    /// Without: a worker refuses commands of an older epoch.
     EpochCheck,
-    /// A command runs for its whole lease from its arrival.
+    /// Without: a command names the end of its lease. The lease then starts at its arrival.
     CommandEnd,
-    /// A successor doesn't wait out the hold.
+    /// Without: a successor waits for the hold time.
     HoldWait,
-    /// An owner counts its lease from the answer to its renewal.
+    /// Without: an owner counts its lease from sending the renewal. It then counts from the answer.
     LeaseFromSend,
-    /// A worker that is silent counts as dead.
+    /// Without: a silent worker is not taken for dead.
     DeathEvidence,
 }
 
-/// How far a command and its answer get.
+/// What happens to a command and its answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Reach {
     Answered,
     AnswerLost,
-    /// Under way; see [`Step::LateArrives`].
+    /// In flight; see [`Step::LateArrives`].
     Late,
 }
 
 const REACHES: [Reach; 3] = [Reach::Answered, Reach::AnswerLost, Reach::Late];
 
-/// One step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Step {
     Tick,
@@ -95,11 +95,11 @@
     HostDies(u8),
 }
 
-/// The specification, whole or without one safeguard.
+/// The specification, complete or without one safeguard.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Spec {
     pub(super) without: Option<Without>,
-    /// Whether answers to renewals of the row may come late, and not only at once or never.
+    /// Whether answers to renewals of the shard's row may also come late.
     pub(super) late_answers: bool,
     /// Whether daemons and hosts die.
     pub(super) deaths: bool,
@@ -110,7 +110,7 @@
         self.without == Some(safeguard)
     }
 
-    /// Every step that is possible, with the state after it.
+    /// Every possible step, with the state after it.
     pub(super) fn next(&self, before: &State) -> Vec<(Step, State)> {
         let mut out = Vec::new();
         for step in steps() {
@@ -126,7 +126,7 @@
         out
     }
 
-    /// Takes a step; none when it is not possible.
+    /// Takes a step, or returns `None` if it is not possible.
     fn take(&self, s: &mut State, step: Step) -> Option<()> {
         match step {
             Step::Tick => tick(s),
@@ -199,7 +199,7 @@
         Some(())
     }
 
-    /// A renewal of everything placed on a worker, answered with what is there.
+    /// Renews everything placed on a worker; the answer lists the tasks there.
     fn visit(&self, s: &mut State, d: u8, w: u8, reach: Reach) -> Option<()> {
         let own = serving(s, d)?;
         if !is_claimed(s, &own, w) || !s.hosts[at(w)].alive {
@@ -291,7 +291,7 @@
         Some(())
     }
 
-    /// A command arrives at its worker.
+    /// Delivers a command to its worker.
     fn deliver(&self, s: &mut State, message: Message) -> Result<(), RejectReason> {
         let host = &mut s.hosts[at(message.worker)];
         if !host.alive {
@@ -334,7 +334,7 @@
         })
     }
 
-    /// The visit's answer stays out: what is known decides.
+    /// Evicts the task of an unanswered worker if the known evidence allows it.
     fn give_up_silent(&self, s: &mut State, d: u8) -> Option<()> {
         let own = serving(s, d)?;
         let (worker, epoch, attempt) = judged(s, &own)?;
@@ -438,7 +438,7 @@
     s.daemons[at(d)].own.as_mut()
 }
 
-/// An owner that has begun and not ended.
+/// The ownership of a daemon that serves and has not ended.
 fn serving(s: &State, d: u8) -> Option<Ownership> {
     s.daemons[at(d)].own.filter(|own| own.serving && !own.ended)
 }
@@ -458,7 +458,8 @@
     Some(())
 }
 
-/// Every daemon sees a row once it is written: seeing it later would only make a take-over later.
+/// Every daemon sees the row as soon as it is written: seeing it later would only delay a take-
+/// over.
 fn row_changed(s: &mut State) {
     for daemon in &mut s.daemons {
         let before = Sighting {
@@ -470,8 +471,8 @@
     }
 }
 
-/// Whether a worker has accepted an owner's epoch. A claim whose answer was lost counts as well: the
-/// next one would be answered in no time.
+/// Whether a worker has accepted an owner's epoch. A claim whose answer was lost also counts, as a
+/// repeat would be answered without delay.
 fn is_claimed(s: &State, own: &Ownership, w: u8) -> bool {
     s.hosts[at(w)].alive && s.hosts[at(w)].epoch >= own.epoch
 }
@@ -509,7 +510,8 @@
     Some(())
 }
 
-/// The renewal takes effect at once; its answer is a step of its own, so it may come any time later.
+/// The renewal takes effect at once; its answer is a separate step, so it may come at any later
+/// time.
 fn renew_row(s: &mut State, d: u8) -> Option<()> {
     let own = s.daemons[at(d)].own.filter(|own| !own.ended)?;
     if !is_holder(s, &own) || own.awaiting.is_some() {
@@ -529,13 +531,14 @@
     Some(())
 }
 
-/// Whether the row still is the one that this owner took. A renewal whose answer was lost leaves a
-/// version that the owner doesn't know; it reads the row back and goes on, which takes no step here.
+/// Whether the row is still the one that this owner took. After a renewal whose answer was lost the
+/// owner does not know the row's version; it reads the row back and continues, which needs no step
+/// here.
 fn is_holder(s: &State, own: &Ownership) -> bool {
     own.epoch == s.row.epoch && s.row.is_held
 }
 
-/// Writes an event under the epoch; none when it is not written.
+/// Writes an event under the owner's epoch, or returns `None` if it cannot be written.
 fn commit(s: &mut State, d: u8, event: &Event) -> Option<()> {
     let own = s.daemons[at(d)].own?;
     if own.epoch != s.row.epoch || !own.tenure().may_act(millis(NOW), &terms()) {
@@ -545,7 +548,7 @@
     Some(())
 }
 
-/// Recovery and the owner's first event.
+/// Recovers the ledger and writes the owner's first event.
 fn begin(s: &mut State, d: u8) -> Option<()> {
     let own = s.daemons[at(d)].own.filter(|own| !own.serving)?;
     let began = Event::OwnerBegan {
@@ -578,8 +581,7 @@
     Some(())
 }
 
-/// The placement that a worker's answer, or its silence, may be judged by: its start is not under
-/// way any more.
+/// The placement to which a worker's answer or silence applies: its start is no longer in flight.
 fn judged(s: &State, own: &Ownership) -> Option<(u8, u8, u8)> {
     let Phase::Placed {
         worker,
@@ -595,7 +597,7 @@
     is_settled.then_some((worker, epoch, attempt))
 }
 
-/// The end of a lease given now, on the worker's clock.
+/// The end, on the worker's clock, of a lease granted now.
 fn next_lease(s: &mut State, d: u8, w: u8) -> Option<u8> {
     let own = own_mut(s, d)?;
     let now = millis(NOW);
@@ -622,7 +624,7 @@
     Some(())
 }
 
-/// Brings the ledger in line with what a worker reports under this owner's epoch.
+/// Updates the ledger by what a worker reports under this owner's epoch.
 fn reconcile(s: &mut State, d: u8, w: u8) {
     let Some(own) = s.daemons[at(d)].own else {
         return;
@@ -657,7 +659,7 @@
     }
 }
 
-/// The platform no longer names the host and so vouches that it is dead.
+/// The platform no longer lists the host, which proves that it is dead.
 fn give_up_host(s: &mut State, d: u8) -> Option<()> {
     let own = serving(s, d)?;
     let Phase::Placed {
@@ -683,7 +685,7 @@
     Some(())
 }
 
-/// The daemon runs anew at the same address, and its presence row says so.
+/// The daemon restarts at the same address, and its presence row says so.
 fn restart(s: &mut State, d: u8) -> Option<()> {
     let daemon = &mut s.daemons[at(d)];
     if daemon.alive {
@@ -718,7 +720,7 @@
     Some(())
 }
 
-/// At most one host dies, so that the job can still be finished.
+/// At most one host dies, so that the job can still finish.
 fn host_dies(s: &mut State, w: u8) -> Option<()> {
     if s.hosts.iter().any(|host| !host.alive) {
         return None;
--- a/tests/testsuite/model/ownership/state.rs
+++ b/tests/testsuite/model/ownership/state.rs
@@ -1,11 +1,11 @@
-//! One state of the specification, small enough to be kept by the hundred thousand, and its bridges
-//! to the project's own types.
+//! A state of the specification, small enough to keep hundreds of thousands, and its conversions to
+//! the project's own types.
 //!
-//! Three quotients keep the space finite. Time: now stands still at [`NOW`] and every noted point
-//! moves back by one with each tick, down to [`LONG_AGO`], beyond every span that is ever compared.
-//! Epochs and attempts are only compared, and counted up from the greatest, so [`State::normalise`]
-//! numbers those in use anew. Owners before the present one matter only by who they were, so equal
-//! records count once.
+//! Three reductions keep the state space finite. The current time is always [`NOW`], and with each
+//! tick every recorded time moves back by one, down to [`LONG_AGO`], which is older than any span
+//! that is compared. Epochs and attempts are only compared and incremented, so [`State::normalise`]
+//! renumbers those in use. Of earlier owners only the identity matters, so equal records are
+//! merged.
 
 use indexmap::IndexMap;
 use lapisdrum::{
@@ -24,19 +24,19 @@
 use lapisdrum_standins::worker::tasks::{TaskPlan, Tasks};
 use std::time::Duration;
 
-/// The present, on every clock.
+/// The current time on every clock, in ticks.
 pub(super) const NOW: u8 = 20;
-/// Where points in the past come to rest.
+/// Lower bound of recorded times.
 pub(super) const LONG_AGO: u8 = NOW - 6;
-/// Life of a shard's lease, in ticks.
+/// Duration of a shard's lease, in ticks.
 pub(super) const LEASE: u8 = 1;
-/// Life of a task's lease, in ticks.
+/// Duration of a task's lease, in ticks.
 pub(super) const TASK_LEASE: u8 = 1;
-/// The hold, in ticks.
+/// Hold time of the job, in ticks.
 pub(super) const HOLD: u8 = 4;
-/// Daemons and workers.
+/// Indices of the daemons and of the workers.
 pub(super) const PAIR: [u8; 2] = [0, 1];
-/// Greatest number of different owner records that matter at a time.
+/// Maximum number of different owner records that matter at a time.
 const MOST_OWNERS: usize = 8;
 
 pub(super) fn span(ticks: u8) -> Duration {
@@ -54,16 +54,16 @@
     }
 }
 
-/// What has become of an owner's run.
+/// State of the run of a daemon that owned the shard.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub(super) enum Run {
-    /// It may be alive.
+    /// May be alive.
     Present,
-    /// It died; nobody can tell.
+    /// Died, which nobody can observe.
     Dead,
-    /// It died and its daemon runs anew at the same address.
+    /// Died, and its daemon has restarted at the same address.
     Replaced,
-    /// It gave the shard up.
+    /// Released the shard.
     Released,
 }
 
@@ -91,44 +91,42 @@
     pub(super) owners: [Option<Owner>; MOST_OWNERS],
 }
 
-/// A daemon as owner, or on its way to it.
+/// The ownership of a daemon that has taken the shard, serving or not yet.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub(super) struct Ownership {
     pub(super) epoch: u8,
-    /// The send of the last renewal that is known to have taken effect.
+    /// When the last renewal that is known to have taken effect was sent.
     pub(super) renewed_at: u8,
     pub(super) since: u8,
     pub(super) serving: bool,
-    /// It wrote the last event of a graceful end.
+    /// Whether it wrote the last event of a graceful end.
     pub(super) ended: bool,
-    /// A renewal that took effect and whose answer is under way: when it was sent.
+    /// When a renewal was sent that took effect and whose answer is in flight.
     pub(super) awaiting: Option<u8>,
     /// By worker: the attempt whose start was answered.
     pub(super) started: [Option<u8>; 2],
     /// By worker: the end of the last lease sent.
     pub(super) lease_ends: [Option<u8>; 2],
-    /// A committed placement whose start has not been sent.
+    /// The attempt of a committed placement whose start has not been sent.
     pub(super) to_start: Option<u8>,
-    /// The ledger as this owner left it, once another writes.
+    /// The last ledger that this owner knows, once another owner writes.
     pub(super) view: Option<Book>,
 }
 
-/// A daemon.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub(super) struct Daemon {
     pub(super) alive: bool,
-    /// When its present run began.
+    /// When its current run started.
     pub(super) began: u8,
-    /// Since when it has seen the shard's row as it is now.
+    /// Since when it has seen the shard's row unchanged.
     pub(super) seen_since: u8,
     pub(super) own: Option<Ownership>,
 }
 
-/// The shard's row.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub(super) struct Row {
     pub(super) epoch: u8,
-    /// Whether it names a holder. The epoch tells which.
+    /// Whether it names a holder; the epoch determines which.
     pub(super) is_held: bool,
 }
 
@@ -140,7 +138,7 @@
     pub(super) ran: Ran,
 }
 
-/// A copy's state; [`TaskState`] without what the specification does not use.
+/// State of a copy: [`TaskState`] without what the specification does not use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub(super) enum Ran {
     Running,
@@ -149,7 +147,6 @@
     Lapsed,
 }
 
-/// A worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub(super) struct Host {
     pub(super) alive: bool,
@@ -157,17 +154,16 @@
     pub(super) copy: Option<TaskCopy>,
 }
 
-/// A command under way, which may arrive at any later time or never.
+/// A command in flight, which may arrive at any later time or never.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub(super) struct Message {
     pub(super) worker: u8,
     pub(super) epoch: u8,
     pub(super) until: u8,
-    /// The attempt to start; a renewal names none.
+    /// The attempt to start; `None` for a renewal.
     pub(super) start: Option<u8>,
 }
 
-/// The whole system.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub(super) struct State {
     pub(super) row: Row,
@@ -195,7 +191,7 @@
     }
 }
 
-/// What the task takes: more than half of a worker.
+/// More than half of a worker, so that two copies do not fit on one.
 pub(super) fn task_size() -> Size {
     Size {
         millicores: 600,
@@ -204,7 +200,6 @@
     }
 }
 
-/// What a worker has.
 pub(super) fn capacity() -> Size {
     Size {
         millicores: 1_000,
@@ -214,7 +209,7 @@
 }
 
 impl State {
-    /// The beginning: a job is accepted, nobody owns the shard.
+    /// The initial state: a job is accepted, nobody owns the shard.
     pub(super) fn start() -> Self {
         let daemon = Daemon {
             alive: true,
@@ -273,8 +268,8 @@
         age_all(self.late.as_mut().map(|message| &mut message.until));
     }
 
-    /// Numbers epochs and attempts anew and forgets what no later step can look at; `drops_late` as
-    /// well what comes too late to do anything, which holds only with every safeguard in place.
+    /// Renumbers epochs and attempts and drops what no later step depends on. `drops_late` also
+    /// drops late messages without effect, which is valid only with every safeguard in place.
     pub(super) fn normalise(&mut self, drops_late: bool) {
         if drops_late {
             self.forget_late();
@@ -295,7 +290,7 @@
             if !books.iter().any(|book| book.names(index, Run::Replaced)) {
                 daemon.began = LONG_AGO;
             }
-            // A death that nobody will ask about.
+            // A death that no later step depends on.
             daemon.alive |= !books.iter().any(|book| book.names(index, Run::Dead));
             forget_beyond(LEASE, &mut daemon.seen_since);
             if let Some(own) = &mut daemon.own {
@@ -308,8 +303,8 @@
         self.renumber_attempts();
     }
 
-    /// An owner that another has followed can write no more. It may still send a start or renew what
-    /// it takes for placed; where it can do neither, it is as good as one that knows of its loss.
+    /// An owner that was superseded cannot write. It may still send a start, or renew what it takes
+    /// for placed; if it can do neither, it equals an owner that knows of its loss.
     fn forget_owners(&mut self) {
         let row = self.row;
         for daemon in &mut self.daemons {
@@ -320,7 +315,7 @@
                 daemon.seen_since = LONG_AGO;
                 continue;
             }
-            // Starting takes more than renewing: a lease that still stands.
+            // A start needs a valid lease, a renewal does not.
             if !own.tenure().may_act(millis(NOW), &terms()) && own.awaiting.is_none() {
                 own.to_start = None;
             }
@@ -338,8 +333,8 @@
         }
     }
 
-    /// An answer that tells of a renewal no newer than one that is known, or of one that gives neither
-    /// a lease nor a right any more, is as good as lost.
+    /// An answer is the same as a lost one if it reports a renewal no newer than a known one, or
+    /// one too old to give a lease or the right to renew tasks.
     fn forget_late_answers(&mut self) {
         for own in self
             .daemons
@@ -353,14 +348,14 @@
         }
     }
 
-    /// Drops a late command that would be refused, or that would renew what does not run.
+    /// Drops a late command that would be refused, or that would renew a task that is not running.
     fn forget_late(&mut self) {
         let Some(message) = self.late else {
             return;
         };
         let host = &self.hosts[usize::from(message.worker)];
         let is_vain = message.start.is_none() && !host.is_running();
-        // What the worker's own rules say of a command under this epoch and with this end.
+        // Applies the worker's own rules to a command under this epoch and with this end.
         let mut probe = Tasks::new(capacity());
         probe.epoch = Epoch(host.epoch.into());
         let start = start_task(message.epoch, 1, message.until);
@@ -370,7 +365,7 @@
         }
     }
 
-    /// Once the job is done and nothing runs or is under way, nothing can run any more.
+    /// Once the job is done and nothing runs or is in flight, nothing can run again.
     fn forget_all_when_over(&mut self) {
         let is_still = self.hosts.iter().all(|host| !host.is_running()) && self.late.is_none();
         let mut owns = self.daemons.iter().filter_map(|daemon| daemon.own);
@@ -380,7 +375,7 @@
         }
     }
 
-    /// A copy that has ended and is not the placed attempt is stopped at the next visit.
+    /// A copy that has ended and is not the placed attempt is stopped at the next poll.
     fn forget_copies(&mut self) {
         let mut placed: Vec<u8> = vec![self.book.attempts];
         let owns = self.daemons.iter().filter_map(|daemon| daemon.own);
@@ -400,8 +395,8 @@
         }
     }
 
-    /// Epochs under which a command may still come get even numbers in order; a worker that has seen
-    /// one between them an odd one; all others in the ledger are earlier than any of them.
+    /// Epochs of commands that may still arrive get even numbers in order, and a worker's epoch
+    /// between two of them an odd one. All others in the ledger are earlier than any of them.
     fn renumber_epochs(&mut self) {
         let owns = self.daemons.iter().filter_map(|daemon| daemon.own);
         let mut live: Vec<u8> = owns.map(|own| own.epoch).collect();
@@ -465,7 +460,7 @@
         renumber(attempts);
     }
 
-    /// The same state with daemons or workers changed about: both are alike.
+    /// The same state with daemons or workers swapped: the two are equivalent.
     fn swapped(&self, daemons: bool, workers: bool) -> Self {
         let mut out = self.clone();
         if daemons {
@@ -504,7 +499,7 @@
         out
     }
 
-    /// One of the up to four states that differ only in which daemon or worker is which.
+    /// The least of the up to four states that differ only in the order of daemons or workers.
     pub(super) fn canonical(self) -> Self {
         let others = [(true, false), (false, true), (true, true)];
         let others = others.map(|(daemons, workers)| self.swapped(daemons, workers));
@@ -520,12 +515,12 @@
     points.into_iter().for_each(age);
 }
 
-/// Points further back than `span` are all alike.
+/// Merges all times further back than `span`.
 fn forget_beyond(span: u8, point: &mut u8) {
     *point = (*point).max(NOW - span - 1);
 }
 
-/// Dense numbers in the same order; 0 stays 0.
+/// Renumbers densely in the same order; 0 stays 0.
 fn renumber(numbers: Vec<&mut u8>) {
     let mut used: Vec<u8> = numbers.iter().map(|number| **number).collect();
     used.push(0);
@@ -559,8 +554,8 @@
         owners.any(|owner| owner.daemon == daemon && owner.run == run)
     }
 
-    /// Owners before the task's placement are never asked about again. Of the others, up to the
-    /// last, only who they were matters, so they get the placement's epoch and equal ones are one.
+    /// Owners before the task's placement are never considered again. Of the others but the last
+    /// only the identity matters, so they get the placement's epoch and equal ones are merged.
     fn forget(&mut self) {
         let owners: Vec<Owner> = self.owners.iter().flatten().copied().collect();
         let Some((last, earlier)) = owners.split_last() else {
@@ -581,7 +576,7 @@
             .collect();
         kept.sort_unstable();
         kept.dedup();
-        // A released owner matters only where it is the only kind.
+        // Released owners matter only if there are no others.
         let is_released = |owner: &Owner| owner.run == Run::Released;
         if kept.iter().all(is_released) {
             kept.truncate(1);
@@ -643,7 +638,7 @@
         state
     }
 
-    /// This ledger after an event, by the project's own `apply`; none when the event does not belong.
+    /// This ledger after an event, by the project's own `apply`, or `None` if the event is invalid.
     pub(super) fn apply(&self, event: &Event) -> Option<Self> {
         let mut state = self.to_ledger();
         state.apply(event).ok()?;
@@ -695,7 +690,7 @@
 }
 
 impl Ownership {
-    /// Whether this owner, followed by another, takes something for placed that it may renew.
+    /// Whether this owner, if superseded, takes a task for placed that it may renew.
     fn renews(&self) -> bool {
         match self.view.map(|view| view.phase) {
             Some(Phase::Placed { worker, epoch, .. }) => {
@@ -706,7 +701,7 @@
         }
     }
 
-    /// Drops what is of no use any more, by what this owner takes the ledger for.
+    /// Drops what no later step depends on, by the ledger as this owner knows it.
     fn forget(&mut self, book: &Book) {
         if let Some(view) = &mut self.view {
             view.owners = [None; MOST_OWNERS];
@@ -743,7 +738,7 @@
     }
 }
 
-/// A task whose work never ends by itself: its end is a step of the specification.
+/// A task that never ends by itself: its end is a step of the specification.
 pub(super) const PLAN: TaskPlan = TaskPlan {
     work_ms: None,
     checkpoint_ms: 1,
@@ -762,7 +757,7 @@
 }
 
 impl Host {
-    /// Lets the worker's own rules act on it.
+    /// Applies the worker's own rules to this worker.
     pub(super) fn with<T>(&mut self, act: impl FnOnce(&mut Tasks) -> T) -> T {
         let mut tasks = self.to_tasks();
         let out = act(&mut tasks);
@@ -798,7 +793,6 @@
         tasks
     }
 
-    /// Whether a copy runs here.
     pub(super) fn is_running(&self) -> bool {
         self.alive && self.copy.is_some_and(|copy| copy.ran == Ran::Running)
     }
--- a/tests/testsuite/policy/queueing.rs
+++ b/tests/testsuite/policy/queueing.rs
@@ -256,8 +256,8 @@
 }
 
 /// The queue has been standing for more than `STANDING_QUEUE_AFTER`, so the load exceeds the
-/// capacity and waiting longer does not help. A caller with items waiting is refused; one with none
-/// is still accepted.
+/// capacity and a longer queue serves no more. A caller whose request would wait too long is refused;
+/// one with nothing waiting is still accepted.
 #[test]
 fn a_standing_queue_is_kept_short() {
     let mut queue: Queue<u32> = Queue::default();
--- a/tests/testsuite/properties/events.rs
+++ b/tests/testsuite/properties/events.rs
@@ -1,4 +1,4 @@
-//! Ledger events drawn at random, most of which belong to the state that they are drawn for.
+//! Random ledger events, most of which are valid for the state that they are generated for.
 
 use lapisdrum::{
     core::{
@@ -14,7 +14,7 @@
 use proptest::prelude::*;
 use std::time::Duration;
 
-/// Numbers from which an event is made once the state is known.
+/// Random numbers from which an event is made once the state is known.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Seed {
     pub(crate) kind: u8,
@@ -77,7 +77,7 @@
     named("render".to_owned())
 }
 
-/// An event for a state; about one in four does not belong.
+/// Makes an event for a state; about one in four is invalid.
 pub(crate) fn event(state: &State, seed: Seed) -> Event {
     let id = job(seed.subject);
     let known = state.jobs.get(&id);
--- a/tests/testsuite/properties/grants.rs
+++ b/tests/testsuite/properties/grants.rs
@@ -1,4 +1,4 @@
-//! Floors over exchanges that are lost, late or repeated, and over changes of owner.
+//! Floors of daemons when exchanges are lost, late or repeated and the owner changes.
 
 use super::events::{holder, worker};
 use indexmap::IndexMap;
@@ -15,20 +15,19 @@
 const WORKERS: u8 = 2;
 const SHARE_PERCENT: u32 = 60;
 
-/// One step of a daemon or of the shard.
 #[derive(Clone, Copy, Debug)]
 enum Op {
-    /// A daemon's exchange, and how far it gets.
+    /// A daemon's exchange with the owner, and what happens to it.
     Exchange(u8, Reach),
-    /// A request begins on a worker, if the floor has room.
+    /// A request starts on a worker, if the daemon's floor has free capacity.
     Begin(u8, u8),
-    /// One ends.
+    /// A request on a worker ends.
     End(u8, u8),
-    /// An earlier round, which was under way, reaches the present owner.
+    /// An earlier round that was in flight reaches the current owner.
     LateRound(u8),
     /// Another owner takes the shard.
     OwnerChange,
-    /// The number of daemons that share changes.
+    /// The number of daemons that share the workers changes.
     Sharers(u8),
 }
 
@@ -36,9 +35,9 @@
 enum Reach {
     Answered,
     NotDelivered,
-    /// The ledger has it; the answer is lost.
+    /// The ledger has the change; the answer is lost.
     AnswerLost,
-    /// Under way; see [`Op::LateRound`].
+    /// In flight; see [`Op::LateRound`].
     Late,
 }
 
@@ -78,7 +77,7 @@
     }
 }
 
-/// A round on its way: the epoch that it is meant for, its number, what its sender held.
+/// An exchange in flight: the epoch that it is for, its number and the floors that its sender held.
 #[derive(Clone, Debug)]
 struct Round {
     epoch: Epoch,
@@ -89,7 +88,7 @@
 struct World {
     ledger: State,
     epoch: Epoch,
-    /// The last round that the present owner saw of each daemon.
+    /// By daemon: the last round that the current owner received.
     rounds: IndexMap<u8, u64>,
     daemons: Vec<Floors>,
     late: Vec<Vec<Round>>,
@@ -123,7 +122,7 @@
         (0..WORKERS).map(|w| (worker(w), part(w))).collect()
     }
 
-    /// The owner's side: refuses a late round, or makes its changes durable.
+    /// Handles a round as the owner: returns false if it is late, or else commits its changes.
     fn receive(&mut self, d: u8, round: &Round) -> bool {
         let last = self.rounds.entry(d).or_default();
         let is_next = round.epoch == self.epoch && round.number > *last;
@@ -231,9 +230,8 @@
 }
 
 proptest! {
-    /// Visitors' requests go on being served from floors while exchanges are lost, late or repeated
-    /// and owners change. What a daemon holds itself to is never above what the ledger has for it,
-    /// and the ledger never gives out more than the worker, so no host is committed beyond its size.
+    /// Guards against workers that are overcommitted by floors: a daemon never uses more than the
+    /// ledger grants it, and all grants together never exceed the worker.
     #[test]
     fn floors_never_sum_beyond_the_worker(ops in vec(op(), 1..150)) {
         let mut world = World::new();
--- a/tests/testsuite/properties/ledger.rs
+++ b/tests/testsuite/properties/ledger.rs
@@ -1,4 +1,4 @@
-//! The ledger's state under any sequence of events.
+//! The ledger's state after any sequence of events.
 
 use super::events::{Seed, event, holder, job, seed, shard, worker};
 use indexmap::IndexMap;
@@ -23,8 +23,8 @@
 }
 
 proptest! {
-    /// What is committed on each worker follows from jobs and floors after every event, and an event
-    /// that does not belong changes nothing.
+    /// Guards against a committed size that drifts from jobs and floors, and against an invalid
+    /// event that changes the state.
     #[test]
     fn committed_is_the_recount_and_a_rejected_event_changes_nothing(seeds in vec(seed(), 0..80)) {
         let mut state = State::default();
@@ -38,8 +38,9 @@
         }
     }
 
-    /// Evicted work resumes exactly once: between two placements of a job lies one event that took its
-    /// place away, each placement is the next attempt, and none comes after the job's end.
+    /// Guards against evicted work that resumes twice: between two placements of a job is exactly
+    /// one event that ended the first, each placement is the next attempt, and none follows the end
+    /// of the job.
     #[test]
     fn each_loss_of_a_place_is_followed_by_one_next_attempt(seeds in vec(seed(), 0..120)) {
         let mut state = State::default();
@@ -61,7 +62,7 @@
                     prop_assert!(std::mem::replace(is_placed, false), "evicted without a place");
                     prop_assert_eq!(attempt, Attempt(*attempts));
                 }
-                // No further placement may follow; one would find it still placed.
+                // Marked as placed, so that any later placement fails the assertion above.
                 Event::Ended { job, .. } => placed.entry(job).or_default().1 = true,
                 Event::Forgotten { job } => {
                     placed.swap_remove(&job);
@@ -71,7 +72,7 @@
         }
     }
 
-    /// Several events are taken together as they are one by one, or not at all.
+    /// Several events apply as they do one by one, or not at all.
     #[test]
     fn events_are_applied_together_or_not_at_all(
         first in vec(seed(), 0..30),
@@ -89,7 +90,7 @@
         prop_assert_eq!(&state, if all.is_ok() { &one_by_one } else { &before });
     }
 
-    /// The rows replayed give the state that their writer had, also through the snapshot's format.
+    /// The replayed rows give the state of their writer, and the snapshot format keeps it.
     #[test]
     fn a_replay_equals_the_live_state(groups in vec(vec(seed(), 0..6), 0..12)) {
         let mut live = State::default();
@@ -108,8 +109,8 @@
         prop_assert_eq!(read.ok(), Some(live));
     }
 
-    /// A job that moves by one transaction over both ledgers is in exactly one of them, whichever
-    /// answers are lost and however often the move is tried.
+    /// Guards against a moved job that is in both ledgers or in none, when answers are lost and the
+    /// move is repeated.
     #[test]
     fn a_job_that_moves_is_in_exactly_one_shard(moves in vec((0..4_u8, any::<bool>(), any::<bool>()), 1..30)) {
         let mut table = Table::default();
@@ -143,7 +144,7 @@
     }
 }
 
-/// Those of the drawn events that belong, one after the other.
+/// The events made from `seeds`, without those that are invalid after the ones before.
 pub(super) fn belonging(state: &State, seeds: &[Seed]) -> Vec<Event> {
     let mut trial = state.clone();
     let mut events = Vec::new();
@@ -156,8 +157,8 @@
     events
 }
 
-/// The caller's livestream is placed on w0 and the owner says that it has ended. A successor counts
-/// on no further start by it, so a placement of its after that must not get into the ledger.
+/// Guards against a placement by an owner whose end is in the ledger: its successor relies on no
+/// further start by it.
 #[test]
 fn an_owner_that_has_ended_places_nothing_more() {
     let mut state = State::default();
--- a/tests/testsuite/properties/mod.rs
+++ b/tests/testsuite/properties/mod.rs
@@ -1,4 +1,4 @@
-//! Properties over sequences that proptest draws, on the real code.
+//! Property tests of the ledger, its recovery, and floors, over random sequences of steps.
 
 mod events;
 mod grants;
--- a/tests/testsuite/properties/placement.rs
+++ b/tests/testsuite/properties/placement.rs
@@ -1,4 +1,4 @@
-//! Placement beside floors: no host is committed beyond its size.
+//! Placement of tasks beside floors.
 
 use super::events::{accepted, holder, job, worker};
 use lapisdrum::{
@@ -35,7 +35,7 @@
     }
 }
 
-/// What is free on a worker for tasks.
+/// Capacity of a worker that is free for tasks.
 fn free(state: &State, w: u8) -> Size {
     let (id, whole) = (worker(w), whole(w));
     let reserved = grants::unclaimed_reserve(state, &id, &whole, SHARE_PERCENT);
@@ -43,7 +43,7 @@
     whole.size.minus(&committed).minus(&reserved)
 }
 
-/// The worker that the policy picks for a size.
+/// The worker that the policy chooses for a task of this size.
 fn choose(state: &State, size: Size, seed: u64) -> Option<WorkerId> {
     let rack = Rack::try_from("rack-a").expect("a name");
     let workers: Vec<WorkerId> = (0..WORKERS).map(worker).collect();
@@ -72,7 +72,7 @@
     Some(candidates[chosen].worker.clone())
 }
 
-/// Places a waiting job where the policy puts it, if it finds a place.
+/// Places a waiting job on the worker that the policy chooses, if any.
 fn place(state: &mut State, n: u8) {
     let Some(waiting) = state
         .jobs
@@ -96,8 +96,8 @@
 }
 
 proptest! {
-    /// Renders of any size come and go while daemons' floors rise and fall. Tasks and floors together
-    /// never take more of a host than it has, in any dimension.
+    /// Guards against overcommitted hosts: tasks and floors together never exceed a host in any
+    /// dimension while tasks come and go and floors grow and shrink.
     #[test]
     fn tasks_and_floors_together_fit_every_host(
         ops in vec((0..5_u8, 0..8_u8, 0..4_u8), 1..120),
@@ -119,7 +119,7 @@
                     let part = |w: u8| grants::even_part(&whole(w), SHARE_PERCENT, n.into(), daemons);
                     let targets: ByWorker = (0..WORKERS).map(|w| (worker(w), part(w))).collect();
                     let held = state.grants.get(&holder(n % 2)).cloned().unwrap_or_default();
-                    // The daemon has come down to the part that it has now.
+                    // The daemon has reduced its floors to the targets.
                     let holding = if amount == 3 { targets.clone() } else { held };
                     let events = grants::changes(&state, &hosts, &holder(n % 2), &holding, &targets);
                     prop_assert_eq!(state.apply_all(&events), Ok(()));
--- a/tests/testsuite/properties/recovery.rs
+++ b/tests/testsuite/properties/recovery.rs
@@ -1,4 +1,4 @@
-//! Recovery at every prefix, with the table stand-in and the transactions that the daemon sends.
+//! Recovery after every step, with the table stand-in and the daemon's own transactions.
 
 use super::{
     events::{Seed, seed, shard},
@@ -20,17 +20,17 @@
 
 const POINTER: &str = "snapshot/a.0";
 
-/// How far a write or a snapshot gets.
+/// What happens to a write.
 #[derive(Clone, Copy, Debug)]
 enum Fate {
     Answered,
     /// It takes effect; the writer reads its row back.
     AnswerLost,
-    /// It takes effect; the writer is gone before it learns.
+    /// It takes effect; the writer crashes before the answer.
     CrashAfter,
-    /// The writer is gone before it is sent.
+    /// The writer crashes before sending it.
     CrashBefore,
-    /// It is under way while another takes the shard.
+    /// It is in flight while another owner takes the shard.
     Late,
 }
 
@@ -70,21 +70,21 @@
     ]
 }
 
-/// An owner's side of the ledger.
+/// An owner with its recovered ledger.
 struct Writer {
     epoch: Epoch,
     epoch_version: u64,
     state: State,
 }
 
-/// The platform, and what has certainly happened.
+/// The platform, and what was written and acknowledged.
 #[derive(Default)]
 struct World {
     table: Table,
     objects: IndexMap<String, Vec<u8>>,
     /// Batches that took effect, in order.
     written: Vec<Batch>,
-    /// How many of them a writer was told of or read back.
+    /// Nonces of the batches that a writer knows to be written, by sequence number.
     acknowledged: IndexMap<Sequence, u64>,
     nonce: u64,
 }
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Snapshot and rows, as Journal::recover reads them.
+    /// Reads snapshot and rows as `Journal::recover` does.
     fn recover(&mut self) -> State {
         let pointer = self.table.get(POINTER);
         let pointer = pointer.and_then(|row| row.parse::<SnapshotPointer>());
@@ -146,7 +146,7 @@
         took_effect
     }
 
-    /// Notes that a writer takes a batch for durable.
+    /// Records that a writer knows a batch to be durable.
     fn acknowledge(&mut self, writer: &mut Writer, batch: &Batch) {
         self.acknowledged.insert(batch.sequence, batch.nonce);
         let applied = writer.state.apply_batch(batch);
@@ -180,7 +180,7 @@
         let _ = self.table.txn(&rows.fold(guarded(), Txn::delete));
     }
 
-    /// What a new owner finds is exactly what took effect, and everything acknowledged is in it.
+    /// A new owner recovers exactly what took effect, including everything acknowledged.
     fn check(&mut self) -> Result<(), TestCaseError> {
         let mut expected = State::default();
         for batch in &self.written {
@@ -203,10 +203,9 @@
 }
 
 proptest! {
-    /// The caller was told that a job is accepted; then the owner crashes, loses an answer, is
-    /// overtaken with a write under way, or stops half way through a snapshot. The next owner finds
-    /// every acknowledged batch, at most the unacknowledged tail besides, and no two writers were
-    /// ever both told that they had written at one sequence number.
+    /// Guards against accepted jobs that are lost when the owner crashes, loses an answer, is
+    /// superseded with a write in flight, or stops halfway through a snapshot. No two writers both
+    /// have a write acknowledged at one sequence number.
     #[test]
     fn every_prefix_recovers_what_was_acknowledged(ops in vec(op(), 1..60)) {
         let mut world = World::default();
@@ -223,7 +222,7 @@
                         }
                         Fate::AnswerLost => {
                             world.send(&writer, &batch);
-                            // Tried again: the conflict is settled by reading the row back.
+                            // Tried again: the conflict is resolved by reading the row back.
                             prop_assert!(!world.send(&writer, &batch));
                             prop_assert!(world.reads_back(&batch));
                             world.acknowledge(&mut writer, &batch);
--- a/tests/testsuite/requests/claims.rs
+++ b/tests/testsuite/requests/claims.rs
@@ -1,5 +1,4 @@
-//! Ids that callers bring: a repeat finds the first outcome, and a certificate check never runs
-//! twice.
+//! Idempotency keys: a repeat gets the first outcome, and a certificate check never runs twice.
 
 use super::embedded::{EmbeddedSite, LIMIT, entry};
 use crate::support::{http, process::Site, wait};
@@ -18,7 +17,7 @@
     [("idempotency-key", key)]
 }
 
-/// Waits until keyed requests are served: the homes of claims are known.
+/// Waits until requests with a key are served, which needs the homes of claims to be known.
 async fn claims_are_kept(site: &EmbeddedSite) {
     for (i, daemon) in site.daemons.iter().enumerate() {
         wait::until("claims are kept", LIMIT, async || {
@@ -32,9 +31,9 @@
     }
 }
 
-/// A technician's answer is lost; the check is asked again through the other daemon. The first run's
-/// answer comes back and the worker has run it once. While the first is still running, the repeat is
-/// told to come back.
+/// Guards against a second run when an answer is lost and the check is repeated through another
+/// daemon: the repeat gets the first answer, and is refused with a retry time while the first still
+/// runs.
 #[actix_rt::test]
 async fn a_repeat_through_another_daemon_gets_the_first_outcome() {
     let site = EmbeddedSite::start(&["multan"], 2, 2).await;
@@ -63,8 +62,8 @@
     assert_eq!(site.runs(), ["check-1"], "one run");
 }
 
-/// An id is used again for another meter. Handing out the first meter's answer would be a wrong
-/// answer, and running it would break the promise to the first caller; it is refused.
+/// Guards against a key that is reused for another body: it would get the wrong answer, or run
+/// although the key is taken, so it is refused.
 #[actix_rt::test]
 async fn an_id_for_another_body_is_refused() {
     let site = EmbeddedSite::start(&["multan"], 2, 1).await;
@@ -83,8 +82,8 @@
     assert_eq!(site.runs(), ["check-2"], "one run");
 }
 
-/// Every worker refuses the check before it runs. The caller is told that it was not run, and the
-/// claim is released: the same id is served once workers take requests again.
+/// Guards against a key that stays taken although its request was not run: every worker refuses the
+/// check, and the same key is served once workers accept requests again.
 #[actix_rt::test]
 async fn a_request_that_was_not_run_may_be_asked_again_under_its_id() {
     let site = EmbeddedSite::start(&["multan"], 2, 2).await;
@@ -105,9 +104,9 @@
     assert_eq!(site.runs(), ["check-3"], "one run");
 }
 
-/// The table is away, so no claim can be made durable. A check with an id is refused with a time to
-/// come back, and no worker has run it; one without an id is still served inside the floors. Once
-/// the table is back the same id is served, once.
+/// Guards against runs without a durable claim: while the table is unavailable, a check with a key
+/// is refused with a retry time and not run. One without a key is served within the floors.
+/// Afterwards the same key runs once.
 #[actix_rt::test]
 async fn without_its_home_an_id_is_refused_and_not_run() {
     let site = EmbeddedSite::start(&["multan"], 2, 2).await;
@@ -133,9 +132,8 @@
     assert_eq!(keyed(site.runs()), 1, "one run");
 }
 
-/// Two data centres come up together and both keep claims. Then one has no daemon any more. Ids that
-/// are at home there are refused with a time to come back, and none of them has run; the others are
-/// served as before.
+/// Two data centres keep claims, then one has no daemon any more. Keys whose home is there are
+/// refused with a retry time and not run; the others are served.
 #[actix_rt::test]
 async fn ids_at_home_in_a_lost_data_centre_are_refused_and_not_run() {
     let mut site = EmbeddedSite::start(&["multan", "lahore"], 1, 1).await;
@@ -165,9 +163,8 @@
     assert!((1..20).contains(&refused), "{refused} of 20 at home there");
 }
 
-/// A check with an id is run and its answer lost. It is unknown, and stays so: asked again through
-/// either daemon it is not sent again. A route map, which may run twice, is served when it is asked
-/// again under its id.
+/// A check with a key runs and its answer is lost: the outcome stays unknown, and no repeat through
+/// either daemon runs it again. A route map is idempotent and is served when repeated.
 #[actix_rt::test]
 async fn an_unknown_outcome_stays_unknown_unless_the_entry_is_idempotent() {
     let site = EmbeddedSite::start(&["multan"], 2, 1).await;
@@ -198,9 +195,9 @@
     .await;
 }
 
-/// A daemon dies while its check runs. The caller asks again through the other daemon: first the id
-/// is in progress; once a new run of the dead daemon shows that it is gone, the outcome is unknown,
-/// and it is never run a second time.
+/// Guards against a second run after a daemon dies while its check runs. A repeat through another
+/// daemon is refused as in progress, and gets an unknown outcome once the restarted daemon shows
+/// that the earlier run has ended.
 #[actix_rt::test]
 async fn a_dead_daemons_claim_ends_as_unknown_and_never_runs_again() {
     let mut site = Site::start(2, 2).await;
@@ -269,8 +266,8 @@
 }
 
 proptest! {
-    /// Shards come one after another. A daemon may use the row before the present one until the next
-    /// change: whichever of two rows in a row two daemons go by, they claim an id at a common home.
+    /// Guards against two daemons that claim one id at different homes: a daemon may use the
+    /// previous row until the next change, so any two consecutive rows have a common home.
     #[test]
     fn rows_in_a_row_have_a_common_home_for_every_id(
         growth in prop::collection::vec(prop::collection::vec(0..40_u8, 1..4), 1..6),
@@ -292,8 +289,7 @@
         }
     }
 
-    /// What is kept of an answer comes back as it was; a body beyond the bound is left out, and that
-    /// is told.
+    /// A kept answer is decoded as it was encoded; a body beyond the limit is left out.
     #[test]
     fn kept_answers_come_back_as_they_were(
         digest: u64,
--- a/tests/testsuite/requests/embedded.rs
+++ b/tests/testsuite/requests/embedded.rs
@@ -1,4 +1,5 @@
-//! A platform, workers and daemons in the test's own process, so that a test can look into them.
+//! A platform, workers and daemons in the test's own process, so that a test can inspect their
+//! state.
 
 use crate::support::{http, wait};
 use actix_http::Method;
@@ -23,7 +24,7 @@
 
 pub(crate) const LIMIT: Duration = Duration::from_secs(30);
 const CALL_TIMEOUT: Duration = Duration::from_secs(5);
-/// What the stand-ins' host entry says.
+/// Slots of a worker, as in the stand-ins' host entry.
 pub(crate) const SLOTS: u32 = 8;
 pub(crate) const CAPACITY: Size = Size {
     millicores: 16_000,
@@ -42,7 +43,7 @@
         DaemonClient::new(&self.plan.callers.to_string(), CALL_TIMEOUT)
     }
 
-    /// Tells it to end, as SIGTERM does.
+    /// Requests a graceful end, as SIGTERM does.
     pub(crate) fn tell_to_end(&self) {
         self.stop.send_replace(true);
     }
@@ -52,7 +53,7 @@
         run.await.expect("no panic").expect("a graceful end");
     }
 
-    /// Asks for one run of `entry`.
+    /// Requests one run of `entry`.
     pub(crate) async fn ask(
         &self,
         entry: &str,
@@ -88,7 +89,7 @@
 }
 
 impl EmbeddedSite {
-    /// Starts so many daemons and workers in each of the data centres.
+    /// Starts `daemons` daemons and `workers` workers in each of the data centres.
     pub(crate) async fn start(data_centres: &[&str], daemons: usize, workers: usize) -> Self {
         let (stop, stopped) = watch::channel(false);
         let platform = Rc::new(Platform::default());
@@ -133,7 +134,7 @@
         self.workers.push(EmbeddedWorker { worker, link });
     }
 
-    /// Adds an entry and waits until every daemon answers it.
+    /// Adds an entry and waits until every daemon serves it.
     pub(crate) async fn serve_entry(&self, raw: &RawEntry) {
         let done = self.daemons[0].client().put_entry(raw, None).await;
         done.expect("the entry is accepted");
@@ -179,7 +180,7 @@
     }
 }
 
-/// A latency-critical entry with this deadline.
+/// A latency-critical entry.
 pub(crate) fn entry(name: &str, is_idempotent: bool, deadline_ms: u64) -> RawEntry {
     RawEntry {
         name: name.to_owned(),
--- a/tests/testsuite/requests/floors.rs
+++ b/tests/testsuite/requests/floors.rs
@@ -1,4 +1,4 @@
-//! Floors of daemons that are gone: taken back, but not while their requests may be running.
+//! Floors of daemons that died: returned only once their requests cannot be running.
 
 use super::embedded::{LIMIT, entry};
 use crate::support::{
@@ -11,7 +11,7 @@
 use lapisdrum_standins::worker::server::WorkerSwitches;
 use std::{net::SocketAddr, time::Duration};
 
-/// Half of the worker is kept for requests.
+/// Millicores of the worker that are kept for requests: half of it.
 const REQUEST_SHARE: u64 = 8_000;
 
 async fn is_served(callers: SocketAddr) -> bool {
@@ -19,11 +19,9 @@
     asked.is_ok_and(|answer| answer.status.is_success())
 }
 
-/// Both daemons have as many checks running as their floors allow when one of them is killed and
-/// replaced. The new run asks for floors and is sent callers at once. It is given the dead run's
-/// floors, but only after the checks that the dead run sent have reached their deadline: the worker
-/// never has more than its share on it. Then the other daemon dies, so that only the new run's own
-/// floors can serve its callers.
+/// Guards against an overcommitted worker after a daemon is killed with its floor in use and
+/// restarted. The new run gets the old floors only after the deadlines of the checks sent under
+/// them. The other daemon is then killed, so that only the new run's own floors can serve callers.
 #[actix_rt::test]
 async fn a_dead_daemons_floors_come_back_after_its_requests_are_over() {
     let mut site = Site::start(2, 1).await;
--- a/tests/testsuite/requests/mod.rs
+++ b/tests/testsuite/requests/mod.rs
@@ -1,4 +1,4 @@
-//! The request path, judged by what callers receive and by what workers log.
+//! The request path, judged by what callers receive and what workers log.
 
 mod claims;
 mod embedded;
--- a/tests/testsuite/requests/outcomes.rs
+++ b/tests/testsuite/requests/outcomes.rs
@@ -1,4 +1,4 @@
-//! Truthful outcomes and whole answers: done, refused and unknown, whatever workers do.
+//! Outcomes of requests (done, refused, unknown) and complete answers, whatever workers do.
 
 use super::embedded::{EmbeddedSite, LIMIT, SLOTS, entry};
 use crate::support::wait;
@@ -10,7 +10,7 @@
     net::TcpStream,
 };
 
-/// The size of one request of [`entry`].
+/// Size of one request of [`entry`].
 const SIZE: Size = Size {
     millicores: 500,
     memory_mb: 100,
@@ -25,14 +25,14 @@
     unknown: u32,
 }
 
-/// Sends `rounds` requests in a row from each of `callers` callers, each with a body of its own, and
-/// checks that whoever is answered gets its own body whole.
+/// Sends `rounds` requests in a row from each of `callers` callers, each with a different body, and
+/// checks that each answer has the complete body of its request.
 async fn crowd(site: &EmbeddedSite, name: &str, callers: usize, rounds: usize) -> Tally {
     let caller = |caller: usize| async move {
         let daemon = &site.daemons[caller % site.daemons.len()];
         let mut tally = Tally::default();
         for round in 0..rounds {
-            // Long enough that a cut shows.
+            // Long enough that a truncated answer is noticed.
             let body = format!("{name} of caller {caller} round {round};").repeat(50);
             let answer = daemon.ask(name, &[], &body).await.expect("an answer");
             match answer.outcome() {
@@ -68,9 +68,9 @@
     runs.iter().map(often).max().unwrap_or_default()
 }
 
-/// 200 callers ask at once while workers cut answers off, delay some, name the wrong request in
-/// some, and the connections repeat or lose others. Each caller gets its own whole answer or is told
-/// the truth: as many requests ran as were done or unknown, none of them twice.
+/// Guards against mixed-up answers and double runs: 200 callers send at once while workers
+/// truncate, delay and misattribute answers, and connections repeat or lose them. Each caller gets
+/// its own complete answer or the true outcome.
 #[actix_rt::test]
 async fn each_of_200_callers_gets_its_own_whole_answer() {
     let site = EmbeddedSite::start(&["multan"], 2, 4).await;
@@ -102,8 +102,7 @@
     }
 }
 
-/// Workers refuse everything before it runs. Callers are told that nothing was run, and the workers'
-/// logs agree.
+/// Guards against requests reported as not run that did run: all workers refuse before running.
 #[actix_rt::test]
 async fn refused_means_not_run() {
     let site = EmbeddedSite::start(&["multan"], 2, 2).await;
@@ -114,8 +113,8 @@
     assert_eq!(site.runs(), [""; 0]);
 }
 
-/// The worker runs a check and the connection closes without an answer. Nobody knows whether it ran,
-/// so the caller is told so and it isn't sent again; a route map, which is idempotent, is.
+/// A worker runs a check and the connection closes without an answer: the outcome is unknown and
+/// the check is not retried. A route map is idempotent and is retried.
 #[actix_rt::test]
 async fn a_lost_answer_is_unknown_unless_the_entry_is_idempotent() {
     let site = EmbeddedSite::start(&["multan"], 1, 2).await;
@@ -136,8 +135,8 @@
     }
 }
 
-/// A worker runs a check, and the refusal of another request arrives in place of its answer. To
-/// believe it would have the check sent again while it runs; its outcome is unknown, and it ran once.
+/// Guards against a second run of a check: the refusal of another request arrives in place of its
+/// answer. If it were accepted, the check would be retried while it runs.
 #[actix_rt::test]
 async fn the_refusal_of_another_request_is_not_believed() {
     let site = EmbeddedSite::start(&["multan"], 1, 2).await;
@@ -149,9 +148,8 @@
     assert_eq!(site.runs().len(), 1, "sent once");
 }
 
-/// Connections break while checks run, and their callers ask again at once. The worker still runs
-/// what was given up on, so its slot and size stay counted until the deadline that it was given: it
-/// never runs more than its share for requests.
+/// Guards against overloading a worker with requests whose connections broke: it still runs them,
+/// so their slots and sizes stay counted until their deadlines.
 #[actix_rt::test]
 async fn a_worker_is_never_given_more_than_its_slots_and_size() {
     let site = EmbeddedSite::start(&["multan"], 2, 1).await;
@@ -187,8 +185,8 @@
     assert!(log.most_size.millicores <= 8_000, "{:?}", log.most_size);
 }
 
-/// A worker hangs with requests on it. Each is answered at its deadline with an unknown outcome, and
-/// not later; the deadline that the caller gave is what counts.
+/// Guards against callers that wait beyond their deadline for a hung worker. The caller's deadline
+/// applies, not the longer one of the entry.
 #[actix_rt::test]
 async fn a_hung_worker_is_answered_for_at_the_deadline() {
     let site = EmbeddedSite::start(&["multan"], 1, 1).await;
@@ -205,14 +203,14 @@
     );
 }
 
-/// The platform says that a worker is leaving. It takes no new request from any daemon a few polls
-/// later, while the other serves all of them.
+/// Guards against new requests on a worker that the platform reports as leaving; they go to the
+/// other worker.
 #[actix_rt::test]
 async fn a_leaving_worker_gets_no_new_requests() {
     let site = EmbeddedSite::start(&["multan"], 2, 2).await;
     site.serve_entry(&entry("check", false, 5_000)).await;
     site.platform.hosts.borrow_mut()[0].state = "leaving".to_owned();
-    // Two polls of the test's settings, and as much again for a busy machine.
+    // Two polls at the test's settings, doubled for a busy host.
     tokio::time::sleep(Duration::from_secs(1)).await;
     let before = site.workers[0].runs().len();
     let tally = crowd(&site, "check", 4, 10).await;
@@ -225,9 +223,9 @@
     );
 }
 
-/// A daemon is told to end with requests in flight, one of whose callers has gone away. It answers
-/// the others whole and takes nothing new; it ends only after the abandoned one is over as well, so
-/// that its floors aren't given to others while the worker still runs it.
+/// Guards against floors that are granted to others while a worker still runs requests on them: a
+/// stopping daemon accepts nothing new, answers its requests, and also waits for one whose caller
+/// disconnected.
 #[actix_rt::test]
 async fn a_graceful_end_waits_for_all_that_runs() {
     let mut site = EmbeddedSite::start(&["multan"], 2, 2).await;
@@ -253,13 +251,12 @@
     assert_eq!(after.expect("an answer").body, "meter 8");
 }
 
-/// A check's connection breaks, so its outcome is unknown while the worker still runs it; then the
-/// daemon is told to end. It ends only when the worker is done with it: floors that are given back
-/// earlier would be given to others on top of what runs.
+/// As above, for a request whose connection to the worker broke: its outcome is unknown while the
+/// worker still runs it.
 #[actix_rt::test]
 async fn a_graceful_end_waits_for_what_may_still_run() {
     let mut site = EmbeddedSite::start(&["multan"], 1, 1).await;
-    // Before the first connection, so that none lasts.
+    // Before the first connection, so that none is kept open.
     site.workers[0].link.switches.borrow_mut().closes_after_ms = 100;
     site.serve_entry(&entry("check", false, 2_000)).await;
     site.switch_workers(|switches| switches.request_ms = 1_800);
@@ -278,8 +275,8 @@
     assert_eq!(site.workers[0].worker.running_requests(), 0, "it is over");
 }
 
-/// A caller announces more than the entry allows and sends none of it. It is refused on the
-/// announcement, so that nobody can fill the daemon's memory with bodies that are refused later.
+/// Guards against daemons that run out of memory by bodies that are refused later: a caller that
+/// announces more than the entry allows is refused before it sends the body.
 #[actix_rt::test]
 async fn a_body_that_is_announced_too_large_is_not_waited_for() {
     let site = EmbeddedSite::start(&["multan"], 1, 1).await;
@@ -297,8 +294,7 @@
     assert!(answer.starts_with("HTTP/1.1 413"), "{answer}");
 }
 
-/// A caller sends more than the entry allows. It is refused before the body is held, and nothing is
-/// run; a body at the limit is served.
+/// A body beyond the entry's limit is refused and not run; a body at the limit is served.
 #[actix_rt::test]
 async fn a_body_beyond_the_entrys_limit_is_refused() {
     let site = EmbeddedSite::start(&["multan"], 1, 1).await;
--- a/tests/testsuite/requests/overload.rs
+++ b/tests/testsuite/requests/overload.rs
@@ -3,8 +3,8 @@
 use super::embedded::{EmbeddedSite, entry};
 use std::time::{Duration, Instant};
 
-/// A burst of ten times what runs and waits arrives at once. What has no place in line is refused
-/// then and there, with a time to come back, and was not run; the rest is answered in time.
+/// Guards against a burst that fills the queue with requests that expire: requests beyond the
+/// queue's bound are refused at once, with a retry time and without a run.
 #[actix_rt::test]
 async fn a_burst_beyond_the_queue_is_refused_at_once() {
     let site = EmbeddedSite::start(&["multan"], 1, 1).await;
@@ -31,14 +31,14 @@
     assert_eq!(site.runs().len(), done.len(), "refused means not run");
 }
 
-/// One caller asks far more than all others together. Each of the others still gets a turn soon:
-/// callers share an entry's line evenly, however much one of them asks.
+/// Guards against one caller that starves the others of an entry: callers share its queue evenly,
+/// however many requests one of them sends.
 #[actix_rt::test]
 async fn a_hot_caller_leaves_the_others_their_turn() {
     let site = EmbeddedSite::start(&["multan"], 1, 1).await;
     let mut raw = entry("check", false, 20_000);
     raw.queue = Some(200);
-    // Before the first request, from which the time of a run is learned.
+    // Before the first request, as the run time is estimated from it on.
     site.switch_workers(|switches| switches.request_ms = 100);
     site.serve_entry(&raw).await;
     let ask = async |caller: &str| {
@@ -51,7 +51,7 @@
     };
     let hot = futures::future::join_all((0..160).map(|_| ask("hot")));
     let others = async {
-        // Behind the hot caller's burst.
+        // After the hot caller's burst.
         tokio::time::sleep(Duration::from_millis(300)).await;
         let names = ["bench-1", "bench-2", "bench-3", "bench-4"];
         futures::future::join_all(names.map(ask)).await
--- a/tests/testsuite/requests/shares.rs
+++ b/tests/testsuite/requests/shares.rs
@@ -15,9 +15,9 @@
 
 const LIMIT_OF_ENTRY: u32 = 8;
 
-/// Callers in two data centres keep an entry at its limit of 8 over four daemons. One data centre is
-/// cut off from the table and goes on inside its share; the other does not take that over, however
-/// much it wants. At no moment do more than 8 run, and both go on answering.
+/// Guards against an exceeded limit during a network cut: two data centres use the whole limit of
+/// 8, and one is cut off from the table. It continues within its share, which the other does not
+/// take over.
 #[actix_rt::test]
 async fn a_limit_holds_over_two_data_centres_also_while_one_is_cut_off() {
     let site = EmbeddedSite::start(&["multan", "lahore"], 2, 2).await;
@@ -80,7 +80,7 @@
     Committed,
     Lost,
     LostAfterEffect,
-    /// Its answer is lost, and it takes effect later if nobody has written since.
+    /// The answer is lost, and the write takes effect later if nobody has written since.
     Late,
 }
 
@@ -88,7 +88,7 @@
 enum Step {
     Start(usize),
     Finish(usize),
-    /// A party reads the row and writes its look.
+    /// A party reads the row and writes its update.
     Look(usize, Fate, u32),
     /// Late writes arrive.
     Arrive,
@@ -131,7 +131,7 @@
     }
 }
 
-/// The table: the row, its version, and writes that have not arrived.
+/// The table: the row, its version, and writes in flight.
 #[derive(Default)]
 struct Table {
     row: Shares,
@@ -181,9 +181,9 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(2_000))]
 
-    /// Three parties start and finish runs and look at the row in any order, while answers are lost
-    /// and writes arrive late. The parts never add up to more than the limit, and neither do the
-    /// runs; each party's runs stay within its part.
+    /// Guards against an exceeded limit when answers are lost and writes arrive late: the parts and
+    /// the runs of three parties never add up to more than the limit, and each party's runs stay
+    /// within its part.
     #[test]
     fn runs_never_exceed_the_limit_whatever_is_lost_or_late(steps in steps()) {
         let mut members: Vec<Member> = (0..3).map(member).collect();
@@ -212,9 +212,8 @@
     }
 }
 
-/// One party is busy and the others are idle: within a few looks the busy one has most of the limit,
-/// and the idle ones keep some. When another becomes busy, it has its even part back within a few
-/// looks of both.
+/// Within a few updates one busy party gets most of the limit and an idle one keeps some. When the
+/// idle one becomes busy, it gets its even part back.
 #[test]
 fn shares_follow_demand_and_come_back() {
     let mut members: Vec<Member> = (0..2).map(member).collect();
--- a/tests/testsuite/requests/spill.rs
+++ b/tests/testsuite/requests/spill.rs
@@ -1,9 +1,9 @@
-//! Requests that have no room at one daemon are served by another, and the outcome stays true.
+//! Requests that one daemon has no free capacity for and another serves.
 
 use super::embedded::{EmbeddedSite, LIMIT, entry};
 use crate::support::wait;
 
-/// Two data centres, of which one has lost all its workers.
+/// Two data centres, one of which has lost all its workers.
 async fn one_without_workers(entry_name: &str, is_idempotent: bool) -> EmbeddedSite {
     let site = EmbeddedSite::start(&["multan", "lahore"], 1, 1).await;
     site.serve_entry(&entry(entry_name, is_idempotent, 3_000))
@@ -14,7 +14,8 @@
         .borrow_mut()
         .retain(|host| is_left(&host.data_centre));
     wait::until("the other data centre serves", LIMIT, async || {
-        // The entry's first requests ran there too; only one more tells that the hop was taken.
+        // The entry's warm-up requests ran there too, so only a further run shows that the request
+        // was forwarded.
         let before = site.workers[0].runs().len();
         let asked = site.daemons[1].ask(entry_name, &[], "x").await;
         let is_served = asked.is_ok_and(|answer| answer.status.is_success());
@@ -27,8 +28,8 @@
     site
 }
 
-/// A data centre's workers are gone from the platform's list. Its callers are served by the other
-/// data centre and get their own answers.
+/// The platform no longer lists the workers of a data centre: its callers are served by the other
+/// one.
 #[actix_rt::test]
 async fn a_data_centre_without_workers_is_served_by_another() {
     let site = one_without_workers("check", false).await;
@@ -41,8 +42,8 @@
     assert_eq!(site.workers[1].runs(), [""; 0]);
 }
 
-/// The other data centre's worker runs the check and its answer is lost. The caller is told that
-/// the outcome is unknown, and no daemon sends the check again.
+/// The other data centre's worker runs the check and its answer is lost: the outcome is unknown,
+/// and no daemon retries it.
 #[actix_rt::test]
 async fn an_answer_lost_behind_the_hop_is_unknown() {
     let site = one_without_workers("check", false).await;
@@ -53,8 +54,8 @@
     assert_eq!(site.runs().len(), 1, "one run");
 }
 
-/// The other data centre refuses what its workers refuse. The caller is told that nothing was run,
-/// which is so.
+/// The workers of the other data centre refuse the check: the caller gets a refusal, and nothing
+/// was run.
 #[actix_rt::test]
 async fn a_refusal_behind_the_hop_means_not_run() {
     let site = one_without_workers("check", false).await;
@@ -66,8 +67,8 @@
     assert_eq!(site.runs(), [""; 0]);
 }
 
-/// The balancer sends every caller to one of two daemons. Its floor has half of the worker's slots;
-/// the rest of the callers are served through the other daemon's floor, and all are answered.
+/// The load balancer sends every caller to one of two daemons, whose floor has half of the worker's
+/// slots: the other requests are served from the other daemon's floor.
 #[actix_rt::test]
 async fn a_daemon_that_gets_all_callers_uses_the_others_room() {
     let site = EmbeddedSite::start(&["multan"], 2, 1).await;
