--- a/tests/testsuite/daemon/members.rs
+++ b/tests/testsuite/daemon/members.rs
@@ -52,7 +52,7 @@
 /// now cut off. A's old row in the table does not prove that B has ended, and B still renews its
 /// tasks. Only a row that changed after the take-over proves it.
 #[test]
-fn an_old_row_at_the_same_address_does_not_prove_an_owner_gone() {
+fn an_old_row_at_the_same_address_does_not_prove_that_an_owner_ended() {
     let (a, b) = (
         holder("karen-a", 1, "10.0.0.1:7000"),
         holder("karen-b", 2, "10.0.0.1:7000"),
@@ -89,7 +89,7 @@
 
 /// Guards against evicting everything when the platform returns an empty list by mistake.
 #[test]
-fn an_empty_list_declares_nobody_dead() {
+fn an_empty_host_list_is_ignored() {
     let mut members = Members::default();
     members.set_hosts(vec![host("worker-0", "10.0.0.9:1", 8)], 1, Millis(1));
     members.set_hosts(Vec::new(), 1, Millis(2));
--- a/tests/testsuite/model/catalogue.rs
+++ b/tests/testsuite/model/catalogue.rs
@@ -71,7 +71,7 @@
     is_ready: bool,
     view: View,
     /// A catalogue in flight to the daemon, from the table or a peer.
-    news: Option<View>,
+    update: Option<View>,
     /// The greatest revision that this daemon served.
     served: u8,
 }
@@ -193,7 +193,7 @@
                 let late = s.operators[o].late.take()?;
                 self.commit(s, o, late);
             }
-            Step::Fetch(d) => s.daemons[d].news = Some(s.table),
+            Step::Fetch(d) => s.daemons[d].update = Some(s.table),
             Step::AskPeer(d) => {
                 let peer = s.daemons[1 - d];
                 let starts_by_peer = self.by_run || self.lacks(Without::TableAtStart);
@@ -201,7 +201,7 @@
                 if !peer.is_ready || !may_ask {
                     return None;
                 }
-                s.daemons[d].news = Some(peer.view);
+                s.daemons[d].update = Some(peer.view);
             }
             Step::Adopt(d) => self.adopt(&mut s.daemons[d])?,
             Step::Restart(d) => {
@@ -223,12 +223,12 @@
         if operator.end.is_some() || operator.sent.is_some() {
             return None;
         }
-        let is_in = match self.without {
+        let has_taken_effect = match self.without {
             Some(Without::ChangeId) => false,
             Some(Without::ChangeRow) => s.table.entry.is_some_and(|entry| entry.by == o),
             _ => operator.effects > 0,
         };
-        if is_in {
+        if has_taken_effect {
             operator.end = Some(End::Accepted);
             return Some(());
         }
@@ -257,11 +257,11 @@
     }
 
     fn adopt(&self, daemon: &mut Daemon) -> Option<()> {
-        let news = daemon.news.take()?;
+        let update = daemon.update.take()?;
         let mut catalogue = daemon.view.to_catalogue();
-        let is_taken = catalogue.adopt(news.to_catalogue()) || self.lacks(Without::GreaterOnly);
+        let is_taken = catalogue.adopt(update.to_catalogue()) || self.lacks(Without::GreaterOnly);
         if is_taken {
-            daemon.view = news;
+            daemon.view = update;
         }
         daemon.is_ready = true;
         daemon.served = daemon.served.max(daemon.view.revision);
--- a/tests/testsuite/model/handover.rs
+++ b/tests/testsuite/model/handover.rs
@@ -23,7 +23,7 @@
     index: 0,
 };
 /// Runs after which the task is not placed again; bounds the search.
-const MOST_RUNS: u32 = 3;
+const MAX_RUNS: u32 = 3;
 
 /// A safeguard that a specification leaves out, to show that it is needed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -57,11 +57,11 @@
 type Step = (String, State);
 
 fn spec() -> Rc<JobSpec> {
-    let mut lasting = step(1, 600_000, &[]);
-    lasting.is_long_running = true;
+    let mut long_running = step(1, 600_000, &[]);
+    long_running.is_long_running = true;
     let raw = RawJob {
         payload: "work".to_owned(),
-        steps: vec![lasting],
+        steps: vec![long_running],
         schedule: None,
     };
     Rc::new(JobSpec::try_from(raw).expect("a good job"))
@@ -176,9 +176,9 @@
         next.extend(self.send(state));
         for call in &state.calls {
             next.push((format!("arrive {call:?}"), self.arrive(state, *call)));
-            let mut vanished = state.clone();
-            vanished.calls.remove(call);
-            next.push((format!("vanish {call:?}"), vanished));
+            let mut dropped = state.clone();
+            dropped.calls.remove(call);
+            next.push((format!("vanish {call:?}"), dropped));
         }
         next
     }
@@ -204,8 +204,8 @@
     fn arrive(&self, state: &State, call: Call) -> State {
         let arrived = match call {
             Call::Adopt { last_run } if self.lacks(Without::Tombstone) => {
-                let is_over = state.phase(1) == Some(Phase::Cancelled);
-                let forgotten = is_over.then(|| state.after(1, &[Event::Forgotten { job: JOB }]));
+                let has_ended = state.phase(1) == Some(Phase::Cancelled);
+                let forgotten = has_ended.then(|| state.after(1, &[Event::Forgotten { job: JOB }]));
                 let base = forgotten.flatten().unwrap_or_else(|| state.clone());
                 base.after(1, &[adopted(last_run)])
             }
@@ -225,7 +225,7 @@
 
 fn place(state: &State, shard: usize) -> Option<Step> {
     let last = state.last_run(shard);
-    if last.0 >= MOST_RUNS {
+    if last.0 >= MAX_RUNS {
         return None;
     }
     let run = RunId {
@@ -257,11 +257,11 @@
 /// A job is forgotten minutes after its end: no earlier call is in flight then, and the first shard
 /// keeps a delegated job until the second has confirmed its end.
 fn forget(state: &State, shard: usize) -> Option<Step> {
-    let is_over = state
+    let has_ended = state
         .phase(shard)
         .is_some_and(|phase| phase != Phase::Active);
     let is_settled = state.is_end_confirmed || (shard == 0 && !state.is_delegated());
-    if !is_over || !is_settled || !state.calls.is_empty() || state.is_alive(shard) {
+    if !has_ended || !is_settled || !state.calls.is_empty() || state.is_alive(shard) {
         return None;
     }
     let forgotten = state.after(shard, &[Event::Forgotten { job: JOB }])?;
@@ -277,12 +277,12 @@
 
 /// The job has ended in both shards, and the first knows so.
 fn is_settled(state: &State) -> bool {
-    let over = |shard| state.phase(shard) != Some(Phase::Active);
-    over(0) && over(1) && (state.is_end_confirmed || !state.is_delegated())
+    let has_ended_in = |shard| state.phase(shard) != Some(Phase::Active);
+    has_ended_in(0) && has_ended_in(1) && (state.is_end_confirmed || !state.is_delegated())
 }
 
 #[test]
-fn a_handed_over_task_has_one_shard_and_ends_with_its_job() {
+fn a_delegated_task_has_one_shard_and_ends_with_its_job() {
     let spec = Spec { without: None };
     let graph = match explore(start(), |s| spec.next(s), is_broken) {
         Search::Whole(graph) => graph,
@@ -299,7 +299,7 @@
 }
 
 #[test]
-fn each_safeguard_of_the_hand_over_is_needed() {
+fn each_safeguard_of_the_delegation_is_needed() {
     for without in [
         Without::JournalFirst,
         Without::TasksWithEnd,
--- a/tests/testsuite/model/ownership/mod.rs
+++ b/tests/testsuite/model/ownership/mod.rs
@@ -16,25 +16,25 @@
 /// finished job does not run again.
 fn is_broken(s: &State) -> bool {
     let running = s.hosts.iter().filter(|host| host.is_running()).count();
-    let strays = s.hosts.iter().zip(state::PAIR).any(|(host, at)| {
-        let is_here = matches!((s.book.phase, host.copy), (Phase::Placed { worker, attempt, .. }, Some(copy))
+    let misplaced = s.hosts.iter().zip(state::PAIR).any(|(host, at)| {
+        let is_here = matches!((s.task_ledger.phase, host.copy), (Phase::Placed { worker, attempt, .. }, Some(copy))
             if worker == at && attempt == copy.attempt);
         host.is_running() && !is_here
     });
-    running > 1 || strays
+    running > 1 || misplaced
 }
 
-fn doubled(s: &State) -> bool {
+fn both_run(s: &State) -> bool {
     s.hosts.iter().all(|host| host.is_running())
 }
 
 /// Explores every state: none violates safety, and from each the job can finish.
-fn search_whole(spec: &Spec) {
+fn search_all(spec: &Spec) {
     let graph = match explore(State::start(), |s| spec.next(s), is_broken) {
         Search::Whole(graph) => graph,
         Search::Broken(path) => panic!("broken after {} steps: {path:#?}", path.len()),
     };
-    let is_done = |s: &State| s.book.phase == Phase::Done;
+    let is_done = |s: &State| s.task_ledger.phase == Phase::Done;
     println!(
         "ownership, late answers {}, deaths {}: {} states, {} steps, {} with a copy running, {} with a late command",
         spec.late_answers,
@@ -53,7 +53,7 @@
 
 #[test]
 fn no_order_of_faults_doubles_a_task_or_keeps_it_from_finishing() {
-    search_whole(&Spec {
+    search_all(&Spec {
         without: None,
         late_answers: false,
         deaths: true,
@@ -62,7 +62,7 @@
 
 #[test]
 fn no_late_answer_doubles_a_task_or_keeps_it_from_finishing() {
-    search_whole(&Spec {
+    search_all(&Spec {
         without: None,
         late_answers: true,
         deaths: false,
@@ -76,7 +76,7 @@
         late_answers: without == Without::LeaseFromSend,
         deaths: false,
     };
-    match explore(State::start(), |s| spec.next(s), doubled) {
+    match explore(State::start(), |s| spec.next(s), both_run) {
         Search::Whole(graph) => panic!("{without:?}: none in {} states", graph.states.len()),
         Search::Broken(path) => {
             println!(
--- a/tests/testsuite/model/ownership/spec.rs
+++ b/tests/testsuite/model/ownership/spec.rs
@@ -6,8 +6,8 @@
 //! separate step.
 
 use super::state::{
-    self, Book, HOLD, Host, Message, NOW, Owner, Ownership, PAIR, PLAN, Phase, Ran, Run, State,
-    TASK_LEASE, holder, job_id, millis, span, start_task, terms, to_u8,
+    self, HOLD, Host, Message, NOW, Owner, Ownership, PAIR, PLAN, Phase, Ran, Run, State,
+    TASK_LEASE, TaskLedger, holder, job_id, millis, span, start_task, terms, to_u8,
 };
 use lapisdrum::{
     core::{
@@ -40,14 +40,14 @@
 
 /// What happens to a command and its answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Reach {
+pub(super) enum Delivery {
     Answered,
     AnswerLost,
     /// In flight; see [`Step::LateArrives`].
     Late,
 }
 
-const REACHES: [Reach; 3] = [Reach::Answered, Reach::AnswerLost, Reach::Late];
+const DELIVERIES: [Delivery; 3] = [Delivery::Answered, Delivery::AnswerLost, Delivery::Late];
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Step {
@@ -60,16 +60,16 @@
     RenewAnswered(u8),
     RenewAnswerLost(u8),
     ReadRowBack(u8),
-    Begin(u8),
+    StartServing(u8),
     Claim {
         daemon: u8,
         worker: u8,
         answered: bool,
     },
-    Visit {
+    Poll {
         daemon: u8,
         worker: u8,
-        reach: Reach,
+        delivery: Delivery,
     },
     Place {
         daemon: u8,
@@ -77,7 +77,7 @@
     },
     Start {
         daemon: u8,
-        reach: Reach,
+        delivery: Delivery,
     },
     LateArrives,
     LateVanishes,
@@ -141,19 +141,19 @@
             Step::RenewAnswered(d) => self.renew_answered(s, d),
             Step::RenewAnswerLost(d) => own_mut(s, d)?.awaiting.take().map(|_| ()),
             Step::ReadRowBack(d) => read_row_back(s, d),
-            Step::Begin(d) => begin(s, d),
+            Step::StartServing(d) => start_serving(s, d),
             Step::Claim {
                 daemon,
                 worker,
                 answered,
             } => self.claim(s, daemon, worker, answered),
-            Step::Visit {
+            Step::Poll {
                 daemon,
                 worker,
-                reach,
-            } => self.visit(s, daemon, worker, reach),
+                delivery,
+            } => self.poll(s, daemon, worker, delivery),
             Step::Place { daemon, worker } => self.place(s, daemon, worker),
-            Step::Start { daemon, reach } => self.start(s, daemon, reach),
+            Step::Start { daemon, delivery } => self.start(s, daemon, delivery),
             Step::LateArrives => {
                 let message = s.late.take()?;
                 let _ = self.deliver(s, message);
@@ -200,7 +200,7 @@
     }
 
     /// Renews everything placed on a worker; the answer lists the tasks there.
-    fn visit(&self, s: &mut State, d: u8, w: u8, reach: Reach) -> Option<()> {
+    fn poll(&self, s: &mut State, d: u8, w: u8, delivery: Delivery) -> Option<()> {
         let own = serving(s, d)?;
         if !is_claimed(s, &own, w) || !s.hosts[at(w)].alive {
             return None;
@@ -219,11 +219,11 @@
             until: renewed.unwrap_or(NOW),
             start: None,
         };
-        if reach == Reach::Late {
+        if delivery == Delivery::Late {
             return renewed.and_then(|_| delay(s, message));
         }
         let accepted = self.deliver(s, message).is_ok();
-        if accepted && reach == Reach::Answered {
+        if accepted && delivery == Delivery::Answered {
             reconcile(s, d, w);
         }
         Some(())
@@ -244,7 +244,7 @@
         Some(())
     }
 
-    fn start(&self, s: &mut State, d: u8, reach: Reach) -> Option<()> {
+    fn start(&self, s: &mut State, d: u8, delivery: Delivery) -> Option<()> {
         let own = s.daemons[at(d)].own.filter(|own| own.serving)?;
         let attempt = own.to_start?;
         let worker = match s.view(&own).phase {
@@ -273,14 +273,14 @@
             until,
             start: Some(attempt),
         };
-        if reach == Reach::Late {
+        if delivery == Delivery::Late {
             return delay(s, message);
         }
         if !s.hosts[at(worker)].alive {
             return Some(());
         }
         let answer = self.deliver(s, message);
-        if reach == Reach::Answered {
+        if delivery == Delivery::Answered {
             match answer {
                 Ok(()) => own_mut(s, d)?.started[at(worker)] = Some(attempt),
                 Err(_) => {
@@ -323,21 +323,21 @@
     fn on_worker<T>(
         &self,
         host: &mut Host,
-        act: impl FnOnce(&mut lapisdrum_standins::worker::tasks::Tasks) -> T,
+        action: impl FnOnce(&mut lapisdrum_standins::worker::tasks::Tasks) -> T,
     ) -> T {
         let lacks_check = self.lacks(Without::EpochCheck);
         host.with(|tasks| {
             if lacks_check {
                 tasks.epoch = Epoch::default();
             }
-            act(tasks)
+            action(tasks)
         })
     }
 
     /// Evicts the task of an unanswered worker if the known evidence allows it.
     fn give_up_silent(&self, s: &mut State, d: u8) -> Option<()> {
         let own = serving(s, d)?;
-        let (worker, epoch, attempt) = judged(s, &own)?;
+        let (worker, epoch, attempt) = resolved_placement(s, &own)?;
         let evidence = Evidence {
             worker: match self.lacks(Without::DeathEvidence) {
                 true => WorkerEvidence::Stopped,
@@ -367,7 +367,7 @@
         for owner in suspects.map(Owner::from_record) {
             match owner.run {
                 Run::Released => {}
-                Run::Replaced => latest = latest.max(s.daemons[at(owner.daemon)].began),
+                Run::Replaced => latest = latest.max(s.daemons[at(owner.daemon)].started_at),
                 Run::Present | Run::Dead => return EarlierOwners::Unaccounted,
             }
         }
@@ -391,14 +391,14 @@
 
 fn steps() -> impl Iterator<Item = Step> {
     let both = [true, false];
-    let alone = [Step::Tick, Step::LateArrives, Step::LateVanishes].into_iter();
+    let global = [Step::Tick, Step::LateArrives, Step::LateVanishes].into_iter();
     let daemons = PAIR.into_iter().flat_map(move |daemon| {
         let plain = [
             Step::RenewRow(daemon),
             Step::RenewAnswered(daemon),
             Step::RenewAnswerLost(daemon),
             Step::ReadRowBack(daemon),
-            Step::Begin(daemon),
+            Step::StartServing(daemon),
             Step::GiveUpSilent(daemon),
             Step::GiveUpHost(daemon),
             Step::StopTask(daemon),
@@ -408,26 +408,26 @@
         ];
         let takes = both.map(|answered| Step::Take { daemon, answered });
         let releases = both.map(|answered| Step::Release { daemon, answered });
-        let starts = REACHES.map(|reach| Step::Start { daemon, reach });
+        let starts = DELIVERIES.map(|delivery| Step::Start { daemon, delivery });
         let with_workers = PAIR.into_iter().flat_map(move |worker| {
             let claims = both.map(|answered| Step::Claim {
                 daemon,
                 worker,
                 answered,
             });
-            let visits = REACHES.map(|reach| Step::Visit {
+            let polls = DELIVERIES.map(|delivery| Step::Poll {
                 daemon,
                 worker,
-                reach,
+                delivery,
             });
             let place = Step::Place { daemon, worker };
-            claims.into_iter().chain(visits).chain([place])
+            claims.into_iter().chain(polls).chain([place])
         });
         let plain = plain.into_iter().chain(takes).chain(releases);
         plain.chain(starts).chain(with_workers)
     });
     let workers = PAIR.map(|worker| [Step::Finish(worker), Step::HostDies(worker)]);
-    alone.chain(daemons).chain(workers.into_iter().flatten())
+    global.chain(daemons).chain(workers.into_iter().flatten())
 }
 
 fn at(index: u8) -> usize {
@@ -494,10 +494,10 @@
     s.row.epoch = to_u8(taken.epoch.0);
     s.row.is_held = taken.holder.is_some();
     row_changed(s);
-    let book = s.book;
+    let task_ledger = s.task_ledger;
     let owns = s.daemons.iter_mut().filter_map(|other| other.own.as_mut());
     for own in owns {
-        own.view.get_or_insert(book);
+        own.view.get_or_insert(task_ledger);
     }
     if answered {
         s.daemons[at(d)].own = Some(Ownership {
@@ -544,12 +544,12 @@
     if own.epoch != s.row.epoch || !own.tenure().may_act(millis(NOW), &terms()) {
         return None;
     }
-    s.book = s.book.apply(event)?;
+    s.task_ledger = s.task_ledger.apply(event)?;
     Some(())
 }
 
 /// Recovers the ledger and writes the owner's first event.
-fn begin(s: &mut State, d: u8) -> Option<()> {
+fn start_serving(s: &mut State, d: u8) -> Option<()> {
     let own = s.daemons[at(d)].own.filter(|own| !own.serving)?;
     let began = Event::OwnerBegan {
         epoch: Epoch(own.epoch.into()),
@@ -582,7 +582,7 @@
 }
 
 /// The placement to which a worker's answer or silence applies: its start is no longer in flight.
-fn judged(s: &State, own: &Ownership) -> Option<(u8, u8, u8)> {
+fn resolved_placement(s: &State, own: &Ownership) -> Option<(u8, u8, u8)> {
     let Phase::Placed {
         worker,
         epoch,
@@ -591,10 +591,10 @@
     else {
         return None;
     };
-    let is_settled = epoch < own.epoch
+    let is_start_resolved = epoch < own.epoch
         || own.started[at(worker)] == Some(attempt)
         || own.lease_ends[at(worker)].is_some_and(|end| end < NOW);
-    is_settled.then_some((worker, epoch, attempt))
+    is_start_resolved.then_some((worker, epoch, attempt))
 }
 
 /// The end, on the worker's clock, of a lease granted now.
@@ -629,7 +629,7 @@
     let Some(own) = s.daemons[at(d)].own else {
         return;
     };
-    let before = judged(s, &own).filter(|(worker, ..)| *worker == w);
+    let before = resolved_placement(s, &own).filter(|(worker, ..)| *worker == w);
     let Some(copy) = s.hosts[at(w)].copy else {
         if let Some((_, _, attempt)) = before {
             let _ = commit(s, d, &evicted(attempt));
@@ -681,7 +681,7 @@
     }
     daemon.alive = false;
     daemon.own = None;
-    turn_runs(s, d, Run::Present, Run::Dead);
+    change_runs(s, d, Run::Present, Run::Dead);
     Some(())
 }
 
@@ -692,23 +692,23 @@
         return None;
     }
     daemon.alive = true;
-    daemon.began = NOW;
+    daemon.started_at = NOW;
     daemon.seen_since = NOW;
-    turn_runs(s, d, Run::Dead, Run::Replaced);
+    change_runs(s, d, Run::Dead, Run::Replaced);
     Some(())
 }
 
-fn turn_runs(s: &mut State, d: u8, from: Run, to: Run) {
-    let turn = |book: &mut Book| {
-        let owners = book.owners_mut();
+fn change_runs(s: &mut State, d: u8, from: Run, to: Run) {
+    let change = |task_ledger: &mut TaskLedger| {
+        let owners = task_ledger.owners_mut();
         for owner in owners.filter(|owner| owner.daemon == d && owner.run == from) {
             owner.run = to;
         }
     };
-    turn(&mut s.book);
+    change(&mut s.task_ledger);
     for daemon in &mut s.daemons {
         if let Some(view) = daemon.own.as_mut().and_then(|own| own.view.as_mut()) {
-            turn(view);
+            change(view);
         }
     }
 }
--- a/tests/testsuite/model/ownership/state.rs
+++ b/tests/testsuite/model/ownership/state.rs
@@ -37,7 +37,7 @@
 /// Indices of the daemons and of the workers.
 pub(super) const PAIR: [u8; 2] = [0, 1];
 /// Maximum number of different owner records that matter at a time.
-const MOST_OWNERS: usize = 8;
+const MAX_OWNERS: usize = 8;
 
 pub(super) fn span(ticks: u8) -> Duration {
     Duration::from_millis(ticks.into())
@@ -85,10 +85,10 @@
 
 /// The ledger's state for one task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub(super) struct Book {
+pub(super) struct TaskLedger {
     pub(super) phase: Phase,
     pub(super) attempts: u8,
-    pub(super) owners: [Option<Owner>; MOST_OWNERS],
+    pub(super) owners: [Option<Owner>; MAX_OWNERS],
 }
 
 /// The ownership of a daemon that has taken the shard, serving or not yet.
@@ -110,14 +110,14 @@
     /// The attempt of a committed placement whose start has not been sent.
     pub(super) to_start: Option<u8>,
     /// The last ledger that this owner knows, once another owner writes.
-    pub(super) view: Option<Book>,
+    pub(super) view: Option<TaskLedger>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub(super) struct Daemon {
     pub(super) alive: bool,
     /// When its current run started.
-    pub(super) began: u8,
+    pub(super) started_at: u8,
     /// Since when it has seen the shard's row unchanged.
     pub(super) seen_since: u8,
     pub(super) own: Option<Ownership>,
@@ -167,7 +167,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub(super) struct State {
     pub(super) row: Row,
-    pub(super) book: Book,
+    pub(super) task_ledger: TaskLedger,
     pub(super) daemons: [Daemon; 2],
     pub(super) hosts: [Host; 2],
     pub(super) late: Option<Message>,
@@ -213,7 +213,7 @@
     pub(super) fn start() -> Self {
         let daemon = Daemon {
             alive: true,
-            began: LONG_AGO,
+            started_at: LONG_AGO,
             seen_since: LONG_AGO,
             own: None,
         };
@@ -227,10 +227,10 @@
                 epoch: 0,
                 is_held: false,
             },
-            book: Book {
+            task_ledger: TaskLedger {
                 phase: Phase::Waiting,
                 attempts: 0,
-                owners: [None; MOST_OWNERS],
+                owners: [None; MAX_OWNERS],
             },
             daemons: [daemon; 2],
             hosts: [host; 2],
@@ -239,8 +239,8 @@
     }
 
     /// The ledger as a serving owner sees it.
-    pub(super) fn view(&self, own: &Ownership) -> Book {
-        own.view.unwrap_or(self.book)
+    pub(super) fn view(&self, own: &Ownership) -> TaskLedger {
+        own.view.unwrap_or(self.task_ledger)
     }
 
     pub(super) fn shard_row(&self) -> ShardRow {
@@ -254,7 +254,7 @@
     /// One tick of every clock.
     pub(super) fn age(&mut self) {
         for daemon in &mut self.daemons {
-            age(&mut daemon.began);
+            age(&mut daemon.started_at);
             age(&mut daemon.seen_since);
             if let Some(own) = &mut daemon.own {
                 age(&mut own.renewed_at);
@@ -276,29 +276,34 @@
             self.forget_late_answers();
         }
         self.forget_owners();
-        self.book.forget();
-        let book = self.book;
+        self.task_ledger.forget();
+        let task_ledger = self.task_ledger;
         let owns: Vec<Ownership> = self
             .daemons
             .iter()
             .filter_map(|daemon| daemon.own)
             .collect();
         for (daemon, index) in self.daemons.iter_mut().zip(PAIR) {
-            forget_beyond(TASK_LEASE, &mut daemon.began);
+            forget_beyond(TASK_LEASE, &mut daemon.started_at);
             let views = owns.iter().filter_map(|own| own.view);
-            let books: Vec<Book> = views.chain([book]).collect();
-            if !books.iter().any(|book| book.names(index, Run::Replaced)) {
-                daemon.began = LONG_AGO;
+            let task_ledgers: Vec<TaskLedger> = views.chain([task_ledger]).collect();
+            if !task_ledgers
+                .iter()
+                .any(|task_ledger| task_ledger.names(index, Run::Replaced))
+            {
+                daemon.started_at = LONG_AGO;
             }
             // A death that no later step depends on.
-            daemon.alive |= !books.iter().any(|book| book.names(index, Run::Dead));
+            daemon.alive |= !task_ledgers
+                .iter()
+                .any(|task_ledger| task_ledger.names(index, Run::Dead));
             forget_beyond(LEASE, &mut daemon.seen_since);
             if let Some(own) = &mut daemon.own {
-                own.forget(&book);
+                own.forget(&task_ledger);
             }
         }
         self.forget_copies();
-        self.forget_all_when_over();
+        self.forget_all_when_done();
         self.renumber_epochs();
         self.renumber_attempts();
     }
@@ -320,8 +325,8 @@
                 own.to_start = None;
             }
             let right = own.tenure().right_until(span(HOLD), &terms());
-            let right_is_over = right <= millis(NOW) && own.awaiting.is_none();
-            let is_renewing = own.serving && !own.ended && !right_is_over && own.renews();
+            let right_has_ended = right <= millis(NOW) && own.awaiting.is_none();
+            let is_renewing = own.serving && !own.ended && !right_has_ended && own.renews();
             if !is_renewing && own.to_start.is_none() {
                 daemon.own = None;
             }
@@ -341,8 +346,9 @@
             .iter_mut()
             .filter_map(|daemon| daemon.own.as_mut())
         {
-            let is_vain = |sent_at: &mut u8| *sent_at <= own.renewed_at || NOW - *sent_at >= HOLD;
-            if own.awaiting.as_mut().is_some_and(is_vain) {
+            let has_no_effect =
+                |sent_at: &mut u8| *sent_at <= own.renewed_at || NOW - *sent_at >= HOLD;
+            if own.awaiting.as_mut().is_some_and(has_no_effect) {
                 own.awaiting = None;
             }
         }
@@ -354,30 +360,33 @@
             return;
         };
         let host = &self.hosts[usize::from(message.worker)];
-        let is_vain = message.start.is_none() && !host.is_running();
+        let has_no_effect = message.start.is_none() && !host.is_running();
         // Applies the worker's own rules to a command under this epoch and with this end.
         let mut probe = Tasks::new(capacity());
         probe.epoch = Epoch(host.epoch.into());
         let start = start_task(message.epoch, 1, message.until);
         let answer = probe.start(WorkerMillis(NOW.into()), &job_id(), &start, PLAN);
-        if answer.is_err() || is_vain {
+        if answer.is_err() || has_no_effect {
             self.late = None;
         }
     }
 
     /// Once the job is done and nothing runs or is in flight, nothing can run again.
-    fn forget_all_when_over(&mut self) {
+    fn forget_all_when_done(&mut self) {
         let is_still = self.hosts.iter().all(|host| !host.is_running()) && self.late.is_none();
         let mut owns = self.daemons.iter().filter_map(|daemon| daemon.own);
-        if self.book.phase == Phase::Done && is_still && owns.all(|own| own.to_start.is_none()) {
+        if self.task_ledger.phase == Phase::Done
+            && is_still
+            && owns.all(|own| own.to_start.is_none())
+        {
             *self = Self::start();
-            self.book.phase = Phase::Done;
+            self.task_ledger.phase = Phase::Done;
         }
     }
 
     /// A copy that has ended and is not the placed attempt is stopped at the next poll.
     fn forget_copies(&mut self) {
-        let mut placed: Vec<u8> = vec![self.book.attempts];
+        let mut placed: Vec<u8> = vec![self.task_ledger.attempts];
         let owns = self.daemons.iter().filter_map(|daemon| daemon.own);
         placed.extend(owns.filter_map(|own| own.view).map(|view| view.attempts));
         placed.extend(self.late.and_then(|message| message.start));
@@ -416,7 +425,7 @@
             false => 1,
         };
         self.row.epoch = rank(self.row.epoch);
-        self.book.map_epochs(in_ledger);
+        self.task_ledger.map_epochs(in_ledger);
         for own in self
             .daemons
             .iter_mut()
@@ -437,7 +446,7 @@
 
     fn renumber_attempts(&mut self) {
         let mut attempts: Vec<&mut u8> = Vec::new();
-        self.book.attempts(&mut attempts);
+        self.task_ledger.attempts(&mut attempts);
         for own in self
             .daemons
             .iter_mut()
@@ -470,14 +479,15 @@
             out.hosts.swap(0, 1);
         }
         let turn = |index: &mut u8, swap: bool| *index = if swap { 1 - *index } else { *index };
-        let turn_book = |book: &mut Book| {
-            if let Phase::Placed { worker, .. } = &mut book.phase {
+        let swap_in = |task_ledger: &mut TaskLedger| {
+            if let Phase::Placed { worker, .. } = &mut task_ledger.phase {
                 turn(worker, workers);
             }
-            book.owners_mut()
+            task_ledger
+                .owners_mut()
                 .for_each(|owner| turn(&mut owner.daemon, daemons));
         };
-        turn_book(&mut out.book);
+        swap_in(&mut out.task_ledger);
         for own in out
             .daemons
             .iter_mut()
@@ -488,14 +498,14 @@
                 own.lease_ends.swap(0, 1);
             }
             if let Some(view) = &mut own.view {
-                turn_book(view);
+                swap_in(view);
                 view.forget();
             }
         }
         if let Some(message) = &mut out.late {
             turn(&mut message.worker, workers);
         }
-        out.book.forget();
+        out.task_ledger.forget();
         out
     }
 
@@ -532,7 +542,7 @@
     }
 }
 
-impl Book {
+impl TaskLedger {
     fn attempts<'a>(&'a mut self, attempts: &mut Vec<&'a mut u8>) {
         attempts.push(&mut self.attempts);
         if let Phase::Placed { attempt, .. } = &mut self.phase {
@@ -590,10 +600,10 @@
 
     fn set_owners(&mut self, owners: &[Owner]) {
         assert!(
-            owners.len() <= MOST_OWNERS,
+            owners.len() <= MAX_OWNERS,
             "more owner records than expected"
         );
-        self.owners = [None; MOST_OWNERS];
+        self.owners = [None; MAX_OWNERS];
         for (place, owner) in self.owners.iter_mut().zip(owners) {
             *place = Some(*owner);
         }
@@ -702,15 +712,15 @@
     }
 
     /// Drops what no later step depends on, by the ledger as this owner knows it.
-    fn forget(&mut self, book: &Book) {
+    fn forget(&mut self, task_ledger: &TaskLedger) {
         if let Some(view) = &mut self.view {
-            view.owners = [None; MOST_OWNERS];
+            view.owners = [None; MAX_OWNERS];
             self.lease_ends = [None; 2];
             self.since = LONG_AGO;
         }
         forget_beyond(HOLD, &mut self.renewed_at);
         forget_beyond(HOLD, &mut self.since);
-        let placed = match self.view.unwrap_or(*book).phase {
+        let placed = match self.view.unwrap_or(*task_ledger).phase {
             Phase::Placed { worker, epoch, .. } => Some((worker, epoch)),
             Phase::Waiting | Phase::Done => None,
         };
@@ -758,9 +768,9 @@
 
 impl Host {
     /// Applies the worker's own rules to this worker.
-    pub(super) fn with<T>(&mut self, act: impl FnOnce(&mut Tasks) -> T) -> T {
+    pub(super) fn with<T>(&mut self, action: impl FnOnce(&mut Tasks) -> T) -> T {
         let mut tasks = self.to_tasks();
-        let out = act(&mut tasks);
+        let out = action(&mut tasks);
         self.epoch = to_u8(tasks.epoch.0);
         self.copy = tasks.tasks.get(&job_id()).map(|task| TaskCopy {
             attempt: to_u8(task.attempt.0.into()),
--- a/tests/testsuite/policy/admission.rs
+++ b/tests/testsuite/policy/admission.rs
@@ -18,17 +18,17 @@
 }
 
 #[derive(Clone, Debug)]
-enum Act {
+enum Action {
     Start(usize),
     Finish(usize),
     Shrink(usize, u32),
 }
 
-fn act() -> impl Strategy<Value = Act> {
+fn action() -> impl Strategy<Value = Action> {
     prop_oneof![
-        4 => (0..3_usize).prop_map(Act::Start),
-        3 => (0..3_usize).prop_map(Act::Finish),
-        1 => (0..3_usize, 0..6_u32).prop_map(|(i, n)| Act::Shrink(i, n)),
+        4 => (0..3_usize).prop_map(Action::Start),
+        3 => (0..3_usize).prop_map(Action::Finish),
+        1 => (0..3_usize, 0..6_u32).prop_map(|(i, n)| Action::Shrink(i, n)),
     ]
 }
 
@@ -53,28 +53,28 @@
     /// Runs stay within the share of their entry and the quota of their owner, in any order of
     /// starts, ends and changed shares. Nothing starts while a share is below what already runs.
     #[test]
-    fn runs_stay_within_share_and_quota(acts in prop::collection::vec(act(), 1..200)) {
+    fn runs_stay_within_share_and_quota(actions in prop::collection::vec(action(), 1..200)) {
         let entries = [entry("a"), entry("b"), entry("c")];
         let owners = [owner("one"), owner("one"), owner("two")];
         let mut shares = [share(4, None), share(4, None), share(4, None)];
         let quota = Some(share(5, None));
         let mut running = [0_u32; 3];
         let mut admission = Admission::default();
-        for act in acts {
-            match act {
-                Act::Start(i) => {
+        for action in actions {
+            match action {
+                Action::Start(i) => {
                     let request = AdmissionRequest { entry: &entries[i], owner: &owners[i], share: shares[i], quota };
                     let of_owner: u32 = (0..3).filter(|j| owners[*j] == owners[i]).map(|j| running[j]).sum();
                     let expected = running[i] < shares[i].concurrency && of_owner < 5;
                     prop_assert_eq!(admission.start(&request), expected);
                     running[i] += u32::from(expected);
                 }
-                Act::Finish(i) if running[i] > 0 => {
+                Action::Finish(i) if running[i] > 0 => {
                     admission.finish(&entries[i], &owners[i]);
                     running[i] -= 1;
                 }
-                Act::Finish(_) => {}
-                Act::Shrink(i, n) => shares[i].concurrency = n,
+                Action::Finish(_) => {}
+                Action::Shrink(i, n) => shares[i].concurrency = n,
             }
             for i in 0..3 {
                 prop_assert_eq!(admission.running(&entries[i]), running[i]);
@@ -108,7 +108,7 @@
 /// Guards against a request refused for its owner's rate that still counts against its entry's
 /// rate.
 #[test]
-fn a_refusal_charges_nobody() {
+fn a_refusal_uses_up_no_rate() {
     let (entry, owner) = (entry("a"), owner("one"));
     let mut admission = Admission::default();
     let request = |quota| AdmissionRequest {
@@ -132,7 +132,7 @@
 
 /// Guards against memory that grows with every entry that ever had a request.
 #[test]
-fn idle_entries_are_forgotten() {
+fn idle_entries_are_dropped() {
     let owner = owner("one");
     let mut admission = Admission::default();
     for i in 0..100 {
--- a/tests/testsuite/policy/drain.rs
+++ b/tests/testsuite/policy/drain.rs
@@ -30,7 +30,7 @@
 /// Guards against a drain rate that stays high while all workers hang and the queue waits; callers
 /// would get retry times based on the rate before.
 #[test]
-fn a_queue_that_stands_still_looks_slow() {
+fn a_stalled_queue_has_a_falling_drain_rate() {
     let mut rate = DrainRate::default();
     rate.busy(Millis(0));
     for i in 1..=100 {
@@ -47,18 +47,18 @@
 /// drains 100 a second. No half second gets more than twice what can be served in it, and no retry
 /// time exceeds the maximum.
 #[test]
-fn returns_are_spread_over_the_time_that_serving_them_takes() {
+fn retries_are_spread_over_the_time_that_serving_them_takes() {
     let mut rng = seeded(3);
     let mut retry_schedule = RetrySchedule::default();
     let mut per_half_second = [0_u32; 62];
     for _ in 0..1_000 {
-        let back = retry_schedule.next_retry_after(
+        let retry_after = retry_schedule.next_retry_after(
             Duration::from_millis(300),
             Some(100.0),
             Millis(0),
             &mut rng,
         );
-        per_half_second[usize::try_from(back.as_millis() / 500).expect("bounded")] += 1;
+        per_half_second[usize::try_from(retry_after.as_millis() / 500).expect("bounded")] += 1;
     }
     let busiest = per_half_second.iter().max().copied().unwrap_or_default();
     assert!(busiest <= 2 * 50, "{busiest} return within one half second");
@@ -70,7 +70,7 @@
     /// The retry time stays between its minimum and its maximum plus jitter, whatever the measured
     /// rate.
     #[test]
-    fn returns_are_bounded(
+    fn retry_times_are_bounded(
         seed in any::<u64>(),
         wait_ms in 0..10_000_000_u64,
         rate in prop::option::of(0.0..1e6_f64),
@@ -80,9 +80,9 @@
         let mut retry_schedule = RetrySchedule::default();
         for i in 0..refusals {
             let now = Millis(i as u64);
-            let back = retry_schedule.next_retry_after(Duration::from_millis(wait_ms), rate, now, &mut rng);
-            prop_assert!(back >= MIN_RETRY_AFTER);
-            prop_assert!(back <= MAX_RETRY_AFTER + MAX_RETRY_AFTER / 4);
+            let retry_after = retry_schedule.next_retry_after(Duration::from_millis(wait_ms), rate, now, &mut rng);
+            prop_assert!(retry_after >= MIN_RETRY_AFTER);
+            prop_assert!(retry_after <= MAX_RETRY_AFTER + MAX_RETRY_AFTER / 4);
         }
     }
 }
--- a/tests/testsuite/policy/eviction.rs
+++ b/tests/testsuite/policy/eviction.rs
@@ -64,7 +64,7 @@
 /// Guards against a wave that ends before enough tasks are throttled: each of six renders slows the
 /// maps by a half, and as many as needed are throttled in one step.
 #[test]
-fn a_wave_is_throttled_at_once() {
+fn a_wave_is_throttled_in_one_step() {
     let jobs: Vec<JobId> = (0..6).map(job).collect();
     let tasks: Vec<HostTask<'_>> = jobs.iter().map(host_task).collect();
     let (mut distress, memory) = (Distress::default(), EvictionMemory::default());
@@ -84,7 +84,7 @@
 /// On a busy host out of distress a throttled task is released if the host then stays out of
 /// distress, and stays throttled otherwise.
 #[test]
-fn a_throttle_is_undone_only_where_there_is_room() {
+fn a_task_is_released_only_if_the_host_stays_out_of_distress() {
     let (mild, noisy) = (job(0), job(1));
     let mut tasks = [
         HostTask {
@@ -136,7 +136,7 @@
 
 /// Services and long-running tasks are never evicted to mitigate interference.
 #[test]
-fn only_batch_work_is_moved() {
+fn only_batch_work_is_evicted() {
     let stream = job(0);
     let tasks = [HostTask {
         class: Class::LongRunning,
@@ -148,7 +148,7 @@
 /// Guards against tasks that are moved back and forth: an evicted task is neither placed on the
 /// same worker soon, nor evicted again soon.
 #[test]
-fn an_evicted_task_does_not_go_to_and_fro() {
+fn an_evicted_task_is_not_moved_back_and_forth() {
     let (render, home) = (job(0), worker(0));
     let mut memory = EvictionMemory::default();
     memory.note(&render, &home, Millis(0));
@@ -171,7 +171,7 @@
     /// However late the reports are, there is at most one step within the settle time, and no task
     /// is evicted twice within the cooldown.
     #[test]
-    fn steps_keep_their_pace(seed in any::<u64>()) {
+    fn steps_are_a_settle_time_apart(seed in any::<u64>()) {
         let mut rng = seeded(seed);
         let jobs: Vec<JobId> = (0..4).map(job).collect();
         let mut throttled = [false; 4];
--- a/tests/testsuite/policy/headroom.rs
+++ b/tests/testsuite/policy/headroom.rs
@@ -14,7 +14,7 @@
 /// Guards against long runs that take the slots of short requests while none of these waits: short
 /// ones needed 30 of 64 slots, so long ones may take only what exceeds that and its variation.
 #[test]
-fn long_runs_leave_what_short_ones_are_about_to_need() {
+fn long_runs_leave_the_slots_that_short_ones_need() {
     let (short, long) = (entry("short"), entry("long"));
     let now = Millis(0) + FALLING_HALF_LIFE * 10;
     let may_start = |running| {
@@ -50,7 +50,7 @@
 /// The short entry has no requests any more: after several half-lives the long one may use every
 /// slot.
 #[test]
-fn what_is_no_longer_needed_is_given_back() {
+fn slots_that_are_no_longer_needed_are_freed() {
     let mut headroom = Headroom::default();
     let (short, long) = (entry("short"), entry("long"));
     headroom.note(&short, 30, 0, SHORT, 100, Millis(0));
--- a/tests/testsuite/policy/health.rs
+++ b/tests/testsuite/policy/health.rs
@@ -16,7 +16,7 @@
 /// Guards against a worker that fails every task within a second, is therefore always free and gets
 /// the next one. It is ejected after three distinct jobs failed there.
 #[test]
-fn a_worker_that_fails_everything_is_set_aside() {
+fn a_worker_that_fails_everything_is_ejected() {
     let mut health = Health::default();
     let render = entry("render");
     for i in 0..2 {
@@ -38,7 +38,7 @@
 /// Guards against ejecting workers for a job that can never run: the job is at fault, and its
 /// failures do not count against the workers later.
 #[test]
-fn a_job_that_fails_everywhere_sets_no_worker_aside() {
+fn a_job_that_fails_everywhere_ejects_no_worker() {
     let mut health = Health::default();
     let broken = entry("broken");
     for i in 0..50 {
@@ -57,7 +57,7 @@
 /// Guards against a broken release that ejects worker after worker: 100 jobs of one entry run and
 /// none succeeds.
 #[test]
-fn an_entry_that_fails_everywhere_sets_few_workers_aside() {
+fn an_entry_that_fails_everywhere_ejects_few_workers() {
     let mut health = Health::default();
     let broken = entry("broken");
     for i in 0..100 {
@@ -69,35 +69,38 @@
 /// An ejected worker returns on probation, with one task at a time: a failure ejects it for longer,
 /// a success makes it healthy.
 #[test]
-fn a_worker_comes_back_slowly() {
+fn an_ejected_worker_returns_on_probation() {
     let mut health = Health::default();
     let render = entry("render");
     for i in 0..3 {
         health.failed(&worker(0), &job(i), &render, POOL, Millis(0));
     }
-    let back = Millis(30_000);
+    let probation_start = Millis(30_000);
     assert_eq!(
-        health.worker_state(&worker(0), back),
+        health.worker_state(&worker(0), probation_start),
         WorkerState::Probation
     );
-    let verdict = health.failed(&worker(0), &job(9), &render, POOL, back);
+    let verdict = health.failed(&worker(0), &job(9), &render, POOL, probation_start);
     assert_eq!(verdict, Verdict::WorkerEjected);
     assert_eq!(
-        health.worker_state(&worker(0), back + Duration::from_secs(59)),
+        health.worker_state(&worker(0), probation_start + Duration::from_secs(59)),
         WorkerState::Ejected
     );
     assert_eq!(
-        health.worker_state(&worker(0), back + Duration::from_secs(60)),
+        health.worker_state(&worker(0), probation_start + Duration::from_secs(60)),
         WorkerState::Probation
     );
     health.succeeded(&worker(0), &job(10), &render);
-    assert_eq!(health.worker_state(&worker(0), back), WorkerState::Healthy);
+    assert_eq!(
+        health.worker_state(&worker(0), probation_start),
+        WorkerState::Healthy
+    );
 }
 
 /// Guards against blaming jobs for broken workers: three workers fail the same three jobs one after
 /// another. Failures on an ejected worker do not count against a job.
 #[test]
-fn bad_workers_do_not_condemn_a_job() {
+fn failing_workers_do_not_put_a_job_at_fault() {
     let mut health = Health::default();
     let render = entry("render");
     for w in 0..3 {
--- a/tests/testsuite/policy/hysteresis.rs
+++ b/tests/testsuite/policy/hysteresis.rs
@@ -18,7 +18,7 @@
 /// Guards against oscillation: a change takes ten seconds to show, and reports measured before that
 /// still show the state before the change. They are ignored.
 #[test]
-fn reports_from_before_the_last_change_are_passed_over() {
+fn reports_from_before_the_last_change_are_ignored() {
     let mut switch = Switch::default();
     assert!(!switch.report(&CONFIG, 3.0, Millis(1_000), Millis(6_000)));
     assert!(switch.report(&CONFIG, 3.0, Millis(2_000), Millis(7_000)));
@@ -43,17 +43,17 @@
 proptest! {
     /// The switch changes at most once within its settle time, however late the reports are.
     #[test]
-    fn it_never_swings(reports in prop::collection::vec((0.5..3.0_f64, 0..9_000_u64), 1..300)) {
+    fn it_does_not_oscillate(reports in prop::collection::vec((0.5..3.0_f64, 0..9_000_u64), 1..300)) {
         let mut switch = Switch::default();
-        let mut turned: Option<Millis> = None;
+        let mut last_change: Option<Millis> = None;
         for (i, (value, lag)) in reports.into_iter().enumerate() {
             let now = Millis(10_000 + i as u64 * 500);
             let measured = now.before(Duration::from_millis(lag));
             if switch.report(&CONFIG, value, measured, now) {
-                if let Some(last) = turned {
+                if let Some(last) = last_change {
                     prop_assert!(now.since(last) >= CONFIG.settle_time);
                 }
-                turned = Some(now);
+                last_change = Some(now);
             }
         }
     }
--- a/tests/testsuite/policy/outliers.rs
+++ b/tests/testsuite/policy/outliers.rs
@@ -17,7 +17,7 @@
     (0..times).any(|_| outliers.note(&worker(of), sample, POOL, now))
 }
 
-fn sound_pool() -> Outliers {
+fn healthy_pool() -> Outliers {
     let mut outliers = Outliers::default();
     for w in 0..POOL {
         note(&mut outliers, w, Sample::Answered(1.0), 20, Millis(0));
@@ -45,8 +45,8 @@
 }
 
 #[test]
-fn a_slow_worker_is_set_aside() {
-    let mut outliers = sound_pool();
+fn a_slow_worker_is_ejected() {
+    let mut outliers = healthy_pool();
     assert!(note(
         &mut outliers,
         0,
@@ -58,8 +58,8 @@
 }
 
 #[test]
-fn a_worker_that_fails_at_once_is_set_aside() {
-    let mut outliers = sound_pool();
+fn a_worker_that_fails_at_once_is_ejected() {
+    let mut outliers = healthy_pool();
     assert!(note(
         &mut outliers,
         0,
@@ -73,8 +73,8 @@
 /// Guards against ejections under general overload: every worker takes three times as long, so none
 /// is an outlier.
 #[test]
-fn a_general_slowdown_sets_nobody_aside() {
-    let mut outliers = sound_pool();
+fn a_general_slowdown_ejects_no_worker() {
+    let mut outliers = healthy_pool();
     for _ in 0..100 {
         for w in 0..POOL {
             assert!(!note(&mut outliers, w, Sample::Answered(3.0), 1, Millis(0)));
@@ -85,19 +85,25 @@
 /// A worker whose ejection ended is drawn seldom at first, and as often as the others after the
 /// ramp-up. If it is still slow, the next ejection lasts twice as long.
 #[test]
-fn a_worker_comes_back_slowly() {
-    let mut outliers = sound_pool();
+fn an_ejected_worker_returns_gradually() {
+    let mut outliers = healthy_pool();
     note(&mut outliers, 0, Sample::Answered(10.0), 10, Millis(0));
-    let back = Millis(0) + INITIAL_EJECTION;
+    let ejection_end = Millis(0) + INITIAL_EJECTION;
     assert_eq!(
-        outliers.draw_share(&worker(0), back.before(Duration::from_millis(1))),
+        outliers.draw_share(&worker(0), ejection_end.before(Duration::from_millis(1))),
         0.0
     );
-    assert!(outliers.draw_share(&worker(0), back) < 0.1);
-    assert!(outliers.draw_share(&worker(0), back + RAMP_UP / 2) < 0.6);
-    assert_eq!(outliers.draw_share(&worker(0), back + RAMP_UP), 1.0);
-    assert!(note(&mut outliers, 0, Sample::Answered(10.0), 10, back));
-    let second = back + INITIAL_EJECTION * 2;
+    assert!(outliers.draw_share(&worker(0), ejection_end) < 0.1);
+    assert!(outliers.draw_share(&worker(0), ejection_end + RAMP_UP / 2) < 0.6);
+    assert_eq!(outliers.draw_share(&worker(0), ejection_end + RAMP_UP), 1.0);
+    assert!(note(
+        &mut outliers,
+        0,
+        Sample::Answered(10.0),
+        10,
+        ejection_end
+    ));
+    let second = ejection_end + INITIAL_EJECTION * 2;
     assert!(outliers.is_ejected(&worker(0), second.before(Duration::from_millis(1))));
     assert!(!outliers.is_ejected(&worker(0), second));
 }
--- a/tests/testsuite/policy/placement.rs
+++ b/tests/testsuite/policy/placement.rs
@@ -57,10 +57,10 @@
 
 /// Notes ten reports for each of `slowed`: its slowdown beside one `noisy` neighbour, in
 /// thousandths.
-fn learn(known: &mut SlowdownModel, noisy: Kind, slowed: &[(Kind, u32)]) {
+fn note_reports(model: &mut SlowdownModel, noisy: Kind, slowed: &[(Kind, u32)]) {
     for i in 0..10 {
         for (kind, slowdown_permille) in slowed {
-            known.note(&Report {
+            model.note(&Report {
                 kind: *kind,
                 beside: &[Neighbour {
                     kind: noisy,
@@ -89,8 +89,8 @@
             .map(|((c, m, a), worker)| candidate(worker, &racks[0], size(*c, *m, *a)))
             .collect();
         let want = to_place(size(want.0, want.1, want.2));
-        let known = SlowdownModel::default();
-        let chosen = choose(&candidates, &want, &known, Millis(0), &mut seeded(seed));
+        let model = SlowdownModel::default();
+        let chosen = choose(&candidates, &want, &model, Millis(0), &mut seeded(seed));
         prop_assert_eq!(chosen.is_some(), candidates.iter().any(|candidate| want.size.fits(&candidate.free)));
         if let Some(index) = chosen {
             prop_assert!(want.size.fits(&candidates[index].free));
@@ -101,18 +101,18 @@
 /// Guards against small tasks on empty hosts, which leave no whole host for a large task: the
 /// fullest host that fits is chosen.
 #[test]
-fn small_tasks_leave_room_for_large_ones() {
+fn small_tasks_leave_hosts_free_for_large_ones() {
     let (racks, workers) = (racks(1), [worker(0), worker(1), worker(2)]);
     let candidates = [
         candidate(&workers[0], &racks[0], CAPACITY),
         candidate(&workers[1], &racks[0], size(8, 30_000, 0)),
         candidate(&workers[2], &racks[0], size(20, 80_000, 1)),
     ];
-    let known = SlowdownModel::default();
+    let model = SlowdownModel::default();
     let chosen = choose(
         &candidates,
         &to_place(size(1, 1_000, 0)),
-        &known,
+        &model,
         Millis(0),
         &mut seeded(1),
     );
@@ -123,8 +123,8 @@
 /// reports a render goes to the tighter fit, beside the maps; with them it goes beside the checks.
 #[test]
 fn a_noisy_task_is_kept_from_the_service() {
-    let mut known = SlowdownModel::default();
-    let [map, render, check] = ["map", "render", "check"].map(|name| known.kind(&entry(name)));
+    let mut model = SlowdownModel::default();
+    let [map, render, check] = ["map", "render", "check"].map(|name| model.kind(&entry(name)));
     let running_kind = |kind| RunningKind {
         neighbour: Neighbour { kind, count: 1 },
         class: Class::LatencyCritical,
@@ -147,12 +147,12 @@
     };
     let now = Millis(50_000);
     assert_eq!(
-        choose(&candidates, &want, &known, now, &mut seeded(1)),
+        choose(&candidates, &want, &model, now, &mut seeded(1)),
         Some(0)
     );
-    learn(&mut known, render, &[(map, 3_000), (check, 1_000)]);
+    note_reports(&mut model, render, &[(map, 3_000), (check, 1_000)]);
     assert_eq!(
-        choose(&candidates, &want, &known, now, &mut seeded(1)),
+        choose(&candidates, &want, &model, now, &mut seeded(1)),
         Some(1)
     );
 }
@@ -160,8 +160,8 @@
 /// A task without any reports is placed beside batch work rather than beside a service.
 #[test]
 fn unknown_work_is_not_tried_on_a_service_first() {
-    let mut known = SlowdownModel::default();
-    let [map, backup, render] = ["map", "backup", "render"].map(|name| known.kind(&entry(name)));
+    let mut model = SlowdownModel::default();
+    let [map, backup, render] = ["map", "backup", "render"].map(|name| model.kind(&entry(name)));
     let running_kind = |kind, class| RunningKind {
         neighbour: Neighbour { kind, count: 1 },
         class,
@@ -184,7 +184,7 @@
         ..to_place(size(2, 2_000, 0))
     };
     assert_eq!(
-        choose(&candidates, &want, &known, Millis(0), &mut seeded(1)),
+        choose(&candidates, &want, &model, Millis(0), &mut seeded(1)),
         Some(1)
     );
 }
@@ -195,7 +195,7 @@
 fn tasks_of_an_entry_are_spread_over_racks() {
     let (racks, workers) = (racks(4), (0..8).map(worker).collect::<Vec<_>>());
     let mut in_rack = [0_u32; 4];
-    let known = SlowdownModel::default();
+    let model = SlowdownModel::default();
     for placed in 0..8 {
         let candidates: Vec<CandidateHost<'_>> = workers
             .iter()
@@ -213,7 +213,7 @@
         let chosen = choose(
             &candidates,
             &want,
-            &known,
+            &model,
             Millis(0),
             &mut seeded(u64::from(placed)),
         );
@@ -226,9 +226,9 @@
 /// waits; a long-running task is placed all the same.
 #[test]
 fn batch_waits_rather_than_slow_a_service() {
-    let mut known = SlowdownModel::default();
-    let [map, render] = ["map", "render"].map(|name| known.kind(&entry(name)));
-    learn(&mut known, render, &[(map, 3_000)]);
+    let mut model = SlowdownModel::default();
+    let [map, render] = ["map", "render"].map(|name| model.kind(&entry(name)));
+    note_reports(&mut model, render, &[(map, 3_000)]);
     let maps = [RunningKind {
         neighbour: Neighbour {
             kind: map,
@@ -251,7 +251,7 @@
         choose(
             &candidates,
             &want(Class::Batch),
-            &known,
+            &model,
             now,
             &mut seeded(1)
         ),
@@ -260,7 +260,7 @@
     let stream = choose(
         &candidates,
         &want(Class::LongRunning),
-        &known,
+        &model,
         now,
         &mut seeded(1),
     );
@@ -271,9 +271,9 @@
 /// beside the checks where those fit, and otherwise beside the maps.
 #[test]
 fn a_mildly_noisy_task_goes_where_it_harms_less() {
-    let mut known = SlowdownModel::default();
-    let [map, render, check] = ["map", "render", "check"].map(|name| known.kind(&entry(name)));
-    learn(&mut known, render, &[(map, 1_300), (check, 1_000)]);
+    let mut model = SlowdownModel::default();
+    let [map, render, check] = ["map", "render", "check"].map(|name| model.kind(&entry(name)));
+    note_reports(&mut model, render, &[(map, 1_300), (check, 1_000)]);
     let running_kind = |kind| RunningKind {
         neighbour: Neighbour { kind, count: 1 },
         class: Class::LatencyCritical,
@@ -298,9 +298,9 @@
     ];
     let only_maps = [both[0]];
     let now = Millis(50_000);
-    assert_eq!(choose(&both, &want, &known, now, &mut seeded(1)), Some(1));
+    assert_eq!(choose(&both, &want, &model, now, &mut seeded(1)), Some(1));
     assert_eq!(
-        choose(&only_maps, &want, &known, now, &mut seeded(1)),
+        choose(&only_maps, &want, &model, now, &mut seeded(1)),
         Some(0)
     );
 }
--- a/tests/testsuite/policy/polling.rs
+++ b/tests/testsuite/policy/polling.rs
@@ -10,9 +10,9 @@
 const CATALOGUE: Duration = Duration::from_millis(600);
 /// Upper bound of the duration of a read, which is drawn at random.
 const CALL: Duration = Duration::from_millis(20);
-const LENGTH: Duration = Duration::from_secs(60);
+const DURATION: Duration = Duration::from_secs(60);
 /// Warm-up that is left out of the results: the processes still estimate the store's rate.
-const SETTLED: Duration = Duration::from_secs(5);
+const WARM_UP: Duration = Duration::from_secs(5);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Read {
@@ -22,9 +22,9 @@
 
 /// Results after the warm-up.
 #[derive(Debug, Default)]
-struct Seen {
+struct Results {
     /// Longest time between two answered reads of the catalogue by one process.
-    oldest_catalogue: Duration,
+    longest_catalogue_interval: Duration,
     /// Refused reads per thousand reads.
     refused_permille: usize,
     lease_reads: usize,
@@ -60,10 +60,10 @@
     }
 }
 
-fn play(processes: usize, rate: usize, is_adapting: bool, rng: &mut StdRng) -> Seen {
+fn simulate(processes: usize, rate: usize, is_adapting: bool, rng: &mut StdRng) -> Results {
     let mut store = Store::new(rate);
     let mut rates = vec![PollRate::default(); processes];
-    let mut read_at = vec![SETTLED; processes];
+    let mut read_at = vec![WARM_UP; processes];
     let mut due = BinaryHeap::new();
     for process in 0..processes {
         for read in [Read::Lease, Read::Catalogue] {
@@ -71,9 +71,9 @@
             due.push(Reverse((first, process, read)));
         }
     }
-    let (mut seen, mut reads, mut refused) = (Seen::default(), 0, 0);
+    let (mut results, mut reads, mut refused) = (Results::default(), 0, 0);
     while let Some(Reverse((at, process, read))) = due.pop() {
-        if at >= LENGTH {
+        if at >= DURATION {
             break;
         }
         let is_answered = store.answers(at);
@@ -82,14 +82,14 @@
             true => rates[process].answered(),
             false => rates[process].refused(),
         }
-        if at >= SETTLED {
+        if at >= WARM_UP {
             reads += 1;
             refused += usize::from(!is_answered);
-            seen.lease_reads += usize::from(read == Read::Lease);
+            results.lease_reads += usize::from(read == Read::Lease);
         }
-        if read == Read::Catalogue && is_answered && at >= SETTLED {
+        if read == Read::Catalogue && is_answered && at >= WARM_UP {
             let age = at - read_at[process];
-            seen.oldest_catalogue = seen.oldest_catalogue.max(age);
+            results.longest_catalogue_interval = results.longest_catalogue_interval.max(age);
             read_at[process] = at;
         }
         let pause = match read {
@@ -100,8 +100,8 @@
         let call = rng.random_range(Duration::ZERO..CALL);
         due.push(Reverse((at + call + pause, process, read)));
     }
-    seen.refused_permille = refused * 1_000 / reads;
-    seen
+    results.refused_permille = refused * 1_000 / reads;
+    results
 }
 
 /// Guards against catalogue changes that some of 300 processes read seconds late because reads of
@@ -110,11 +110,14 @@
 #[test]
 fn the_catalogue_is_read_in_time_however_many_processes_poll() {
     for seed in 0..3 {
-        let fixed = play(300, 1_300, false, &mut seeded(seed));
-        let adapting = play(300, 1_300, true, &mut seeded(seed));
-        assert!(fixed.oldest_catalogue > Duration::from_secs(3), "{fixed:?}");
+        let fixed = simulate(300, 1_300, false, &mut seeded(seed));
+        let adapting = simulate(300, 1_300, true, &mut seeded(seed));
         assert!(
-            adapting.oldest_catalogue < Duration::from_secs(2),
+            fixed.longest_catalogue_interval > Duration::from_secs(3),
+            "{fixed:?}"
+        );
+        assert!(
+            adapting.longest_catalogue_interval < Duration::from_secs(2),
             "{adapting:?}"
         );
         assert!(adapting.refused_permille < 150, "{adapting:?}");
@@ -123,9 +126,9 @@
 
 /// Guards against leases that are polled too seldom although the store has the rate for it.
 #[test]
-fn nothing_slows_down_below_the_rate() {
-    let fixed = play(30, 2_000, false, &mut seeded(1));
-    let adapting = play(30, 2_000, true, &mut seeded(1));
+fn nobody_polls_slower_below_the_rate() {
+    let fixed = simulate(30, 2_000, false, &mut seeded(1));
+    let adapting = simulate(30, 2_000, true, &mut seeded(1));
     assert_eq!(adapting.refused_permille, 0);
     assert!(adapting.lease_reads * 100 >= fixed.lease_reads * 99);
 }
@@ -133,7 +136,7 @@
 /// Guards against a process that still polls leases slowly long after the store stopped refusing
 /// its reads.
 #[test]
-fn a_process_that_was_turned_away_is_soon_back_at_its_pace() {
+fn a_process_that_was_refused_soon_polls_at_the_configured_rate() {
     let mut rate = PollRate::default();
     for _ in 0..20 {
         rate.refused();
--- a/tests/testsuite/policy/queueing.rs
+++ b/tests/testsuite/policy/queueing.rs
@@ -43,7 +43,7 @@
 }
 
 #[derive(Clone, Debug)]
-enum Act {
+enum Action {
     Put {
         flow: usize,
         max_waiting: u32,
@@ -55,14 +55,14 @@
     Wait(u64),
 }
 
-fn act() -> impl Strategy<Value = Act> {
+fn action() -> impl Strategy<Value = Action> {
     prop_oneof![
         5 => (0..6_usize, 0..6_u32, prop::option::of(0..400_u64), any::<bool>()).prop_map(
-            |(flow, max_waiting, deadline_ms, batch)| Act::Put { flow, max_waiting, deadline_ms, batch }
+            |(flow, max_waiting, deadline_ms, batch)| Action::Put { flow, max_waiting, deadline_ms, batch }
         ),
-        3 => Just(Act::Take),
-        1 => (0..20_usize).prop_map(Act::Remove),
-        1 => (0..100_u64).prop_map(Act::Wait),
+        3 => Just(Action::Take),
+        1 => (0..20_usize).prop_map(Action::Remove),
+        1 => (0..100_u64).prop_map(Action::Wait),
     ]
 }
 
@@ -70,14 +70,14 @@
     /// No entry has more items waiting than its bound, each item leaves exactly once (started,
     /// expired or removed), and none is started that cannot finish by its deadline.
     #[test]
-    fn each_item_leaves_once_and_bounds_hold(acts in prop::collection::vec(act(), 1..300)) {
+    fn each_item_leaves_once_and_bounds_hold(actions in prop::collection::vec(action(), 1..300)) {
         let mut rng = seeded(1);
         let mut queue: Queue<usize> = Queue::default();
         let mut waiting: IndexMap<usize, (Ticket, Option<Millis>)> = IndexMap::new();
         let mut now = Millis(1_000);
-        for (number, act) in acts.into_iter().enumerate() {
-            match act {
-                Act::Put { flow, max_waiting, deadline_ms, batch } => {
+        for (number, action) in actions.into_iter().enumerate() {
+            match action {
+                Action::Put { flow, max_waiting, deadline_ms, batch } => {
                     let name = ["a", "b", "c"][flow / 2];
                     let deadline = deadline_ms.map(|ms| now + Duration::from_millis(ms));
                     let class = if batch { Class::Batch } else { Class::LatencyCritical };
@@ -85,31 +85,31 @@
                     match queue.enqueue(item, number, now, &mut rng) {
                         EnqueueOutcome::Waiting { ticket, displaced } => {
                             prop_assert!(queue.waiting_of(&entry(name)) <= max_waiting);
-                            if let Some(gone) = displaced {
-                                prop_assert!(waiting.swap_remove(&gone.payload).is_some());
+                            if let Some(dropped) = displaced {
+                                prop_assert!(waiting.swap_remove(&dropped.payload).is_some());
                             }
                             waiting.insert(number, (ticket, deadline));
                         }
-                        EnqueueOutcome::Refused(gone) => prop_assert_eq!(gone.payload, number),
+                        EnqueueOutcome::Refused(dropped) => prop_assert_eq!(dropped.payload, number),
                     }
                 }
-                Act::Take => {
-                    for gone in queue.expire(now, &mut rng) {
-                        prop_assert!(waiting.swap_remove(&gone.payload).is_some());
-                        prop_assert_eq!(gone.reason, RefusalReason::Deadline);
+                Action::Take => {
+                    for dropped in queue.expire(now, &mut rng) {
+                        prop_assert!(waiting.swap_remove(&dropped.payload).is_some());
+                        prop_assert_eq!(dropped.reason, RefusalReason::Deadline);
                     }
                     if let Some((_, item, payload)) = queue.next(now, |_, _| true) {
                         let (_, deadline) = waiting.swap_remove(&payload).expect("it waited");
                         prop_assert!(deadline.is_none_or(|d| now + item.expected_run <= d));
                     }
                 }
-                Act::Remove(index) => {
+                Action::Remove(index) => {
                     if let Some((payload, (ticket, _))) = waiting.swap_remove_index(index) {
                         prop_assert_eq!(queue.remove(ticket, now), Some(payload));
                         prop_assert_eq!(queue.remove(ticket, now), None);
                     }
                 }
-                Act::Wait(ms) => now = now + Duration::from_millis(ms),
+                Action::Wait(ms) => now = now + Duration::from_millis(ms),
             }
             prop_assert_eq!(queue.len(), waiting.len());
         }
@@ -180,7 +180,7 @@
 }
 
 /// A queue with a bound of four, filled by caller 1 of the entry.
-fn full_of_one_caller() -> Queue<u32> {
+fn queue_filled_by_one_caller() -> Queue<u32> {
     let mut queue: Queue<u32> = Queue::default();
     for n in 0..4 {
         put(
@@ -199,23 +199,23 @@
 /// Guards against one caller that fills an entry's queue and shuts the others out: the first
 /// request of another caller displaces the last one of the hot caller, which is refused at once.
 #[test]
-fn a_hot_caller_does_not_shut_others_out() {
-    let mut queue = full_of_one_caller();
+fn a_hot_caller_does_not_displace_others() {
+    let mut queue = queue_filled_by_one_caller();
     let light = Item {
         max_waiting: 4,
         ..item("map", 2)
     };
     let put = queue.enqueue(light, 99, Millis(0), &mut seeded(1));
-    assert_matches!(put, EnqueueOutcome::Waiting { displaced: Some(gone), .. } => {
-        assert_eq!(gone.payload, 3);
-        assert_eq!(gone.reason, RefusalReason::QueueFull);
+    assert_matches!(put, EnqueueOutcome::Waiting { displaced: Some(dropped), .. } => {
+        assert_eq!(dropped.payload, 3);
+        assert_eq!(dropped.reason, RefusalReason::QueueFull);
     });
     let again = Item {
         max_waiting: 4,
         ..item("map", 1)
     };
     let put = queue.enqueue(again, 100, Millis(0), &mut seeded(1));
-    assert_matches!(put, EnqueueOutcome::Refused(gone) => assert_eq!(gone.reason, RefusalReason::QueueFull));
+    assert_matches!(put, EnqueueOutcome::Refused(dropped) => assert_eq!(dropped.reason, RefusalReason::QueueFull));
     assert_eq!(queue.waiting_of(&entry("map")), 4);
 }
 
@@ -223,7 +223,7 @@
 /// caller is displaced for another's.
 #[test]
 fn a_lowered_bound_holds_from_then_on() {
-    let mut queue = full_of_one_caller();
+    let mut queue = queue_filled_by_one_caller();
     let light = Item {
         max_waiting: 2,
         ..item("map", 2)
@@ -250,7 +250,7 @@
         ..item("map", 1)
     };
     let put = queue.enqueue(due(300), 0, now, &mut seeded(1));
-    assert_matches!(put, EnqueueOutcome::Refused(gone) => assert_eq!(gone.reason, RefusalReason::Deadline));
+    assert_matches!(put, EnqueueOutcome::Refused(dropped) => assert_eq!(dropped.reason, RefusalReason::Deadline));
     let put = queue.enqueue(due(900), 0, now, &mut seeded(1));
     assert_matches!(put, EnqueueOutcome::Waiting { .. });
 }
@@ -274,14 +274,14 @@
         ..item("map", caller)
     };
     let put = queue.enqueue(due(1), 0, now, &mut seeded(1));
-    assert_matches!(put, EnqueueOutcome::Refused(gone) => assert_eq!(gone.reason, RefusalReason::Overload));
+    assert_matches!(put, EnqueueOutcome::Refused(dropped) => assert_eq!(dropped.reason, RefusalReason::Overload));
     let put = queue.enqueue(due(2), 0, now, &mut seeded(1));
     assert_matches!(put, EnqueueOutcome::Waiting { .. });
 }
 
 /// A waiting item expires in the first millisecond in which it cannot finish by its deadline.
 #[test]
-fn an_item_is_given_up_as_soon_as_it_is_too_late() {
+fn an_item_expires_as_soon_as_it_cannot_be_in_time() {
     let mut queue: Queue<u32> = Queue::default();
     put(
         &mut queue,
@@ -294,9 +294,9 @@
     );
     assert_eq!(queue.next_expiry(), Some(Millis(91)));
     assert!(queue.expire(Millis(90), &mut seeded(1)).is_empty());
-    let gone = queue.expire(Millis(91), &mut seeded(1));
-    assert_eq!(gone.len(), 1);
-    assert_eq!(gone[0].reason, RefusalReason::Deadline);
+    let dropped = queue.expire(Millis(91), &mut seeded(1));
+    assert_eq!(dropped.len(), 1);
+    assert_eq!(dropped[0].reason, RefusalReason::Deadline);
     assert!(queue.is_empty());
 }
 
--- a/tests/testsuite/policy/retry.rs
+++ b/tests/testsuite/policy/retry.rs
@@ -8,7 +8,7 @@
 /// Guards against a certificate check that runs twice and yields two certificate numbers: a request
 /// that may have run is not retried.
 #[test]
-fn only_what_did_not_run_or_is_idempotent_is_sent_again() {
+fn only_what_did_not_run_or_is_idempotent_is_retried() {
     assert!(is_retry_safe(Failure::NotRun, false));
     assert!(is_retry_safe(Failure::NotRun, true));
     assert!(is_retry_safe(Failure::Unknown, true));
@@ -20,10 +20,10 @@
     /// Guards against a retry storm when workers refuse everything: retries never exceed the saved
     /// ones plus a tenth of the successes.
     #[test]
-    fn retries_add_at_most_a_tenth(course in prop::collection::vec(any::<bool>(), 1..2_000)) {
+    fn retries_add_at_most_a_tenth(outcomes in prop::collection::vec(any::<bool>(), 1..2_000)) {
         let mut budget = RetryBudget::default();
         let (mut successes, mut retries) = (0_u32, 0_u32);
-        for success in course {
+        for success in outcomes {
             if success {
                 budget.note_success();
                 successes += 1;
--- a/tests/testsuite/policy/routing.rs
+++ b/tests/testsuite/policy/routing.rs
@@ -20,7 +20,7 @@
 }
 
 /// Sends one request to each worker, answered after `ms`, or `first_ms` by the first worker.
-fn exchange(routing: &mut Routing, workers: &[WorkerId], ms: u64, first_ms: u64, at: Millis) {
+fn send_to_each(routing: &mut Routing, workers: &[WorkerId], ms: u64, first_ms: u64, at: Millis) {
     let map = entry("map");
     for (i, worker) in workers.iter().enumerate() {
         let took = Duration::from_millis(if i == 0 { first_ms } else { ms });
@@ -44,7 +44,7 @@
 proptest! {
     /// A worker is chosen whenever there is a candidate, also when all are ejected or failing.
     #[test]
-    fn somebody_serves(seed in any::<u64>(), count in 0..10_usize, failures in 0..50_u32) {
+    fn a_worker_is_always_chosen(seed in any::<u64>(), count in 0..10_usize, failures in 0..50_u32) {
         let workers: Vec<WorkerId> = (0..count).map(worker).collect();
         let mut routing = Routing::default();
         for _ in 0..failures {
@@ -80,7 +80,7 @@
     let workers = pool();
     let mut routing = Routing::default();
     for i in 0..4 {
-        exchange(&mut routing, &workers, 20, 50, Millis(i * 1_000));
+        send_to_each(&mut routing, &workers, 20, 50, Millis(i * 1_000));
     }
     assert!(draws_of_first(&routing, &workers, Millis(4_000)) < 30);
     let later = Millis(4_000) + SLOWNESS_HALF_LIFE * 20;
@@ -93,7 +93,7 @@
 fn a_hanging_worker_is_avoided_before_its_first_timeout() {
     let workers = pool();
     let mut routing = Routing::default();
-    exchange(&mut routing, &workers, 20, 20, Millis(0));
+    send_to_each(&mut routing, &workers, 20, 20, Millis(0));
     routing.note_sent(&workers[0], &entry("map"), Millis(1_000));
     let now = Millis(1_200);
     assert!(draws_of_first(&routing, &workers, now) < 30);
@@ -107,7 +107,7 @@
     let (mut routing, page) = (Routing::default(), entry("page"));
     for i in 0..20 {
         let at = Millis(i * 5_000);
-        exchange(&mut routing, &workers, 20, 20, at);
+        send_to_each(&mut routing, &workers, 20, 20, at);
         let slow = &workers[usize::try_from(i).expect("small") % 2];
         routing.note_sent(slow, &page, at);
         routing.note_outcome(
@@ -129,7 +129,7 @@
     let workers = pool();
     let mut routing = Routing::default();
     for i in 0..5 {
-        exchange(&mut routing, &workers, 20, 20, Millis(i));
+        send_to_each(&mut routing, &workers, 20, 20, Millis(i));
     }
     for i in 0..50 {
         routing.note_sent(&workers[0], &entry("map"), Millis(i));
--- a/tests/testsuite/policy/slowdown.rs
+++ b/tests/testsuite/policy/slowdown.rs
@@ -18,10 +18,10 @@
 /// each report is measured beside two of them.
 #[test]
 fn the_noisy_neighbour_is_found_among_quiet_ones() {
-    let mut known = SlowdownModel::default();
-    let service = known.kind(&entry("map"));
+    let mut model = SlowdownModel::default();
+    let service = model.kind(&entry("map"));
     let kinds: Vec<Kind> = (0..4)
-        .map(|i| known.kind(&entry(&format!("batch{i}"))))
+        .map(|i| model.kind(&entry(&format!("batch{i}"))))
         .collect();
     let mut rng = seeded(2);
     for i in 0..200_u64 {
@@ -34,11 +34,11 @@
             slowdown_permille: 1_000 + noisy * 800 + noise,
             measured_at: Millis(i * 1_000),
         };
-        known.note(&report);
+        model.note(&report);
     }
     let added: Vec<f64> = kinds
         .iter()
-        .map(|kind| known.added(service, *kind, Millis(200_000)))
+        .map(|kind| model.added(service, *kind, Millis(200_000)))
         .collect();
     assert!((0.6..1.0).contains(&added[0]), "{added:?}");
     assert!(added[1..].iter().all(|quiet| *quiet < 0.2), "{added:?}");
@@ -48,10 +48,10 @@
 /// age.
 #[test]
 fn uncertainty_falls_with_reports_and_rises_with_age() {
-    let mut known = SlowdownModel::default();
-    let (service, batch) = (known.kind(&entry("map")), known.kind(&entry("batch")));
-    assert_eq!(known.uncertainty(service, batch, Millis(0)), 1.0);
-    assert_eq!(known.added(service, batch, Millis(0)), PRIOR_SLOWDOWN);
+    let mut model = SlowdownModel::default();
+    let (service, batch) = (model.kind(&entry("map")), model.kind(&entry("batch")));
+    assert_eq!(model.uncertainty(service, batch, Millis(0)), 1.0);
+    assert_eq!(model.added(service, batch, Millis(0)), PRIOR_SLOWDOWN);
     let report = |at| Report {
         kind: service,
         beside: &[Neighbour {
@@ -61,17 +61,17 @@
         slowdown_permille: 3_000,
         measured_at: at,
     };
-    known.note(&report(Millis(0)));
-    let once = known.added(service, batch, Millis(0));
+    model.note(&report(Millis(0)));
+    let once = model.added(service, batch, Millis(0));
     assert!((0.2..1.0).contains(&once), "{once}");
     for i in 1..20 {
-        known.note(&report(Millis(i * 1_000)));
+        model.note(&report(Millis(i * 1_000)));
     }
-    let often = known.added(service, batch, Millis(20_000));
+    let often = model.added(service, batch, Millis(20_000));
     assert!((1.5..2.1).contains(&often), "{often}");
     let later = Millis(20_000) + REPORT_HALF_LIFE * 10;
-    assert!(known.added(service, batch, later) < 0.2);
-    assert!(known.uncertainty(service, batch, later) > 0.9);
+    assert!(model.added(service, batch, later) < 0.2);
+    assert!(model.uncertainty(service, batch, later) > 0.9);
 }
 
 /// Usage reports lag by seconds. A report is matched with the tasks that ran when it was measured,
@@ -91,7 +91,7 @@
 /// Guards against a throttled neighbour that is taken for harmless and placed beside the service at
 /// full speed: no report is used while a neighbour is throttled.
 #[test]
-fn nothing_is_learned_while_something_is_throttled() {
+fn reports_while_something_is_throttled_are_not_used() {
     let mut history = History::default();
     let running = vec![neighbour(Kind(1), 1)];
     history.note(running.clone(), Millis(0));
--- a/tests/testsuite/properties/grants.rs
+++ b/tests/testsuite/properties/grants.rs
@@ -18,11 +18,11 @@
 #[derive(Clone, Copy, Debug)]
 enum Op {
     /// A daemon's exchange with the owner, and what happens to it.
-    Exchange(u8, Reach),
+    Exchange(u8, Delivery),
     /// A request starts on a worker, if the daemon's floor has free capacity.
-    Begin(u8, u8),
+    StartRequest(u8, u8),
     /// A request on a worker ends.
-    End(u8, u8),
+    EndRequest(u8, u8),
     /// An earlier round that was in flight reaches the current owner.
     LateRound(u8),
     /// Another owner takes the shard.
@@ -32,7 +32,7 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-enum Reach {
+enum Delivery {
     Answered,
     NotDelivered,
     /// The ledger has the change; the answer is lost.
@@ -42,23 +42,23 @@
 }
 
 fn op() -> impl Strategy<Value = Op> {
-    let reach = prop_oneof![
-        4 => Just(Reach::Answered),
-        1 => Just(Reach::NotDelivered),
-        1 => Just(Reach::AnswerLost),
-        1 => Just(Reach::Late),
+    let delivery = prop_oneof![
+        4 => Just(Delivery::Answered),
+        1 => Just(Delivery::NotDelivered),
+        1 => Just(Delivery::AnswerLost),
+        1 => Just(Delivery::Late),
     ];
     prop_oneof![
-        6 => (0..DAEMONS, reach).prop_map(|(d, reach)| Op::Exchange(d, reach)),
-        4 => (0..DAEMONS, 0..WORKERS).prop_map(|(d, w)| Op::Begin(d, w)),
-        3 => (0..DAEMONS, 0..WORKERS).prop_map(|(d, w)| Op::End(d, w)),
+        6 => (0..DAEMONS, delivery).prop_map(|(d, delivery)| Op::Exchange(d, delivery)),
+        4 => (0..DAEMONS, 0..WORKERS).prop_map(|(d, w)| Op::StartRequest(d, w)),
+        3 => (0..DAEMONS, 0..WORKERS).prop_map(|(d, w)| Op::EndRequest(d, w)),
         2 => (0..DAEMONS).prop_map(Op::LateRound),
         1 => Just(Op::OwnerChange),
         1 => (1..=DAEMONS).prop_map(Op::Sharers),
     ]
 }
 
-fn whole() -> Grant {
+fn worker_capacity() -> Grant {
     Grant {
         slots: 8,
         size: Size {
@@ -113,7 +113,7 @@
         }
         let part = |w: u8| {
             grants::even_part(
-                &whole(),
+                &worker_capacity(),
                 SHARE_PERCENT,
                 usize::from(d + w),
                 self.sharers.into(),
@@ -130,27 +130,29 @@
         if !is_next {
             return false;
         }
-        let hosts: ByWorker = (0..WORKERS).map(|w| (worker(w), whole())).collect();
+        let hosts: ByWorker = (0..WORKERS)
+            .map(|w| (worker(w), worker_capacity()))
+            .collect();
         let targets = self.targets(d);
         let events = grants::changes(&self.ledger, &hosts, &holder(d), &round.holding, &targets);
         assert_eq!(self.ledger.apply_all(&events), Ok(()));
         true
     }
 
-    fn exchange(&mut self, d: u8, reach: Reach) {
+    fn exchange(&mut self, d: u8, delivery: Delivery) {
         let floors = &mut self.daemons[usize::from(d)];
         let round = Round {
             epoch: self.epoch,
             number: floors.next_round(),
             holding: floors.holding(),
         };
-        match reach {
-            Reach::NotDelivered => {}
-            Reach::Late => self.late[usize::from(d)].push(round),
-            Reach::AnswerLost => {
+        match delivery {
+            Delivery::NotDelivered => {}
+            Delivery::Late => self.late[usize::from(d)].push(round),
+            Delivery::AnswerLost => {
                 self.receive(d, &round);
             }
-            Reach::Answered => {
+            Delivery::Answered => {
                 if self.receive(d, &round) {
                     let floors = self
                         .ledger
@@ -167,14 +169,14 @@
 
     fn run(&mut self, op: Op) {
         match op {
-            Op::Exchange(d, reach) => self.exchange(d, reach),
-            Op::Begin(d, w) => {
+            Op::Exchange(d, delivery) => self.exchange(d, delivery),
+            Op::StartRequest(d, w) => {
                 let floors = &mut self.daemons[usize::from(d)];
                 if floors.has_room(&worker(w), &request()) {
                     floors.take(&worker(w), &request());
                 }
             }
-            Op::End(d, w) => {
+            Op::EndRequest(d, w) => {
                 let floors = &mut self.daemons[usize::from(d)];
                 if floors
                     .held
@@ -201,8 +203,11 @@
         prop_assert_eq!(&self.ledger.committed, &self.ledger.recount());
         for w in 0..WORKERS {
             let committed = self.ledger.committed_on(&worker(w));
-            prop_assert!(committed.slots <= whole().slots, "{committed:?}");
-            prop_assert!(committed.size.fits(&whole().size), "{committed:?}");
+            prop_assert!(committed.slots <= worker_capacity().slots, "{committed:?}");
+            prop_assert!(
+                committed.size.fits(&worker_capacity().size),
+                "{committed:?}"
+            );
             for d in 0..DAEMONS {
                 let Some(floor) = self.daemons[usize::from(d)].held.get(&worker(w)) else {
                     continue;
--- a/tests/testsuite/properties/ledger.rs
+++ b/tests/testsuite/properties/ledger.rs
@@ -96,7 +96,7 @@
         let mut live = State::default();
         let mut rows = Vec::new();
         for (nonce, group) in (0..).zip(groups) {
-            let events = belonging(&live, &group);
+            let events = valid_events(&live, &group);
             let row = batch(&live, nonce, events);
             prop_assert!(live.apply_batch(&row).is_ok());
             rows.push(row);
@@ -145,7 +145,7 @@
 }
 
 /// The events made from `seeds`, without those that are invalid after the ones before.
-pub(super) fn belonging(state: &State, seeds: &[Seed]) -> Vec<Event> {
+pub(super) fn valid_events(state: &State, seeds: &[Seed]) -> Vec<Event> {
     let mut trial = state.clone();
     let mut events = Vec::new();
     for seed in seeds {
@@ -171,12 +171,12 @@
             attempt: Attempt(1),
         },
     };
-    let began = Event::OwnerBegan {
+    let owner_began = Event::OwnerBegan {
         epoch,
         holder: holder(0),
     };
     for event in [
-        began,
+        owner_began,
         super::events::accepted(0, 1),
         Event::OwnerEnded { epoch },
     ] {
--- a/tests/testsuite/properties/placement.rs
+++ b/tests/testsuite/properties/placement.rs
@@ -47,8 +47,8 @@
 fn choose(state: &State, size: Size, seed: u64) -> Option<WorkerId> {
     let rack = Rack::try_from("rack-a").expect("a name");
     let workers: Vec<WorkerId> = (0..WORKERS).map(worker).collect();
-    let room = |(w, id): (u8, &'_ WorkerId)| (free(state, w), whole(w).size, id.clone());
-    let hosts: Vec<_> = (0..WORKERS).zip(&workers).map(room).collect();
+    let candidate = |(w, id): (u8, &'_ WorkerId)| (free(state, w), whole(w).size, id.clone());
+    let hosts: Vec<_> = (0..WORKERS).zip(&workers).map(candidate).collect();
     let candidates: Vec<CandidateHost<'_>> = hosts
         .iter()
         .map(|(free, capacity, id)| CandidateHost {
@@ -66,9 +66,9 @@
         size,
         entry_tasks_placed: 0,
     };
-    let known = SlowdownModel::default();
+    let model = SlowdownModel::default();
     let mut rng = StdRng::seed_from_u64(seed);
-    let chosen = placement::choose(&candidates, &to_place, &known, Millis::default(), &mut rng)?;
+    let chosen = placement::choose(&candidates, &to_place, &model, Millis::default(), &mut rng)?;
     Some(candidates[chosen].worker.clone())
 }
 
--- a/tests/testsuite/properties/recovery.rs
+++ b/tests/testsuite/properties/recovery.rs
@@ -2,7 +2,7 @@
 
 use super::{
     events::{Seed, seed, shard},
-    ledger::belonging,
+    ledger::valid_events,
 };
 use indexmap::IndexMap;
 use lapisdrum::{
@@ -22,7 +22,7 @@
 
 /// What happens to a write.
 #[derive(Clone, Copy, Debug)]
-enum Fate {
+enum WriteFate {
     Answered,
     /// It takes effect; the writer reads its row back.
     AnswerLost,
@@ -44,18 +44,18 @@
 
 #[derive(Clone, Debug)]
 enum Op {
-    Write(Vec<Seed>, Fate),
+    Write(Vec<Seed>, WriteFate),
     Snapshot(Stage),
     TakeOver,
 }
 
 fn op() -> impl Strategy<Value = Op> {
     let fate = prop_oneof![
-        4 => Just(Fate::Answered),
-        2 => Just(Fate::AnswerLost),
-        1 => Just(Fate::CrashAfter),
-        1 => Just(Fate::CrashBefore),
-        1 => Just(Fate::Late),
+        4 => Just(WriteFate::Answered),
+        2 => Just(WriteFate::AnswerLost),
+        1 => Just(WriteFate::CrashAfter),
+        1 => Just(WriteFate::CrashBefore),
+        1 => Just(WriteFate::Late),
     ];
     let stage = prop_oneof![
         Just(Stage::ObjectOnly),
@@ -133,7 +133,7 @@
             sequence: writer.state.sequence.next(),
             epoch: writer.epoch,
             nonce: self.nonce,
-            events: belonging(&writer.state, seeds),
+            events: valid_events(&writer.state, seeds),
         }
     }
 
@@ -216,23 +216,23 @@
                 Op::Write(seeds, fate) => {
                     let batch = world.next_batch(&writer, &seeds);
                     match fate {
-                        Fate::Answered => {
+                        WriteFate::Answered => {
                             prop_assert!(world.send(&writer, &batch));
                             world.acknowledge(&mut writer, &batch);
                         }
-                        Fate::AnswerLost => {
+                        WriteFate::AnswerLost => {
                             world.send(&writer, &batch);
                             // Tried again: the conflict is resolved by reading the row back.
                             prop_assert!(!world.send(&writer, &batch));
                             prop_assert!(world.reads_back(&batch));
                             world.acknowledge(&mut writer, &batch);
                         }
-                        Fate::CrashAfter => {
+                        WriteFate::CrashAfter => {
                             world.send(&writer, &batch);
                             writer = world.take_over();
                         }
-                        Fate::CrashBefore => writer = world.take_over(),
-                        Fate::Late => {
+                        WriteFate::CrashBefore => writer = world.take_over(),
+                        WriteFate::Late => {
                             let overtaken = std::mem::replace(&mut writer, world.take_over());
                             stale.push((overtaken, batch));
                         }
--- a/tests/testsuite/requests/claims.rs
+++ b/tests/testsuite/requests/claims.rs
@@ -18,7 +18,7 @@
 }
 
 /// Waits until requests with a key are served, which needs the homes of claims to be known.
-async fn claims_are_kept(site: &EmbeddedSite) {
+async fn wait_for_claims(site: &EmbeddedSite) {
     for (i, daemon) in site.daemons.iter().enumerate() {
         wait::until("claims are kept", LIMIT, async || {
             let asked = daemon.ask(CHECK, &key(&format!("warm-{i}")), "x").await;
@@ -38,7 +38,7 @@
 async fn a_repeat_through_another_daemon_gets_the_first_outcome() {
     let site = EmbeddedSite::start(&["multan"], 2, 2).await;
     site.serve_entry(&entry(CHECK, false, 5_000)).await;
-    claims_are_kept(&site).await;
+    wait_for_claims(&site).await;
     site.switch_workers(|switches| switches.request_ms = 600);
     let id = key("check-1");
     let first = site.daemons[0].ask(CHECK, &id, "meter 7");
@@ -68,7 +68,7 @@
 async fn an_id_for_another_body_is_refused() {
     let site = EmbeddedSite::start(&["multan"], 2, 1).await;
     site.serve_entry(&entry(CHECK, false, 5_000)).await;
-    claims_are_kept(&site).await;
+    wait_for_claims(&site).await;
     let id = key("check-2");
     let first = site.daemons[0].ask(CHECK, &id, "meter 7").await;
     assert_eq!(first.expect("an answer").body, "meter 7");
@@ -88,7 +88,7 @@
 async fn a_request_that_was_not_run_may_be_asked_again_under_its_id() {
     let site = EmbeddedSite::start(&["multan"], 2, 2).await;
     site.serve_entry(&entry(CHECK, false, 5_000)).await;
-    claims_are_kept(&site).await;
+    wait_for_claims(&site).await;
     site.switch_workers(|switches| switches.refuses = true);
     let id = key("check-3");
     let refused = site.daemons[0].ask(CHECK, &id, "meter 7").await;
@@ -111,7 +111,7 @@
 async fn without_its_home_an_id_is_refused_and_not_run() {
     let site = EmbeddedSite::start(&["multan"], 2, 2).await;
     site.serve_entry(&entry(CHECK, false, 5_000)).await;
-    claims_are_kept(&site).await;
+    wait_for_claims(&site).await;
     site.platform.switches.borrow_mut().down = true;
     for daemon in &site.daemons {
         let refused = daemon.ask(CHECK, &key("check-4"), "meter 7").await;
@@ -138,11 +138,11 @@
 async fn ids_at_home_in_a_lost_data_centre_are_refused_and_not_run() {
     let mut site = EmbeddedSite::start(&["multan", "lahore"], 1, 1).await;
     site.serve_entry(&entry(CHECK, false, 5_000)).await;
-    claims_are_kept(&site).await;
+    wait_for_claims(&site).await;
     let row = site.platform.table.borrow_mut().get("claim-homes");
     let homes = row.and_then(|row| row.parse::<Homes>()).expect("a row");
     assert_eq!(homes.shards.len(), 2, "both from the start: {homes:?}");
-    site.daemons[1].tell_to_end();
+    site.daemons[1].request_stop();
     site.daemons[1].ended().await;
     let lost = ShardId::try_from("lahore.0").expect("a name");
     let mut refused = 0;
@@ -170,7 +170,7 @@
     let site = EmbeddedSite::start(&["multan"], 2, 1).await;
     site.serve_entry(&entry(CHECK, false, 2_000)).await;
     site.serve_entry(&entry("map", true, 2_000)).await;
-    claims_are_kept(&site).await;
+    wait_for_claims(&site).await;
     let link = &site.workers[0].link.switches;
     link.borrow_mut().drops_one_in = 1;
     let check = site.daemons[0].ask(CHECK, &key("check-6"), "meter 7").await;
--- a/tests/testsuite/requests/embedded.rs
+++ b/tests/testsuite/requests/embedded.rs
@@ -44,7 +44,7 @@
     }
 
     /// Requests a graceful end, as SIGTERM does.
-    pub(crate) fn tell_to_end(&self) {
+    pub(crate) fn request_stop(&self) {
         self.stop.send_replace(true);
     }
 
--- a/tests/testsuite/requests/floors.rs
+++ b/tests/testsuite/requests/floors.rs
@@ -23,7 +23,7 @@
 /// restarted. The new run gets the old floors only after the deadlines of the checks sent under
 /// them. The other daemon is then killed, so that only the new run's own floors can serve callers.
 #[actix_rt::test]
-async fn a_dead_daemons_floors_come_back_after_its_requests_are_over() {
+async fn a_dead_daemons_floors_are_returned_after_its_requests_ended() {
     let mut site = Site::start(2, 1).await;
     let mut raw = entry("check", false, 4_000);
     raw.millicores = 2_000;
@@ -60,8 +60,8 @@
     site.daemons[0].process.kill();
     site.daemons[0] = DaemonProcess::start(plan);
     site.daemons[0].ready().await;
-    for is_alone in [false, true] {
-        if is_alone {
+    for is_other_killed in [false, true] {
+        if is_other_killed {
             site.daemons[1].process.kill();
         }
         wait::until("the new run serves", Duration::from_secs(60), async || {
--- a/tests/testsuite/requests/outcomes.rs
+++ b/tests/testsuite/requests/outcomes.rs
@@ -27,7 +27,12 @@
 
 /// Sends `rounds` requests in a row from each of `callers` callers, each with a different body, and
 /// checks that each answer has the complete body of its request.
-async fn crowd(site: &EmbeddedSite, name: &str, callers: usize, rounds: usize) -> Tally {
+async fn send_from_callers(
+    site: &EmbeddedSite,
+    name: &str,
+    callers: usize,
+    rounds: usize,
+) -> Tally {
     let caller = |caller: usize| async move {
         let daemon = &site.daemons[caller % site.daemons.len()];
         let mut tally = Tally::default();
@@ -63,7 +68,7 @@
     sum
 }
 
-fn most_often(runs: &[String]) -> usize {
+fn max_runs_of_one_id(runs: &[String]) -> usize {
     let often = |id: &String| runs.iter().filter(|ran| *ran == id).count();
     runs.iter().map(often).max().unwrap_or_default()
 }
@@ -87,10 +92,14 @@
             closes_after_ms: 0,
         };
     }
-    let tally = crowd(&site, "check", 200, 3).await;
+    let tally = send_from_callers(&site, "check", 200, 3).await;
     assert!(tally.done > 0 && tally.unknown > 0, "{tally:?}");
     let runs = site.runs();
-    assert_eq!(most_often(&runs), 1, "a non-idempotent request ran twice");
+    assert_eq!(
+        max_runs_of_one_id(&runs),
+        1,
+        "a non-idempotent request ran twice"
+    );
     assert!(
         runs.len() <= (tally.done + tally.unknown) as usize,
         "{} runs for {tally:?}",
@@ -108,7 +117,7 @@
     let site = EmbeddedSite::start(&["multan"], 2, 2).await;
     site.serve_entry(&entry("check", false, 2_000)).await;
     site.switch_workers(|switches| switches.refuses = true);
-    let tally = crowd(&site, "check", 20, 1).await;
+    let tally = send_from_callers(&site, "check", 20, 1).await;
     assert_eq!((tally.done, tally.unknown), (0, 0), "{tally:?}");
     assert_eq!(site.runs(), [""; 0]);
 }
@@ -138,7 +147,7 @@
 /// Guards against a second run of a check: the refusal of another request arrives in place of its
 /// answer. If it were accepted, the check would be retried while it runs.
 #[actix_rt::test]
-async fn the_refusal_of_another_request_is_not_believed() {
+async fn the_refusal_of_another_request_is_ignored() {
     let site = EmbeddedSite::start(&["multan"], 1, 2).await;
     site.serve_entry(&entry("check", false, 2_000)).await;
     site.switch_workers(|switches| switches.misnames_refusals = true);
@@ -188,17 +197,17 @@
 /// Guards against callers that wait beyond their deadline for a hung worker. The caller's deadline
 /// applies, not the longer one of the entry.
 #[actix_rt::test]
-async fn a_hung_worker_is_answered_for_at_the_deadline() {
+async fn requests_on_a_hung_worker_end_at_the_deadline() {
     let site = EmbeddedSite::start(&["multan"], 1, 1).await;
     site.serve_entry(&entry("check", false, 30_000)).await;
     site.switch_workers(|switches| switches.hang_requests = true);
-    let began = Instant::now();
+    let started = Instant::now();
     let headers = [("lapisdrum-deadline-ms", "400")];
     let answer = site.daemons[0].ask("check", &headers, "meter 7").await;
     let answer = answer.expect("an answer");
     assert_eq!(answer.outcome(), "unknown", "{:?}", answer.json());
     assert!(
-        began.elapsed() < Duration::from_secs(10),
+        started.elapsed() < Duration::from_secs(10),
         "the caller's deadline counts"
     );
 }
@@ -213,7 +222,7 @@
     // Two polls at the test's settings, doubled for a busy host.
     tokio::time::sleep(Duration::from_secs(1)).await;
     let before = site.workers[0].runs().len();
-    let tally = crowd(&site, "check", 4, 10).await;
+    let tally = send_from_callers(&site, "check", 4, 10).await;
     assert_eq!(tally.unknown, 0, "{tally:?}");
     assert!(tally.done > 0, "{tally:?}");
     assert_eq!(
@@ -238,11 +247,11 @@
         let calls = (0..4).map(|_| ending.ask("check", &[], "meter 7"));
         futures::future::join_all(calls).await
     };
-    let told = async {
+    let stop = async {
         wait::until("all run", LIMIT, async || site.runs().len() == 5).await;
-        ending.tell_to_end();
+        ending.request_stop();
     };
-    let (answers, ()) = futures::join!(asked, told);
+    let (answers, ()) = futures::join!(asked, stop);
     for answer in answers {
         assert_eq!(answer.expect("an answer").body, "meter 7");
     }
@@ -270,7 +279,7 @@
         1,
         "it still runs"
     );
-    site.daemons[0].tell_to_end();
+    site.daemons[0].request_stop();
     site.daemons[0].ended().await;
     assert_eq!(site.workers[0].worker.running_requests(), 0, "it is over");
 }
--- a/tests/testsuite/requests/overload.rs
+++ b/tests/testsuite/requests/overload.rs
@@ -13,9 +13,9 @@
     site.serve_entry(&raw).await;
     site.switch_workers(|switches| switches.request_ms = 300);
     let ask = async || {
-        let began = Instant::now();
+        let started = Instant::now();
         let answer = site.daemons[0].ask("check", &[], "meter 7").await;
-        (answer.expect("an answer"), began.elapsed())
+        (answer.expect("an answer"), started.elapsed())
     };
     let answers = futures::future::join_all((0..160).map(|_| ask())).await;
     let (done, refused): (Vec<_>, Vec<_>) = answers
@@ -34,7 +34,7 @@
 /// Guards against one caller that starves the others of an entry: callers share its queue evenly,
 /// however many requests one of them sends.
 #[actix_rt::test]
-async fn a_hot_caller_leaves_the_others_their_turn() {
+async fn a_hot_caller_does_not_starve_the_others() {
     let site = EmbeddedSite::start(&["multan"], 1, 1).await;
     let mut raw = entry("check", false, 20_000);
     raw.queue = Some(200);
--- a/tests/testsuite/requests/shares.rs
+++ b/tests/testsuite/requests/shares.rs
@@ -25,13 +25,13 @@
     raw.concurrency = Some(LIMIT_OF_ENTRY);
     site.serve_entry(&raw).await;
     site.switch_workers(|switches| switches.request_ms = 150);
-    let most = Cell::new(0);
-    let over = Cell::new(false);
+    let max_running = Cell::new(0);
+    let is_finished = Cell::new(false);
     let answered = [const { Cell::new(0_u32) }; 4];
     let caller = |caller: usize| {
-        let (site, over, answered) = (&site, &over, &answered[caller % 4]);
+        let (site, is_finished, answered) = (&site, &is_finished, &answered[caller % 4]);
         async move {
-            while !over.get() {
+            while !is_finished.get() {
                 let asked = site.daemons[caller % 4].ask("check", &[], "x").await;
                 if asked.is_ok_and(|answer| answer.status.is_success()) {
                     answered.set(answered.get() + 1);
@@ -42,9 +42,9 @@
         }
     };
     let watch = async {
-        while !over.get() {
+        while !is_finished.get() {
             let running = site.workers.iter().map(|w| w.worker.running_requests());
-            most.set(most.get().max(running.sum()));
+            max_running.set(max_running.get().max(running.sum()));
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     };
@@ -58,7 +58,7 @@
         })
         .await;
     };
-    let story = async {
+    let scenario = async {
         all_answer("all four daemons answer").await;
         let cut = vec!["multan-0".to_owned(), "multan-1".to_owned()];
         site.platform.switches.borrow_mut().cut = cut;
@@ -66,12 +66,16 @@
         all_answer("all four answer while one data centre is cut off").await;
         *site.platform.switches.borrow_mut() = PlatformSwitches::default();
         all_answer("all four answer afterwards").await;
-        over.set(true);
+        is_finished.set(true);
     };
     let callers = futures::future::join_all((0..16).map(caller));
-    futures::join!(callers, watch, story);
-    assert!(most.get() <= LIMIT_OF_ENTRY, "{} ran at once", most.get());
-    assert!(most.get() > 4, "{} ran at once", most.get());
+    futures::join!(callers, watch, scenario);
+    assert!(
+        max_running.get() <= LIMIT_OF_ENTRY,
+        "{} ran at once",
+        max_running.get()
+    );
+    assert!(max_running.get() > 4, "{} ran at once", max_running.get());
 }
 
 /// What happens to a write that a party sends.
@@ -150,7 +154,7 @@
     }
 }
 
-fn look(member: &mut Member, rank: usize, waits: u32, fate: Fate, table: &mut Table) {
+fn update_share(member: &mut Member, rank: usize, waits: u32, fate: Fate, table: &mut Table) {
     let in_row = table.row.part(&member.party).map_or(0, |part| part.amount);
     member.allowed.after_read(in_row);
     let next = table.row.looked_at(&Look {
@@ -194,7 +198,7 @@
                     members[p].running += 1;
                 }
                 Step::Finish(p) => members[p].running = members[p].running.saturating_sub(1),
-                Step::Look(p, fate, waits) => look(&mut members[p], p, waits, fate, &mut table),
+                Step::Look(p, fate, waits) => update_share(&mut members[p], p, waits, fate, &mut table),
                 Step::Arrive => {
                     for (version, row) in std::mem::take(&mut table.late) {
                         table.write(version, row);
@@ -221,7 +225,7 @@
     let mut rounds = |waits: [u32; 2]| {
         for _ in 0..8 {
             for (rank, member) in members.iter_mut().enumerate() {
-                look(member, rank, waits[rank], Fate::Committed, &mut table);
+                update_share(member, rank, waits[rank], Fate::Committed, &mut table);
             }
         }
         [0, 1].map(|n| members[n].allowed.amount())
--- a/tests/testsuite/requests/spill.rs
+++ b/tests/testsuite/requests/spill.rs
@@ -70,7 +70,7 @@
 /// The load balancer sends every caller to one of two daemons, whose floor has half of the worker's
 /// slots: the other requests are served from the other daemon's floor.
 #[actix_rt::test]
-async fn a_daemon_that_gets_all_callers_uses_the_others_room() {
+async fn a_daemon_that_gets_all_callers_uses_the_others_floor() {
     let site = EmbeddedSite::start(&["multan"], 2, 1).await;
     site.serve_entry(&entry("check", false, 3_000)).await;
     site.switch_workers(|switches| switches.request_ms = 400);
