--- a/tests/testsuite/daemon/index.rs
+++ b/tests/testsuite/daemon/index.rs
@@ -166,7 +166,7 @@
         }
     }
     let over_number = index.take_expired_jobs(Millis(0), 8, 100);
-    assert_eq!(over_number.len(), 2, "beyond the number");
+    assert_eq!(over_number.len(), 2, "more than the maximum");
     let some = index.take_expired_jobs(Millis(5_000), 8, 2);
     assert_eq!(some.len(), 2, "at most so many at a time");
     let rest = index.take_expired_jobs(Millis(5_000), 8, 100);
--- a/tests/testsuite/model/handover.rs
+++ b/tests/testsuite/model/handover.rs
@@ -289,7 +289,7 @@
         Search::Broken(path) => panic!("broken after {} steps: {path:#?}", path.len()),
     };
     println!(
-        "hand-over: {} states, {} steps",
+        "delegation: {} states, {} steps",
         graph.states.len(),
         graph.steps.len()
     );
--- a/tests/testsuite/policy/stories.rs
+++ b/tests/testsuite/policy/stories.rs
@@ -22,9 +22,9 @@
 }
 
 /// The reference: half load and no fault.
-fn baseline() -> &'static Received {
-    static BASELINE: OnceLock<Received> = OnceLock::new();
-    BASELINE.get_or_init(|| received(Pattern::Uncontended, Decisions::POLICY))
+fn reference() -> &'static Received {
+    static REFERENCE: OnceLock<Received> = OnceLock::new();
+    REFERENCE.get_or_init(|| received(Pattern::Uncontended, Decisions::POLICY))
 }
 
 fn p99(received: &Received) -> f64 {
@@ -36,7 +36,7 @@
 /// every answer comes too late.
 #[test]
 fn overload_serves_what_capacity_allows_and_quickly() {
-    let baseline = baseline();
+    let reference = reference();
     let full = received(Pattern::Overload, Decisions::POLICY);
     let open = received(Pattern::Overload, Decisions::NO_ADMISSION);
     let capacity = MWANGAZA.capacity(SHORT_RUN);
@@ -46,10 +46,10 @@
         full.goodput()
     );
     assert!(
-        p99(&full) <= 2.0 * p99(baseline),
+        p99(&full) <= 2.0 * p99(reference),
         "{} and {}",
         p99(&full),
-        p99(baseline)
+        p99(reference)
     );
     assert!(
         open.goodput() < 0.5 * capacity,
@@ -65,7 +65,7 @@
 /// time send far fewer requests.
 #[test]
 fn returning_callers_do_not_add_to_an_overload() {
-    let baseline = baseline();
+    let reference = reference();
     let obedient = received(Pattern::OverloadObedient, Decisions::POLICY);
     let impatient = received(Pattern::OverloadImpatient, Decisions::POLICY);
     let capacity = MWANGAZA.capacity(SHORT_RUN);
@@ -75,7 +75,7 @@
             "{}",
             received.goodput()
         );
-        assert!(p99(received) <= 2.0 * p99(baseline), "{}", p99(received));
+        assert!(p99(received) <= 2.0 * p99(reference), "{}", p99(received));
     }
     assert!(obedient.refused * 2 < impatient.refused);
 }
@@ -85,14 +85,14 @@
 /// In order of arrival the others are refused with it.
 #[test]
 fn a_hot_caller_does_not_slow_the_others() {
-    let baseline = baseline();
+    let reference = reference();
     let others = received(Pattern::HotCaller, Decisions::POLICY);
     let in_order = received(Pattern::HotCaller, Decisions::FIRST_IN);
     assert!(
-        p99(&others) < 1.1 * p99(baseline),
+        p99(&others) < 1.1 * p99(reference),
         "{} and {}",
         p99(&others),
-        p99(baseline)
+        p99(reference)
     );
     assert!(
         others.refused * 200 < others.sent,
@@ -100,7 +100,7 @@
         others.refused
     );
     assert!(
-        in_order.goodput() < 0.5 * baseline.goodput(),
+        in_order.goodput() < 0.5 * reference.goodput(),
         "the baseline has to show the fault"
     );
 }
@@ -110,17 +110,17 @@
 /// which sets the 99th percentile.
 #[test]
 fn a_slow_worker_is_avoided() {
-    let baseline = baseline();
+    let reference = reference();
     let slow = received(Pattern::OneSlow, Decisions::POLICY);
     let in_turn = received(Pattern::OneSlow, Decisions::ROUND_ROBIN);
     assert!(
-        p99(&slow) <= 1.3 * p99(baseline),
+        p99(&slow) <= 1.3 * p99(reference),
         "{} and {}",
         p99(&slow),
-        p99(baseline)
+        p99(reference)
     );
     assert!(
-        p99(&in_turn) > 1.5 * p99(baseline),
+        p99(&in_turn) > 1.5 * p99(reference),
         "the baseline has to show the fault"
     );
 }
@@ -129,10 +129,10 @@
 /// to it once these have been outstanding for many times their usual run time.
 #[test]
 fn a_hanging_worker_is_avoided() {
-    let baseline = baseline();
+    let reference = reference();
     let hanging = received(Pattern::OneHanging, Decisions::POLICY);
     let in_turn = received(Pattern::OneHanging, Decisions::ROUND_ROBIN);
-    assert!(p99(&hanging) <= 1.3 * p99(baseline), "{}", p99(&hanging));
+    assert!(p99(&hanging) <= 1.3 * p99(reference), "{}", p99(&hanging));
     assert!(
         hanging.unknown * 3 < in_turn.unknown,
         "{} and {}",
@@ -163,16 +163,16 @@
 /// ahead of them and wait only for the next free slot; batch requests get the remaining slots.
 #[test]
 fn batch_requests_wait_behind_latency_critical_ones() {
-    let baseline = baseline();
+    let reference = reference();
     let trial = Pattern::BatchBeside.trial(&MWANGAZA, LENGTH, SEED);
     let both = bench::run(&trial, Decisions::POLICY);
     let in_order = bench::run(&trial, Decisions::FIRST_IN);
     let capacity = MWANGAZA.capacity(SHORT_RUN);
-    assert!(p99(&both[0]) < 1.1 * p99(baseline), "{}", p99(&both[0]));
+    assert!(p99(&both[0]) < 1.1 * p99(reference), "{}", p99(&both[0]));
     assert_eq!(both[0].refused, 0);
     assert!(both[1].goodput() > 0.45 * capacity, "{}", both[1].goodput());
     assert!(
-        p99(&in_order[0]) > 2.0 * p99(baseline),
+        p99(&in_order[0]) > 2.0 * p99(reference),
         "the baseline has to show the fault"
     );
 }
@@ -197,15 +197,15 @@
 /// order of arrival the short ones wait behind them for half of their deadline.
 #[test]
 fn long_requests_do_not_hold_up_short_ones() {
-    let baseline = baseline();
+    let reference = reference();
     let trial = Pattern::LongAmongShort.trial(&MWANGAZA, LENGTH, SEED);
     let both = bench::run(&trial, Decisions::POLICY);
     let in_order = bench::run(&trial, Decisions::FIRST_IN);
     assert!(
-        p99(&both[0]) < 1.3 * p99(baseline),
+        p99(&both[0]) < 1.3 * p99(reference),
         "{} and {}",
         p99(&both[0]),
-        p99(baseline)
+        p99(reference)
     );
     assert!(
         both[0].refused * 100 < both[0].sent,
@@ -214,7 +214,7 @@
     );
     assert!(both[1].done > 0, "long requests are served too");
     assert!(
-        p99(&in_order[0]) > 3.0 * p99(baseline),
+        p99(&in_order[0]) > 3.0 * p99(reference),
         "the baseline has to show the fault"
     );
 }
--- a/tests/testsuite/properties/ledger.rs
+++ b/tests/testsuite/properties/ledger.rs
@@ -59,7 +59,7 @@
                 }
                 Event::Evicted { job, attempt } | Event::AttemptFailed { job, attempt } => {
                     let (attempts, is_placed) = placed.entry(job).or_default();
-                    prop_assert!(std::mem::replace(is_placed, false), "evicted without a place");
+                    prop_assert!(std::mem::replace(is_placed, false), "evicted without a placement");
                     prop_assert_eq!(attempt, Attempt(*attempts));
                 }
                 // Marked as placed, so that any later placement fails the assertion above.
--- a/tests/testsuite/properties/recovery.rs
+++ b/tests/testsuite/properties/recovery.rs
@@ -233,16 +233,16 @@
                         }
                         WriteFate::CrashBefore => writer = world.take_over(),
                         WriteFate::Late => {
-                            let overtaken = std::mem::replace(&mut writer, world.take_over());
-                            stale.push((overtaken, batch));
+                            let superseded = std::mem::replace(&mut writer, world.take_over());
+                            stale.push((superseded, batch));
                         }
                     }
                 }
                 Op::Snapshot(stage) => world.snapshot(&writer, stage),
                 Op::TakeOver => writer = world.take_over(),
             }
-            for (overtaken, batch) in &stale {
-                prop_assert!(!world.send(overtaken, batch), "an overtaken owner wrote");
+            for (superseded, batch) in &stale {
+                prop_assert!(!world.send(superseded, batch), "a superseded owner wrote");
                 prop_assert!(!world.reads_back(batch));
             }
             world.check()?;
--- a/tests/testsuite/requests/claims.rs
+++ b/tests/testsuite/requests/claims.rs
@@ -160,7 +160,10 @@
             assert_eq!(answer.body, "meter 7");
         }
     }
-    assert!((1..20).contains(&refused), "{refused} of 20 at home there");
+    assert!(
+        (1..20).contains(&refused),
+        "{refused} of 20 have their home there"
+    );
 }
 
 /// A check with a key runs and its answer is lost: the outcome stays unknown, and no repeat through
@@ -239,7 +242,7 @@
     site.daemons[0].process.kill();
     let _ = running.await;
     site.daemons[0] = crate::support::process::DaemonProcess::start(plan);
-    let end = wait::until_some("the claim is over", LIMIT, async || {
+    let end = wait::until_some("the claim has ended", LIMIT, async || {
         let end = ask(1, "check-5").await.ok()?;
         (end.outcome() != "refused").then_some(end)
     })
--- a/tests/testsuite/requests/outcomes.rs
+++ b/tests/testsuite/requests/outcomes.rs
@@ -44,7 +44,7 @@
                 "done" => {
                     assert_eq!(
                         answer.body, body,
-                        "another caller's answer, or not the whole"
+                        "another caller's answer, or an incomplete one"
                     );
                     tally.done += 1;
                 }
@@ -281,7 +281,7 @@
     );
     site.daemons[0].request_stop();
     site.daemons[0].ended().await;
-    assert_eq!(site.workers[0].worker.running_requests(), 0, "it is over");
+    assert_eq!(site.workers[0].worker.running_requests(), 0, "it has ended");
 }
 
 /// Guards against daemons that run out of memory by bodies that are refused later: a caller that
