--- a/tests/testsuite/model/catalogue.rs
+++ b/tests/testsuite/model/catalogue.rs
@@ -85,7 +85,7 @@
 
 #[derive(Clone, Copy, Debug)]
 enum Step {
-    Look { operator: usize, daemon: usize },
+    Read { operator: usize, daemon: usize },
     Send(usize),
     TakeEffect { operator: usize, answered: bool },
     GiveUpOnAnswer(usize),
@@ -166,7 +166,7 @@
 
     fn take(&self, s: &mut State, step: Step) -> Option<()> {
         match step {
-            Step::Look { operator, daemon } => {
+            Step::Read { operator, daemon } => {
                 let seen = s.daemons[daemon];
                 let operator = &mut s.operators[operator];
                 if !seen.is_ready || operator.seen.is_some() {
@@ -271,14 +271,14 @@
 
 fn steps() -> impl Iterator<Item = Step> {
     let of_operator = |operator: usize| {
-        let looks = PAIR.map(|daemon| Step::Look { operator, daemon });
+        let reads = PAIR.map(|daemon| Step::Read { operator, daemon });
         let effects = [true, false].map(|answered| Step::TakeEffect { operator, answered });
         let rest = [
             Step::Send(operator),
             Step::GiveUpOnAnswer(operator),
             Step::LateTakesEffect(operator),
         ];
-        looks.into_iter().chain(effects).chain(rest)
+        reads.into_iter().chain(effects).chain(rest)
     };
     let of_daemon = |daemon: usize| {
         [
--- a/tests/testsuite/policy/queueing.rs
+++ b/tests/testsuite/policy/queueing.rs
@@ -199,7 +199,7 @@
 /// Guards against one caller that fills an entry's queue and shuts the others out: the first
 /// request of another caller displaces the last one of the hot caller, which is refused at once.
 #[test]
-fn a_hot_caller_does_not_displace_others() {
+fn a_hot_caller_does_not_shut_others_out() {
     let mut queue = queue_filled_by_one_caller();
     let light = Item {
         max_waiting: 4,
--- a/tests/testsuite/properties/recovery.rs
+++ b/tests/testsuite/properties/recovery.rs
@@ -22,7 +22,7 @@
 
 /// What happens to a write.
 #[derive(Clone, Copy, Debug)]
-enum WriteFate {
+enum WriteOutcome {
     Answered,
     /// It takes effect; the writer reads its row back.
     AnswerLost,
@@ -44,18 +44,18 @@
 
 #[derive(Clone, Debug)]
 enum Op {
-    Write(Vec<Seed>, WriteFate),
+    Write(Vec<Seed>, WriteOutcome),
     Snapshot(Stage),
     TakeOver,
 }
 
 fn op() -> impl Strategy<Value = Op> {
-    let fate = prop_oneof![
-        4 => Just(WriteFate::Answered),
-        2 => Just(WriteFate::AnswerLost),
-        1 => Just(WriteFate::CrashAfter),
-        1 => Just(WriteFate::CrashBefore),
-        1 => Just(WriteFate::Late),
+    let outcome = prop_oneof![
+        4 => Just(WriteOutcome::Answered),
+        2 => Just(WriteOutcome::AnswerLost),
+        1 => Just(WriteOutcome::CrashAfter),
+        1 => Just(WriteOutcome::CrashBefore),
+        1 => Just(WriteOutcome::Late),
     ];
     let stage = prop_oneof![
         Just(Stage::ObjectOnly),
@@ -64,7 +64,7 @@
         Just(Stage::AllRowsDeleted),
     ];
     prop_oneof![
-        8 => (vec(seed(), 1..5), fate).prop_map(|(seeds, fate)| Op::Write(seeds, fate)),
+        8 => (vec(seed(), 1..5), outcome).prop_map(|(seeds, outcome)| Op::Write(seeds, outcome)),
         2 => stage.prop_map(Op::Snapshot),
         1 => Just(Op::TakeOver),
     ]
@@ -213,26 +213,26 @@
         let mut stale: Vec<(Writer, Batch)> = Vec::new();
         for op in ops {
             match op {
-                Op::Write(seeds, fate) => {
+                Op::Write(seeds, outcome) => {
                     let batch = world.next_batch(&writer, &seeds);
-                    match fate {
-                        WriteFate::Answered => {
+                    match outcome {
+                        WriteOutcome::Answered => {
                             prop_assert!(world.send(&writer, &batch));
                             world.acknowledge(&mut writer, &batch);
                         }
-                        WriteFate::AnswerLost => {
+                        WriteOutcome::AnswerLost => {
                             world.send(&writer, &batch);
                             // Tried again: the conflict is resolved by reading the row back.
                             prop_assert!(!world.send(&writer, &batch));
                             prop_assert!(world.reads_back(&batch));
                             world.acknowledge(&mut writer, &batch);
                         }
-                        WriteFate::CrashAfter => {
+                        WriteOutcome::CrashAfter => {
                             world.send(&writer, &batch);
                             writer = world.take_over();
                         }
-                        WriteFate::CrashBefore => writer = world.take_over(),
-                        WriteFate::Late => {
+                        WriteOutcome::CrashBefore => writer = world.take_over(),
+                        WriteOutcome::Late => {
                             let superseded = std::mem::replace(&mut writer, world.take_over());
                             stale.push((superseded, batch));
                         }
--- a/tests/testsuite/requests/shares.rs
+++ b/tests/testsuite/requests/shares.rs
@@ -80,7 +80,7 @@
 
 /// What happens to a write that a party sends.
 #[derive(Clone, Copy, Debug)]
-enum Fate {
+enum WriteOutcome {
     Committed,
     Lost,
     LostAfterEffect,
@@ -93,22 +93,22 @@
     Start(usize),
     Finish(usize),
     /// A party reads the row and writes its update.
-    Look(usize, Fate, u32),
+    Look(usize, WriteOutcome, u32),
     /// Late writes arrive.
     Arrive,
 }
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
-    let fate = prop_oneof![
-        4 => Just(Fate::Committed),
-        1 => Just(Fate::Lost),
-        1 => Just(Fate::LostAfterEffect),
-        2 => Just(Fate::Late),
+    let outcome = prop_oneof![
+        4 => Just(WriteOutcome::Committed),
+        1 => Just(WriteOutcome::Lost),
+        1 => Just(WriteOutcome::LostAfterEffect),
+        2 => Just(WriteOutcome::Late),
     ];
     let step = prop_oneof![
         4 => (0..3_usize).prop_map(Step::Start),
         3 => (0..3_usize).prop_map(Step::Finish),
-        4 => (0..3_usize, fate, 0..12_u32).prop_map(|(p, fate, waits)| Step::Look(p, fate, waits)),
+        4 => (0..3_usize, outcome, 0..12_u32).prop_map(|(p, outcome, waits)| Step::Look(p, outcome, waits)),
         1 => Just(Step::Arrive),
     ];
     prop::collection::vec(step, 1..120)
@@ -154,7 +154,13 @@
     }
 }
 
-fn update_share(member: &mut Member, rank: usize, waits: u32, fate: Fate, table: &mut Table) {
+fn update_share(
+    member: &mut Member,
+    rank: usize,
+    waits: u32,
+    outcome: WriteOutcome,
+    table: &mut Table,
+) {
     let in_row = table.row.part(&member.party).map_or(0, |part| part.amount);
     member.allowed.after_read(in_row);
     let next = table.row.looked_at(&Look {
@@ -169,16 +175,16 @@
     });
     let amount = next.part(&member.party).map_or(0, |part| part.amount);
     member.allowed.before_write(amount);
-    match fate {
-        Fate::Committed => {
+    match outcome {
+        WriteOutcome::Committed => {
             assert!(table.write(table.version, next));
             member.allowed.after_write(amount);
         }
-        Fate::Lost => {}
-        Fate::LostAfterEffect => {
+        WriteOutcome::Lost => {}
+        WriteOutcome::LostAfterEffect => {
             table.write(table.version, next);
         }
-        Fate::Late => table.late.push((table.version, next)),
+        WriteOutcome::Late => table.late.push((table.version, next)),
     }
 }
 
@@ -198,7 +204,7 @@
                     members[p].running += 1;
                 }
                 Step::Finish(p) => members[p].running = members[p].running.saturating_sub(1),
-                Step::Look(p, fate, waits) => update_share(&mut members[p], p, waits, fate, &mut table),
+                Step::Look(p, outcome, waits) => update_share(&mut members[p], p, waits, outcome, &mut table),
                 Step::Arrive => {
                     for (version, row) in std::mem::take(&mut table.late) {
                         table.write(version, row);
@@ -225,7 +231,13 @@
     let mut rounds = |waits: [u32; 2]| {
         for _ in 0..8 {
             for (rank, member) in members.iter_mut().enumerate() {
-                update_share(member, rank, waits[rank], Fate::Committed, &mut table);
+                update_share(
+                    member,
+                    rank,
+                    waits[rank],
+                    WriteOutcome::Committed,
+                    &mut table,
+                );
             }
         }
         [0, 1].map(|n| members[n].allowed.amount())
