--- a/tests/testsuite/main.rs
+++ b/tests/testsuite/main.rs
@@ -1,4 +1,4 @@
-//! The one test binary: a module a subject.
+//! The integration tests: one binary, with a module for each subject.
 
 mod attribution;
 mod bad_input;
--- a/tests/testsuite/model/handover.rs
+++ b/tests/testsuite/model/handover.rs
@@ -1,8 +1,9 @@
-//! The hand-over of a long-running task between two shards, searched whole over the real ledgers.
+//! The delegation of a long-running task from one shard to another, explored exhaustively over the
+//! real ledgers.
 //!
-//! Each shard is its journaled state, so the end of an owner between any two writes is covered: what a successor has is
-//! the ledger. A call that was sent may arrive at any later time, once more after it was answered, and its answer
-//! may be lost.
+//! The state of a shard is what its journal holds, so the end of an owner between any two writes is
+//! covered. A call may arrive at any later time and again after it was answered, and its answer may
+//! be lost.
 
 use super::explore::{Search, explore};
 use crate::sched::world::{step, terms};
@@ -21,21 +22,21 @@
     step: 0,
     index: 0,
 };
-/// Runs after which nothing is placed any more, to bound the search.
-const MOST_RUNS: u32 = 3;
+/// Runs after which the task is not placed again; bounds the search.
+const MAX_RUNS: u32 = 3;
 
-/// A safeguard that the specification leaves out.
+/// A safeguard that a specification leaves out, to show that it is needed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Without {
-    /// The other shard is asked before the decision is in the journal.
+    /// Without: the decision is in the journal before the other shard is called.
     JournalFirst,
-    /// A call that brings an end doesn't bring the tasks.
+    /// Without: a call that ends the job also names its tasks.
     TasksWithEnd,
-    /// A repeated hand-over takes what the job's end took off.
+    /// Without: a repeated delegation does not revive a job that has ended.
     Tombstone,
 }
 
-/// A call of the first shard to the second.
+/// A call from the first shard to the second.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 enum Call {
     Adopt { last_run: u32 },
@@ -44,23 +45,23 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
-    /// The journaled state of both shards, in text form.
+    /// The journaled state of both shards as JSON.
     ledgers: [String; 2],
-    /// Calls that may arrive yet.
+    /// Calls that may still arrive.
     calls: BTreeSet<Call>,
-    /// Whether the job's end was confirmed by the second shard.
+    /// Whether the second shard has confirmed the end of the job.
     is_end_confirmed: bool,
 }
 
-/// A step and the state after it.
+/// The name of a step, and the state after it.
 type Step = (String, State);
 
 fn spec() -> Rc<JobSpec> {
-    let mut lasting = step(1, 600_000, &[]);
-    lasting.is_long_running = true;
+    let mut long_running = step(1, 600_000, &[]);
+    long_running.is_long_running = true;
     let raw = RawJob {
         payload: "work".to_owned(),
-        steps: vec![lasting],
+        steps: vec![long_running],
         schedule: None,
     };
     Rc::new(JobSpec::try_from(raw).expect("a good job"))
@@ -91,7 +92,7 @@
         serde_json::from_str(&self.ledgers[shard]).expect("it is read back")
     }
 
-    /// The state after events in one shard's journal; none if the first doesn't fit.
+    /// The state after events in the journal of one shard, or `None` if the first is invalid.
     fn after(&self, shard: usize, events: &[Event]) -> Option<Self> {
         let mut ledger = self.ledger(shard);
         for (at, event) in events.iter().enumerate() {
@@ -175,9 +176,9 @@
         next.extend(self.send(state));
         for call in &state.calls {
             next.push((format!("arrive {call:?}"), self.arrive(state, *call)));
-            let mut vanished = state.clone();
-            vanished.calls.remove(call);
-            next.push((format!("vanish {call:?}"), vanished));
+            let mut dropped = state.clone();
+            dropped.calls.remove(call);
+            next.push((format!("vanish {call:?}"), dropped));
         }
         next
     }
@@ -198,12 +199,13 @@
         Some((format!("send {call:?}"), sent))
     }
 
-    /// A call is done once it arrives, or arrives again later; a confirmed end is one whose answer was heard.
+    /// Applies a call, which may arrive again later. The end counts as confirmed once such a call
+    /// has arrived.
     fn arrive(&self, state: &State, call: Call) -> State {
         let arrived = match call {
             Call::Adopt { last_run } if self.lacks(Without::Tombstone) => {
-                let is_over = state.phase(1) == Some(Phase::Cancelled);
-                let forgotten = is_over.then(|| state.after(1, &[Event::Forgotten { job: JOB }]));
+                let has_ended = state.phase(1) == Some(Phase::Cancelled);
+                let forgotten = has_ended.then(|| state.after(1, &[Event::Forgotten { job: JOB }]));
                 let base = forgotten.flatten().unwrap_or_else(|| state.clone());
                 base.after(1, &[adopted(last_run)])
             }
@@ -223,7 +225,7 @@
 
 fn place(state: &State, shard: usize) -> Option<Step> {
     let last = state.last_run(shard);
-    if last.0 >= MOST_RUNS {
+    if last.0 >= MAX_RUNS {
         return None;
     }
     let run = RunId {
@@ -252,42 +254,42 @@
     Some((format!("lose {shard}"), after))
 }
 
-/// A job is forgotten minutes after its end: no call of before is under way any more, and the first shard doesn't forget
-/// what the second has not confirmed.
+/// A job is forgotten minutes after its end: no earlier call is in flight then, and the first shard
+/// keeps a delegated job until the second has confirmed its end.
 fn forget(state: &State, shard: usize) -> Option<Step> {
-    let is_over = state
+    let has_ended = state
         .phase(shard)
         .is_some_and(|phase| phase != Phase::Active);
     let is_settled = state.is_end_confirmed || (shard == 0 && !state.is_delegated());
-    if !is_over || !is_settled || !state.calls.is_empty() || state.is_alive(shard) {
+    if !has_ended || !is_settled || !state.calls.is_empty() || state.is_alive(shard) {
         return None;
     }
     let forgotten = state.after(shard, &[Event::Forgotten { job: JOB }])?;
     Some((format!("forget {shard}"), forgotten))
 }
 
-/// Two shards run the task, or it can be started after its job's end was confirmed.
+/// Both shards run the task, or the job is active again after its end was confirmed.
 fn is_broken(state: &State) -> bool {
     let both = state.is_alive(0) && state.is_alive(1);
     let revived = state.is_end_confirmed && state.phase(1) == Some(Phase::Active);
     both || revived
 }
 
-/// The job is over everywhere, and every shard knows.
+/// The job has ended in both shards, and the first knows so.
 fn is_settled(state: &State) -> bool {
-    let over = |shard| state.phase(shard) != Some(Phase::Active);
-    over(0) && over(1) && (state.is_end_confirmed || !state.is_delegated())
+    let has_ended_in = |shard| state.phase(shard) != Some(Phase::Active);
+    has_ended_in(0) && has_ended_in(1) && (state.is_end_confirmed || !state.is_delegated())
 }
 
 #[test]
-fn a_handed_over_task_has_one_shard_and_ends_with_its_job() {
+fn a_delegated_task_has_one_shard_and_ends_with_its_job() {
     let spec = Spec { without: None };
     let graph = match explore(start(), |s| spec.next(s), is_broken) {
         Search::Whole(graph) => graph,
         Search::Broken(path) => panic!("broken after {} steps: {path:#?}", path.len()),
     };
     println!(
-        "hand-over: {} states, {} steps",
+        "delegation: {} states, {} steps",
         graph.states.len(),
         graph.steps.len()
     );
@@ -297,7 +299,7 @@
 }
 
 #[test]
-fn each_safeguard_of_the_hand_over_is_needed() {
+fn each_safeguard_of_the_delegation_is_needed() {
     for without in [
         Without::JournalFirst,
         Without::TasksWithEnd,
--- a/tests/testsuite/model/ownership/mod.rs
+++ b/tests/testsuite/model/ownership/mod.rs
@@ -1,8 +1,8 @@
 //! Shard ownership, task leases and resumption: two daemons, two workers, one task, one table.
 //!
-//! The users' worst case: an artist's livestream runs on a worker that only the old owner can reach,
-//! and a new owner has taken the shard. Whatever is paused, lost, late or dead, in whatever order,
-//! no second copy may start, and the work must be able to finish in the end.
+//! Guards against a second copy of a task when a new owner takes the shard while the task runs on a
+//! worker that only the old owner can reach. With any order of pauses, losses, delays and deaths,
+//! no second copy starts and the job can still finish.
 
 mod spec;
 mod state;
@@ -11,30 +11,30 @@
 use spec::{Spec, Without};
 use state::{Phase, State};
 
-/// More than one copy runs, or one that the ledger does not place where it runs. The second covers
-/// three properties: what runs on a worker is committed there, an evicted attempt never runs on, and
-/// a finished job never runs again.
+/// More than one copy runs, or one runs where the ledger does not place it. The latter covers three
+/// properties: what runs on a worker is committed there, an evicted attempt does not run on, and a
+/// finished job does not run again.
 fn is_broken(s: &State) -> bool {
     let running = s.hosts.iter().filter(|host| host.is_running()).count();
-    let strays = s.hosts.iter().zip(state::PAIR).any(|(host, at)| {
-        let is_here = matches!((s.book.phase, host.copy), (Phase::Placed { worker, attempt, .. }, Some(copy))
+    let misplaced = s.hosts.iter().zip(state::PAIR).any(|(host, at)| {
+        let is_here = matches!((s.task_ledger.phase, host.copy), (Phase::Placed { worker, attempt, .. }, Some(copy))
             if worker == at && attempt == copy.attempt);
         host.is_running() && !is_here
     });
-    running > 1 || strays
+    running > 1 || misplaced
 }
 
-fn doubled(s: &State) -> bool {
+fn both_run(s: &State) -> bool {
     s.hosts.iter().all(|host| host.is_running())
 }
 
-/// Searches everything and shows that nothing is broken and that the job can always be finished.
-fn search_whole(spec: &Spec) {
+/// Explores every state: none violates safety, and from each the job can finish.
+fn search_all(spec: &Spec) {
     let graph = match explore(State::start(), |s| spec.next(s), is_broken) {
         Search::Whole(graph) => graph,
         Search::Broken(path) => panic!("broken after {} steps: {path:#?}", path.len()),
     };
-    let is_done = |s: &State| s.book.phase == Phase::Done;
+    let is_done = |s: &State| s.task_ledger.phase == Phase::Done;
     println!(
         "ownership, late answers {}, deaths {}: {} states, {} steps, {} with a copy running, {} with a late command",
         spec.late_answers,
@@ -53,7 +53,7 @@
 
 #[test]
 fn no_order_of_faults_doubles_a_task_or_keeps_it_from_finishing() {
-    search_whole(&Spec {
+    search_all(&Spec {
         without: None,
         late_answers: false,
         deaths: true,
@@ -62,21 +62,21 @@
 
 #[test]
 fn no_late_answer_doubles_a_task_or_keeps_it_from_finishing() {
-    search_whole(&Spec {
+    search_all(&Spec {
         without: None,
         late_answers: true,
         deaths: false,
     });
 }
 
-/// Shows that the search finds what a safeguard is there for.
+/// Asserts that without a safeguard the search finds two running copies.
 fn counterexample(without: Without) {
     let spec = Spec {
         without: Some(without),
         late_answers: without == Without::LeaseFromSend,
         deaths: false,
     };
-    match explore(State::start(), |s| spec.next(s), doubled) {
+    match explore(State::start(), |s| spec.next(s), both_run) {
         Search::Whole(graph) => panic!("{without:?}: none in {} states", graph.states.len()),
         Search::Broken(path) => {
             println!(
--- a/tests/testsuite/model/ownership/spec.rs
+++ b/tests/testsuite/model/ownership/spec.rs
@@ -1,12 +1,13 @@
-//! What may happen next. Each step does what the daemon's loops do, through the same functions.
+//! The possible steps. Each does what the daemon's loops do, through the same functions.
 //!
-//! A pause is a daemon that takes no step; a cut is a message that is lost; both need no step of
-//! their own. A daemon's decision and the send that follows it are one step, as they are in the code
-//! (nothing is awaited between), but for a committed placement, whose start is a step of its own.
+//! A paused daemon is one that takes no step, and a network cut is a sequence of lost messages, so
+//! neither has a step of its own. A daemon's decision and the send that follows are one step, as
+//! the code awaits nothing between them. The exception is a committed placement, whose start is a
+//! separate step.
 
 use super::state::{
-    self, Book, HOLD, Host, Message, NOW, Owner, Ownership, PAIR, PLAN, Phase, Ran, Run, State,
-    TASK_LEASE, holder, job_id, millis, span, start_task, terms, to_u8,
+    self, HOLD, Host, Message, NOW, Owner, Ownership, PAIR, PLAN, Phase, Ran, Run, State,
+    TASK_LEASE, TaskLedger, holder, job_id, millis, span, start_task, terms, to_u8,
 };
 use lapisdrum::{
     core::{
@@ -22,33 +23,32 @@
     worker::wire::{RejectReason, RenewTasks},
 };
 
-/// A safeguard that the specification leaves out.
+/// A safeguard that a specification leaves out, to show that it is needed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Without {
-    /// The worker takes commands of any epoch.
+    /// Without: a worker refuses commands of an older epoch.
     EpochCheck,
-    /// A command runs for its whole lease from its arrival.
+    /// Without: a command names the end of its lease. The lease then starts at its arrival.
     CommandEnd,
-    /// A successor doesn't wait out the hold.
+    /// Without: a successor waits for the hold time.
     HoldWait,
-    /// An owner counts its lease from the answer to its renewal.
+    /// Without: an owner counts its lease from sending the renewal. It then counts from the answer.
     LeaseFromSend,
-    /// A worker that is silent counts as dead.
+    /// Without: a silent worker is not taken for dead.
     DeathEvidence,
 }
 
-/// How far a command and its answer get.
+/// What happens to a command and its answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Reach {
+pub(super) enum Delivery {
     Answered,
     AnswerLost,
-    /// Under way; see [`Step::LateArrives`].
+    /// In flight; see [`Step::LateArrives`].
     Late,
 }
 
-const REACHES: [Reach; 3] = [Reach::Answered, Reach::AnswerLost, Reach::Late];
+const DELIVERIES: [Delivery; 3] = [Delivery::Answered, Delivery::AnswerLost, Delivery::Late];
 
-/// One step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Step {
     Tick,
@@ -60,16 +60,16 @@
     RenewAnswered(u8),
     RenewAnswerLost(u8),
     ReadRowBack(u8),
-    Begin(u8),
+    StartServing(u8),
     Claim {
         daemon: u8,
         worker: u8,
         answered: bool,
     },
-    Visit {
+    Poll {
         daemon: u8,
         worker: u8,
-        reach: Reach,
+        delivery: Delivery,
     },
     Place {
         daemon: u8,
@@ -77,7 +77,7 @@
     },
     Start {
         daemon: u8,
-        reach: Reach,
+        delivery: Delivery,
     },
     LateArrives,
     LateVanishes,
@@ -95,11 +95,11 @@
     HostDies(u8),
 }
 
-/// The specification, whole or without one safeguard.
+/// The specification, complete or without one safeguard.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Spec {
     pub(super) without: Option<Without>,
-    /// Whether answers to renewals of the row may come late, and not only at once or never.
+    /// Whether answers to renewals of the shard's row may also come late.
     pub(super) late_answers: bool,
     /// Whether daemons and hosts die.
     pub(super) deaths: bool,
@@ -110,7 +110,7 @@
         self.without == Some(safeguard)
     }
 
-    /// Every step that is possible, with the state after it.
+    /// Every possible step, with the state after it.
     pub(super) fn next(&self, before: &State) -> Vec<(Step, State)> {
         let mut out = Vec::new();
         for step in steps() {
@@ -126,7 +126,7 @@
         out
     }
 
-    /// Takes a step; none when it is not possible.
+    /// Takes a step, or returns `None` if it is not possible.
     fn take(&self, s: &mut State, step: Step) -> Option<()> {
         match step {
             Step::Tick => tick(s),
@@ -141,19 +141,19 @@
             Step::RenewAnswered(d) => self.renew_answered(s, d),
             Step::RenewAnswerLost(d) => own_mut(s, d)?.awaiting.take().map(|_| ()),
             Step::ReadRowBack(d) => read_row_back(s, d),
-            Step::Begin(d) => begin(s, d),
+            Step::StartServing(d) => start_serving(s, d),
             Step::Claim {
                 daemon,
                 worker,
                 answered,
             } => self.claim(s, daemon, worker, answered),
-            Step::Visit {
+            Step::Poll {
                 daemon,
                 worker,
-                reach,
-            } => self.visit(s, daemon, worker, reach),
+                delivery,
+            } => self.poll(s, daemon, worker, delivery),
             Step::Place { daemon, worker } => self.place(s, daemon, worker),
-            Step::Start { daemon, reach } => self.start(s, daemon, reach),
+            Step::Start { daemon, delivery } => self.start(s, daemon, delivery),
             Step::LateArrives => {
                 let message = s.late.take()?;
                 let _ = self.deliver(s, message);
@@ -199,8 +199,8 @@
         Some(())
     }
 
-    /// A renewal of everything placed on a worker, answered with what is there.
-    fn visit(&self, s: &mut State, d: u8, w: u8, reach: Reach) -> Option<()> {
+    /// Renews everything placed on a worker; the answer lists the tasks there.
+    fn poll(&self, s: &mut State, d: u8, w: u8, delivery: Delivery) -> Option<()> {
         let own = serving(s, d)?;
         if !is_claimed(s, &own, w) || !s.hosts[at(w)].alive {
             return None;
@@ -219,11 +219,11 @@
             until: renewed.unwrap_or(NOW),
             start: None,
         };
-        if reach == Reach::Late {
+        if delivery == Delivery::Late {
             return renewed.and_then(|_| delay(s, message));
         }
         let accepted = self.deliver(s, message).is_ok();
-        if accepted && reach == Reach::Answered {
+        if accepted && delivery == Delivery::Answered {
             reconcile(s, d, w);
         }
         Some(())
@@ -244,7 +244,7 @@
         Some(())
     }
 
-    fn start(&self, s: &mut State, d: u8, reach: Reach) -> Option<()> {
+    fn start(&self, s: &mut State, d: u8, delivery: Delivery) -> Option<()> {
         let own = s.daemons[at(d)].own.filter(|own| own.serving)?;
         let attempt = own.to_start?;
         let worker = match s.view(&own).phase {
@@ -273,14 +273,14 @@
             until,
             start: Some(attempt),
         };
-        if reach == Reach::Late {
+        if delivery == Delivery::Late {
             return delay(s, message);
         }
         if !s.hosts[at(worker)].alive {
             return Some(());
         }
         let answer = self.deliver(s, message);
-        if reach == Reach::Answered {
+        if delivery == Delivery::Answered {
             match answer {
                 Ok(()) => own_mut(s, d)?.started[at(worker)] = Some(attempt),
                 Err(_) => {
@@ -291,7 +291,7 @@
         Some(())
     }
 
-    /// A command arrives at its worker.
+    /// Delivers a command to its worker.
     fn deliver(&self, s: &mut State, message: Message) -> Result<(), RejectReason> {
         let host = &mut s.hosts[at(message.worker)];
         if !host.alive {
@@ -323,21 +323,21 @@
     fn on_worker<T>(
         &self,
         host: &mut Host,
-        act: impl FnOnce(&mut lapisdrum_standins::worker::tasks::Tasks) -> T,
+        action: impl FnOnce(&mut lapisdrum_standins::worker::tasks::Tasks) -> T,
     ) -> T {
         let lacks_check = self.lacks(Without::EpochCheck);
         host.with(|tasks| {
             if lacks_check {
                 tasks.epoch = Epoch::default();
             }
-            act(tasks)
+            action(tasks)
         })
     }
 
-    /// The visit's answer stays out: what is known decides.
+    /// Evicts the task of an unanswered worker if the known evidence allows it.
     fn give_up_silent(&self, s: &mut State, d: u8) -> Option<()> {
         let own = serving(s, d)?;
-        let (worker, epoch, attempt) = judged(s, &own)?;
+        let (worker, epoch, attempt) = resolved_placement(s, &own)?;
         let evidence = Evidence {
             worker: match self.lacks(Without::DeathEvidence) {
                 true => WorkerEvidence::Stopped,
@@ -367,7 +367,7 @@
         for owner in suspects.map(Owner::from_record) {
             match owner.run {
                 Run::Released => {}
-                Run::Replaced => latest = latest.max(s.daemons[at(owner.daemon)].began),
+                Run::Replaced => latest = latest.max(s.daemons[at(owner.daemon)].started_at),
                 Run::Present | Run::Dead => return EarlierOwners::Unaccounted,
             }
         }
@@ -391,14 +391,14 @@
 
 fn steps() -> impl Iterator<Item = Step> {
     let both = [true, false];
-    let alone = [Step::Tick, Step::LateArrives, Step::LateVanishes].into_iter();
+    let global = [Step::Tick, Step::LateArrives, Step::LateVanishes].into_iter();
     let daemons = PAIR.into_iter().flat_map(move |daemon| {
         let plain = [
             Step::RenewRow(daemon),
             Step::RenewAnswered(daemon),
             Step::RenewAnswerLost(daemon),
             Step::ReadRowBack(daemon),
-            Step::Begin(daemon),
+            Step::StartServing(daemon),
             Step::GiveUpSilent(daemon),
             Step::GiveUpHost(daemon),
             Step::StopTask(daemon),
@@ -408,26 +408,26 @@
         ];
         let takes = both.map(|answered| Step::Take { daemon, answered });
         let releases = both.map(|answered| Step::Release { daemon, answered });
-        let starts = REACHES.map(|reach| Step::Start { daemon, reach });
+        let starts = DELIVERIES.map(|delivery| Step::Start { daemon, delivery });
         let with_workers = PAIR.into_iter().flat_map(move |worker| {
             let claims = both.map(|answered| Step::Claim {
                 daemon,
                 worker,
                 answered,
             });
-            let visits = REACHES.map(|reach| Step::Visit {
+            let polls = DELIVERIES.map(|delivery| Step::Poll {
                 daemon,
                 worker,
-                reach,
+                delivery,
             });
             let place = Step::Place { daemon, worker };
-            claims.into_iter().chain(visits).chain([place])
+            claims.into_iter().chain(polls).chain([place])
         });
         let plain = plain.into_iter().chain(takes).chain(releases);
         plain.chain(starts).chain(with_workers)
     });
     let workers = PAIR.map(|worker| [Step::Finish(worker), Step::HostDies(worker)]);
-    alone.chain(daemons).chain(workers.into_iter().flatten())
+    global.chain(daemons).chain(workers.into_iter().flatten())
 }
 
 fn at(index: u8) -> usize {
@@ -438,7 +438,7 @@
     s.daemons[at(d)].own.as_mut()
 }
 
-/// An owner that has begun and not ended.
+/// The ownership of a daemon that serves and has not ended.
 fn serving(s: &State, d: u8) -> Option<Ownership> {
     s.daemons[at(d)].own.filter(|own| own.serving && !own.ended)
 }
@@ -458,7 +458,8 @@
     Some(())
 }
 
-/// Every daemon sees a row once it is written: seeing it later would only make a take-over later.
+/// Every daemon sees the row as soon as it is written: seeing it later would only delay a take-
+/// over.
 fn row_changed(s: &mut State) {
     for daemon in &mut s.daemons {
         let before = Sighting {
@@ -470,8 +471,8 @@
     }
 }
 
-/// Whether a worker has accepted an owner's epoch. A claim whose answer was lost counts as well: the
-/// next one would be answered in no time.
+/// Whether a worker has accepted an owner's epoch. A claim whose answer was lost also counts, as a
+/// repeat would be answered without delay.
 fn is_claimed(s: &State, own: &Ownership, w: u8) -> bool {
     s.hosts[at(w)].alive && s.hosts[at(w)].epoch >= own.epoch
 }
@@ -493,10 +494,10 @@
     s.row.epoch = to_u8(taken.epoch.0);
     s.row.is_held = taken.holder.is_some();
     row_changed(s);
-    let book = s.book;
+    let task_ledger = s.task_ledger;
     let owns = s.daemons.iter_mut().filter_map(|other| other.own.as_mut());
     for own in owns {
-        own.view.get_or_insert(book);
+        own.view.get_or_insert(task_ledger);
     }
     if answered {
         s.daemons[at(d)].own = Some(Ownership {
@@ -509,7 +510,8 @@
     Some(())
 }
 
-/// The renewal takes effect at once; its answer is a step of its own, so it may come any time later.
+/// The renewal takes effect at once; its answer is a separate step, so it may come at any later
+/// time.
 fn renew_row(s: &mut State, d: u8) -> Option<()> {
     let own = s.daemons[at(d)].own.filter(|own| !own.ended)?;
     if !is_holder(s, &own) || own.awaiting.is_some() {
@@ -529,24 +531,25 @@
     Some(())
 }
 
-/// Whether the row still is the one that this owner took. A renewal whose answer was lost leaves a
-/// version that the owner doesn't know; it reads the row back and goes on, which takes no step here.
+/// Whether the row is still the one that this owner took. After a renewal whose answer was lost the
+/// owner does not know the row's version; it reads the row back and continues, which needs no step
+/// here.
 fn is_holder(s: &State, own: &Ownership) -> bool {
     own.epoch == s.row.epoch && s.row.is_held
 }
 
-/// Writes an event under the epoch; none when it is not written.
+/// Writes an event under the owner's epoch, or returns `None` if it cannot be written.
 fn commit(s: &mut State, d: u8, event: &Event) -> Option<()> {
     let own = s.daemons[at(d)].own?;
     if own.epoch != s.row.epoch || !own.tenure().may_act(millis(NOW), &terms()) {
         return None;
     }
-    s.book = s.book.apply(event)?;
+    s.task_ledger = s.task_ledger.apply(event)?;
     Some(())
 }
 
-/// Recovery and the owner's first event.
-fn begin(s: &mut State, d: u8) -> Option<()> {
+/// Recovers the ledger and writes the owner's first event.
+fn start_serving(s: &mut State, d: u8) -> Option<()> {
     let own = s.daemons[at(d)].own.filter(|own| !own.serving)?;
     let began = Event::OwnerBegan {
         epoch: Epoch(own.epoch.into()),
@@ -578,9 +581,8 @@
     Some(())
 }
 
-/// The placement that a worker's answer, or its silence, may be judged by: its start is not under
-/// way any more.
-fn judged(s: &State, own: &Ownership) -> Option<(u8, u8, u8)> {
+/// The placement to which a worker's answer or silence applies: its start is no longer in flight.
+fn resolved_placement(s: &State, own: &Ownership) -> Option<(u8, u8, u8)> {
     let Phase::Placed {
         worker,
         epoch,
@@ -589,13 +591,13 @@
     else {
         return None;
     };
-    let is_settled = epoch < own.epoch
+    let is_start_resolved = epoch < own.epoch
         || own.started[at(worker)] == Some(attempt)
         || own.lease_ends[at(worker)].is_some_and(|end| end < NOW);
-    is_settled.then_some((worker, epoch, attempt))
+    is_start_resolved.then_some((worker, epoch, attempt))
 }
 
-/// The end of a lease given now, on the worker's clock.
+/// The end, on the worker's clock, of a lease granted now.
 fn next_lease(s: &mut State, d: u8, w: u8) -> Option<u8> {
     let own = own_mut(s, d)?;
     let now = millis(NOW);
@@ -622,12 +624,12 @@
     Some(())
 }
 
-/// Brings the ledger in line with what a worker reports under this owner's epoch.
+/// Updates the ledger by what a worker reports under this owner's epoch.
 fn reconcile(s: &mut State, d: u8, w: u8) {
     let Some(own) = s.daemons[at(d)].own else {
         return;
     };
-    let before = judged(s, &own).filter(|(worker, ..)| *worker == w);
+    let before = resolved_placement(s, &own).filter(|(worker, ..)| *worker == w);
     let Some(copy) = s.hosts[at(w)].copy else {
         if let Some((_, _, attempt)) = before {
             let _ = commit(s, d, &evicted(attempt));
@@ -657,7 +659,7 @@
     }
 }
 
-/// The platform no longer names the host and so vouches that it is dead.
+/// The platform no longer lists the host, which proves that it is dead.
 fn give_up_host(s: &mut State, d: u8) -> Option<()> {
     let own = serving(s, d)?;
     let Phase::Placed {
@@ -679,34 +681,34 @@
     }
     daemon.alive = false;
     daemon.own = None;
-    turn_runs(s, d, Run::Present, Run::Dead);
+    change_runs(s, d, Run::Present, Run::Dead);
     Some(())
 }
 
-/// The daemon runs anew at the same address, and its presence row says so.
+/// The daemon restarts at the same address, and its presence row says so.
 fn restart(s: &mut State, d: u8) -> Option<()> {
     let daemon = &mut s.daemons[at(d)];
     if daemon.alive {
         return None;
     }
     daemon.alive = true;
-    daemon.began = NOW;
+    daemon.started_at = NOW;
     daemon.seen_since = NOW;
-    turn_runs(s, d, Run::Dead, Run::Replaced);
+    change_runs(s, d, Run::Dead, Run::Replaced);
     Some(())
 }
 
-fn turn_runs(s: &mut State, d: u8, from: Run, to: Run) {
-    let turn = |book: &mut Book| {
-        let owners = book.owners_mut();
+fn change_runs(s: &mut State, d: u8, from: Run, to: Run) {
+    let change = |task_ledger: &mut TaskLedger| {
+        let owners = task_ledger.owners_mut();
         for owner in owners.filter(|owner| owner.daemon == d && owner.run == from) {
             owner.run = to;
         }
     };
-    turn(&mut s.book);
+    change(&mut s.task_ledger);
     for daemon in &mut s.daemons {
         if let Some(view) = daemon.own.as_mut().and_then(|own| own.view.as_mut()) {
-            turn(view);
+            change(view);
         }
     }
 }
@@ -718,7 +720,7 @@
     Some(())
 }
 
-/// At most one host dies, so that the job can still be finished.
+/// At most one host dies, so that the job can still finish.
 fn host_dies(s: &mut State, w: u8) -> Option<()> {
     if s.hosts.iter().any(|host| !host.alive) {
         return None;
--- a/tests/testsuite/model/ownership/state.rs
+++ b/tests/testsuite/model/ownership/state.rs
@@ -1,11 +1,11 @@
-//! One state of the specification, small enough to be kept by the hundred thousand, and its bridges
-//! to the project's own types.
+//! A state of the specification, small enough to keep hundreds of thousands, and its conversions to
+//! the project's own types.
 //!
-//! Three quotients keep the space finite. Time: now stands still at [`NOW`] and every noted point
-//! moves back by one with each tick, down to [`LONG_AGO`], beyond every span that is ever compared.
-//! Epochs and attempts are only compared, and counted up from the greatest, so [`State::normalise`]
-//! numbers those in use anew. Owners before the present one matter only by who they were, so equal
-//! records count once.
+//! Three reductions keep the state space finite. The current time is always [`NOW`], and with each
+//! tick every recorded time moves back by one, down to [`LONG_AGO`], which is older than any span
+//! that is compared. Epochs and attempts are only compared and incremented, so [`State::normalise`]
+//! renumbers those in use. Of earlier owners only the identity matters, so equal records are
+//! merged.
 
 use indexmap::IndexMap;
 use lapisdrum::{
@@ -24,20 +24,20 @@
 use lapisdrum_standins::worker::tasks::{TaskPlan, Tasks};
 use std::time::Duration;
 
-/// The present, on every clock.
+/// The current time on every clock, in ticks.
 pub(super) const NOW: u8 = 20;
-/// Where points in the past come to rest.
+/// Lower bound of recorded times.
 pub(super) const LONG_AGO: u8 = NOW - 6;
-/// Life of a shard's lease, in ticks.
+/// Duration of a shard's lease, in ticks.
 pub(super) const LEASE: u8 = 1;
-/// Life of a task's lease, in ticks.
+/// Duration of a task's lease, in ticks.
 pub(super) const TASK_LEASE: u8 = 1;
-/// The hold, in ticks.
+/// Hold time of the job, in ticks.
 pub(super) const HOLD: u8 = 4;
-/// Daemons and workers.
+/// Indices of the daemons and of the workers.
 pub(super) const PAIR: [u8; 2] = [0, 1];
-/// Greatest number of different owner records that matter at a time.
-const MOST_OWNERS: usize = 8;
+/// Maximum number of different owner records that matter at a time.
+const MAX_OWNERS: usize = 8;
 
 pub(super) fn span(ticks: u8) -> Duration {
     Duration::from_millis(ticks.into())
@@ -54,16 +54,16 @@
     }
 }
 
-/// What has become of an owner's run.
+/// State of the run of a daemon that owned the shard.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub(super) enum Run {
-    /// It may be alive.
+    /// May be alive.
     Present,
-    /// It died; nobody can tell.
+    /// Died, which nobody can observe.
     Dead,
-    /// It died and its daemon runs anew at the same address.
+    /// Died, and its daemon has restarted at the same address.
     Replaced,
-    /// It gave the shard up.
+    /// Released the shard.
     Released,
 }
 
@@ -85,50 +85,48 @@
 
 /// The ledger's state for one task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub(super) struct Book {
+pub(super) struct TaskLedger {
     pub(super) phase: Phase,
     pub(super) attempts: u8,
-    pub(super) owners: [Option<Owner>; MOST_OWNERS],
+    pub(super) owners: [Option<Owner>; MAX_OWNERS],
 }
 
-/// A daemon as owner, or on its way to it.
+/// The ownership of a daemon that has taken the shard, serving or not yet.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub(super) struct Ownership {
     pub(super) epoch: u8,
-    /// The send of the last renewal that is known to have taken effect.
+    /// When the last renewal that is known to have taken effect was sent.
     pub(super) renewed_at: u8,
     pub(super) since: u8,
     pub(super) serving: bool,
-    /// It wrote the last event of a graceful end.
+    /// Whether it wrote the last event of a graceful end.
     pub(super) ended: bool,
-    /// A renewal that took effect and whose answer is under way: when it was sent.
+    /// When a renewal was sent that took effect and whose answer is in flight.
     pub(super) awaiting: Option<u8>,
     /// By worker: the attempt whose start was answered.
     pub(super) started: [Option<u8>; 2],
     /// By worker: the end of the last lease sent.
     pub(super) lease_ends: [Option<u8>; 2],
-    /// A committed placement whose start has not been sent.
+    /// The attempt of a committed placement whose start has not been sent.
     pub(super) to_start: Option<u8>,
-    /// The ledger as this owner left it, once another writes.
-    pub(super) view: Option<Book>,
+    /// The last ledger that this owner knows, once another owner writes.
+    pub(super) view: Option<TaskLedger>,
 }
 
-/// A daemon.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub(super) struct Daemon {
     pub(super) alive: bool,
-    /// When its present run began.
-    pub(super) began: u8,
-    /// Since when it has seen the shard's row as it is now.
+    /// When its current run started.
+    pub(super) started_at: u8,
+    /// Since when it has seen the shard's row unchanged.
     pub(super) seen_since: u8,
     pub(super) own: Option<Ownership>,
 }
 
-/// The shard's row.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub(super) struct Row {
     pub(super) epoch: u8,
-    /// Whether it names a holder. The epoch tells which.
+    /// Whether it names a holder; the epoch determines which.
     pub(super) is_held: bool,
 }
 
@@ -140,7 +138,7 @@
     pub(super) ran: Ran,
 }
 
-/// A copy's state; [`TaskState`] without what the specification does not use.
+/// State of a copy: [`TaskState`] without what the specification does not use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub(super) enum Ran {
     Running,
@@ -149,7 +147,6 @@
     Lapsed,
 }
 
-/// A worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub(super) struct Host {
     pub(super) alive: bool,
@@ -157,21 +154,20 @@
     pub(super) copy: Option<TaskCopy>,
 }
 
-/// A command under way, which may arrive at any later time or never.
+/// A command in flight, which may arrive at any later time or never.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub(super) struct Message {
     pub(super) worker: u8,
     pub(super) epoch: u8,
     pub(super) until: u8,
-    /// The attempt to start; a renewal names none.
+    /// The attempt to start; `None` for a renewal.
     pub(super) start: Option<u8>,
 }
 
-/// The whole system.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub(super) struct State {
     pub(super) row: Row,
-    pub(super) book: Book,
+    pub(super) task_ledger: TaskLedger,
     pub(super) daemons: [Daemon; 2],
     pub(super) hosts: [Host; 2],
     pub(super) late: Option<Message>,
@@ -195,7 +191,7 @@
     }
 }
 
-/// What the task takes: more than half of a worker.
+/// More than half of a worker, so that two copies do not fit on one.
 pub(super) fn task_size() -> Size {
     Size {
         millicores: 600,
@@ -204,7 +200,6 @@
     }
 }
 
-/// What a worker has.
 pub(super) fn capacity() -> Size {
     Size {
         millicores: 1_000,
@@ -214,11 +209,11 @@
 }
 
 impl State {
-    /// The beginning: a job is accepted, nobody owns the shard.
+    /// The initial state: a job is accepted, nobody owns the shard.
     pub(super) fn start() -> Self {
         let daemon = Daemon {
             alive: true,
-            began: LONG_AGO,
+            started_at: LONG_AGO,
             seen_since: LONG_AGO,
             own: None,
         };
@@ -232,10 +227,10 @@
                 epoch: 0,
                 is_held: false,
             },
-            book: Book {
+            task_ledger: TaskLedger {
                 phase: Phase::Waiting,
                 attempts: 0,
-                owners: [None; MOST_OWNERS],
+                owners: [None; MAX_OWNERS],
             },
             daemons: [daemon; 2],
             hosts: [host; 2],
@@ -244,8 +239,8 @@
     }
 
     /// The ledger as a serving owner sees it.
-    pub(super) fn view(&self, own: &Ownership) -> Book {
-        own.view.unwrap_or(self.book)
+    pub(super) fn view(&self, own: &Ownership) -> TaskLedger {
+        own.view.unwrap_or(self.task_ledger)
     }
 
     pub(super) fn shard_row(&self) -> ShardRow {
@@ -259,7 +254,7 @@
     /// One tick of every clock.
     pub(super) fn age(&mut self) {
         for daemon in &mut self.daemons {
-            age(&mut daemon.began);
+            age(&mut daemon.started_at);
             age(&mut daemon.seen_since);
             if let Some(own) = &mut daemon.own {
                 age(&mut own.renewed_at);
@@ -273,43 +268,48 @@
         age_all(self.late.as_mut().map(|message| &mut message.until));
     }
 
-    /// Numbers epochs and attempts anew and forgets what no later step can look at; `drops_late` as
-    /// well what comes too late to do anything, which holds only with every safeguard in place.
+    /// Renumbers epochs and attempts and drops what no later step depends on. `drops_late` also
+    /// drops late messages without effect, which is valid only with every safeguard in place.
     pub(super) fn normalise(&mut self, drops_late: bool) {
         if drops_late {
             self.forget_late();
             self.forget_late_answers();
         }
         self.forget_owners();
-        self.book.forget();
-        let book = self.book;
+        self.task_ledger.forget();
+        let task_ledger = self.task_ledger;
         let owns: Vec<Ownership> = self
             .daemons
             .iter()
             .filter_map(|daemon| daemon.own)
             .collect();
         for (daemon, index) in self.daemons.iter_mut().zip(PAIR) {
-            forget_beyond(TASK_LEASE, &mut daemon.began);
+            forget_beyond(TASK_LEASE, &mut daemon.started_at);
             let views = owns.iter().filter_map(|own| own.view);
-            let books: Vec<Book> = views.chain([book]).collect();
-            if !books.iter().any(|book| book.names(index, Run::Replaced)) {
-                daemon.began = LONG_AGO;
+            let task_ledgers: Vec<TaskLedger> = views.chain([task_ledger]).collect();
+            if !task_ledgers
+                .iter()
+                .any(|task_ledger| task_ledger.names(index, Run::Replaced))
+            {
+                daemon.started_at = LONG_AGO;
             }
-            // A death that nobody will ask about.
-            daemon.alive |= !books.iter().any(|book| book.names(index, Run::Dead));
+            // A death that no later step depends on.
+            daemon.alive |= !task_ledgers
+                .iter()
+                .any(|task_ledger| task_ledger.names(index, Run::Dead));
             forget_beyond(LEASE, &mut daemon.seen_since);
             if let Some(own) = &mut daemon.own {
-                own.forget(&book);
+                own.forget(&task_ledger);
             }
         }
         self.forget_copies();
-        self.forget_all_when_over();
+        self.forget_all_when_done();
         self.renumber_epochs();
         self.renumber_attempts();
     }
 
-    /// An owner that another has followed can write no more. It may still send a start or renew what
-    /// it takes for placed; where it can do neither, it is as good as one that knows of its loss.
+    /// An owner that was superseded cannot write. It may still send a start, or renew what it takes
+    /// for placed; if it can do neither, it equals an owner that knows of its loss.
     fn forget_owners(&mut self) {
         let row = self.row;
         for daemon in &mut self.daemons {
@@ -320,13 +320,13 @@
                 daemon.seen_since = LONG_AGO;
                 continue;
             }
-            // Starting takes more than renewing: a lease that still stands.
+            // A start needs a valid lease, a renewal does not.
             if !own.tenure().may_act(millis(NOW), &terms()) && own.awaiting.is_none() {
                 own.to_start = None;
             }
             let right = own.tenure().right_until(span(HOLD), &terms());
-            let right_is_over = right <= millis(NOW) && own.awaiting.is_none();
-            let is_renewing = own.serving && !own.ended && !right_is_over && own.renews();
+            let right_has_ended = right <= millis(NOW) && own.awaiting.is_none();
+            let is_renewing = own.serving && !own.ended && !right_has_ended && own.renews();
             if !is_renewing && own.to_start.is_none() {
                 daemon.own = None;
             }
@@ -338,51 +338,55 @@
         }
     }
 
-    /// An answer that tells of a renewal no newer than one that is known, or of one that gives neither
-    /// a lease nor a right any more, is as good as lost.
+    /// An answer is the same as a lost one if it reports a renewal no newer than a known one, or
+    /// one too old to give a lease or the right to renew tasks.
     fn forget_late_answers(&mut self) {
         for own in self
             .daemons
             .iter_mut()
             .filter_map(|daemon| daemon.own.as_mut())
         {
-            let is_vain = |sent_at: &mut u8| *sent_at <= own.renewed_at || NOW - *sent_at >= HOLD;
-            if own.awaiting.as_mut().is_some_and(is_vain) {
+            let has_no_effect =
+                |sent_at: &mut u8| *sent_at <= own.renewed_at || NOW - *sent_at >= HOLD;
+            if own.awaiting.as_mut().is_some_and(has_no_effect) {
                 own.awaiting = None;
             }
         }
     }
 
-    /// Drops a late command that would be refused, or that would renew what does not run.
+    /// Drops a late command that would be refused, or that would renew a task that is not running.
     fn forget_late(&mut self) {
         let Some(message) = self.late else {
             return;
         };
         let host = &self.hosts[usize::from(message.worker)];
-        let is_vain = message.start.is_none() && !host.is_running();
-        // What the worker's own rules say of a command under this epoch and with this end.
+        let has_no_effect = message.start.is_none() && !host.is_running();
+        // Applies the worker's own rules to a command under this epoch and with this end.
         let mut probe = Tasks::new(capacity());
         probe.epoch = Epoch(host.epoch.into());
         let start = start_task(message.epoch, 1, message.until);
         let answer = probe.start(WorkerMillis(NOW.into()), &job_id(), &start, PLAN);
-        if answer.is_err() || is_vain {
+        if answer.is_err() || has_no_effect {
             self.late = None;
         }
     }
 
-    /// Once the job is done and nothing runs or is under way, nothing can run any more.
-    fn forget_all_when_over(&mut self) {
+    /// Once the job is done and nothing runs or is in flight, nothing can run again.
+    fn forget_all_when_done(&mut self) {
         let is_still = self.hosts.iter().all(|host| !host.is_running()) && self.late.is_none();
         let mut owns = self.daemons.iter().filter_map(|daemon| daemon.own);
-        if self.book.phase == Phase::Done && is_still && owns.all(|own| own.to_start.is_none()) {
+        if self.task_ledger.phase == Phase::Done
+            && is_still
+            && owns.all(|own| own.to_start.is_none())
+        {
             *self = Self::start();
-            self.book.phase = Phase::Done;
+            self.task_ledger.phase = Phase::Done;
         }
     }
 
-    /// A copy that has ended and is not the placed attempt is stopped at the next visit.
+    /// A copy that has ended and is not the placed attempt is stopped at the next poll.
     fn forget_copies(&mut self) {
-        let mut placed: Vec<u8> = vec![self.book.attempts];
+        let mut placed: Vec<u8> = vec![self.task_ledger.attempts];
         let owns = self.daemons.iter().filter_map(|daemon| daemon.own);
         placed.extend(owns.filter_map(|own| own.view).map(|view| view.attempts));
         placed.extend(self.late.and_then(|message| message.start));
@@ -400,8 +404,8 @@
         }
     }
 
-    /// Epochs under which a command may still come get even numbers in order; a worker that has seen
-    /// one between them an odd one; all others in the ledger are earlier than any of them.
+    /// Epochs of commands that may still arrive get even numbers in order, and a worker's epoch
+    /// between two of them an odd one. All others in the ledger are earlier than any of them.
     fn renumber_epochs(&mut self) {
         let owns = self.daemons.iter().filter_map(|daemon| daemon.own);
         let mut live: Vec<u8> = owns.map(|own| own.epoch).collect();
@@ -421,7 +425,7 @@
             false => 1,
         };
         self.row.epoch = rank(self.row.epoch);
-        self.book.map_epochs(in_ledger);
+        self.task_ledger.map_epochs(in_ledger);
         for own in self
             .daemons
             .iter_mut()
@@ -442,7 +446,7 @@
 
     fn renumber_attempts(&mut self) {
         let mut attempts: Vec<&mut u8> = Vec::new();
-        self.book.attempts(&mut attempts);
+        self.task_ledger.attempts(&mut attempts);
         for own in self
             .daemons
             .iter_mut()
@@ -465,7 +469,7 @@
         renumber(attempts);
     }
 
-    /// The same state with daemons or workers changed about: both are alike.
+    /// The same state with daemons or workers swapped: the two are equivalent.
     fn swapped(&self, daemons: bool, workers: bool) -> Self {
         let mut out = self.clone();
         if daemons {
@@ -475,14 +479,15 @@
             out.hosts.swap(0, 1);
         }
         let turn = |index: &mut u8, swap: bool| *index = if swap { 1 - *index } else { *index };
-        let turn_book = |book: &mut Book| {
-            if let Phase::Placed { worker, .. } = &mut book.phase {
+        let swap_in = |task_ledger: &mut TaskLedger| {
+            if let Phase::Placed { worker, .. } = &mut task_ledger.phase {
                 turn(worker, workers);
             }
-            book.owners_mut()
+            task_ledger
+                .owners_mut()
                 .for_each(|owner| turn(&mut owner.daemon, daemons));
         };
-        turn_book(&mut out.book);
+        swap_in(&mut out.task_ledger);
         for own in out
             .daemons
             .iter_mut()
@@ -493,18 +498,18 @@
                 own.lease_ends.swap(0, 1);
             }
             if let Some(view) = &mut own.view {
-                turn_book(view);
+                swap_in(view);
                 view.forget();
             }
         }
         if let Some(message) = &mut out.late {
             turn(&mut message.worker, workers);
         }
-        out.book.forget();
+        out.task_ledger.forget();
         out
     }
 
-    /// One of the up to four states that differ only in which daemon or worker is which.
+    /// The least of the up to four states that differ only in the order of daemons or workers.
     pub(super) fn canonical(self) -> Self {
         let others = [(true, false), (false, true), (true, true)];
         let others = others.map(|(daemons, workers)| self.swapped(daemons, workers));
@@ -520,12 +525,12 @@
     points.into_iter().for_each(age);
 }
 
-/// Points further back than `span` are all alike.
+/// Merges all times further back than `span`.
 fn forget_beyond(span: u8, point: &mut u8) {
     *point = (*point).max(NOW - span - 1);
 }
 
-/// Dense numbers in the same order; 0 stays 0.
+/// Renumbers densely in the same order; 0 stays 0.
 fn renumber(numbers: Vec<&mut u8>) {
     let mut used: Vec<u8> = numbers.iter().map(|number| **number).collect();
     used.push(0);
@@ -537,7 +542,7 @@
     }
 }
 
-impl Book {
+impl TaskLedger {
     fn attempts<'a>(&'a mut self, attempts: &mut Vec<&'a mut u8>) {
         attempts.push(&mut self.attempts);
         if let Phase::Placed { attempt, .. } = &mut self.phase {
@@ -559,8 +564,8 @@
         owners.any(|owner| owner.daemon == daemon && owner.run == run)
     }
 
-    /// Owners before the task's placement are never asked about again. Of the others, up to the
-    /// last, only who they were matters, so they get the placement's epoch and equal ones are one.
+    /// Owners before the task's placement are never considered again. Of the others but the last
+    /// only the identity matters, so they get the placement's epoch and equal ones are merged.
     fn forget(&mut self) {
         let owners: Vec<Owner> = self.owners.iter().flatten().copied().collect();
         let Some((last, earlier)) = owners.split_last() else {
@@ -581,7 +586,7 @@
             .collect();
         kept.sort_unstable();
         kept.dedup();
-        // A released owner matters only where it is the only kind.
+        // Released owners matter only if there are no others.
         let is_released = |owner: &Owner| owner.run == Run::Released;
         if kept.iter().all(is_released) {
             kept.truncate(1);
@@ -595,10 +600,10 @@
 
     fn set_owners(&mut self, owners: &[Owner]) {
         assert!(
-            owners.len() <= MOST_OWNERS,
+            owners.len() <= MAX_OWNERS,
             "more owner records than expected"
         );
-        self.owners = [None; MOST_OWNERS];
+        self.owners = [None; MAX_OWNERS];
         for (place, owner) in self.owners.iter_mut().zip(owners) {
             *place = Some(*owner);
         }
@@ -643,7 +648,7 @@
         state
     }
 
-    /// This ledger after an event, by the project's own `apply`; none when the event does not belong.
+    /// This ledger after an event, by the project's own `apply`, or `None` if the event is invalid.
     pub(super) fn apply(&self, event: &Event) -> Option<Self> {
         let mut state = self.to_ledger();
         state.apply(event).ok()?;
@@ -695,7 +700,7 @@
 }
 
 impl Ownership {
-    /// Whether this owner, followed by another, takes something for placed that it may renew.
+    /// Whether this owner, if superseded, takes a task for placed that it may renew.
     fn renews(&self) -> bool {
         match self.view.map(|view| view.phase) {
             Some(Phase::Placed { worker, epoch, .. }) => {
@@ -706,16 +711,16 @@
         }
     }
 
-    /// Drops what is of no use any more, by what this owner takes the ledger for.
-    fn forget(&mut self, book: &Book) {
+    /// Drops what no later step depends on, by the ledger as this owner knows it.
+    fn forget(&mut self, task_ledger: &TaskLedger) {
         if let Some(view) = &mut self.view {
-            view.owners = [None; MOST_OWNERS];
+            view.owners = [None; MAX_OWNERS];
             self.lease_ends = [None; 2];
             self.since = LONG_AGO;
         }
         forget_beyond(HOLD, &mut self.renewed_at);
         forget_beyond(HOLD, &mut self.since);
-        let placed = match self.view.unwrap_or(*book).phase {
+        let placed = match self.view.unwrap_or(*task_ledger).phase {
             Phase::Placed { worker, epoch, .. } => Some((worker, epoch)),
             Phase::Waiting | Phase::Done => None,
         };
@@ -743,7 +748,7 @@
     }
 }
 
-/// A task whose work never ends by itself: its end is a step of the specification.
+/// A task that never ends by itself: its end is a step of the specification.
 pub(super) const PLAN: TaskPlan = TaskPlan {
     work_ms: None,
     checkpoint_ms: 1,
@@ -762,10 +767,10 @@
 }
 
 impl Host {
-    /// Lets the worker's own rules act on it.
-    pub(super) fn with<T>(&mut self, act: impl FnOnce(&mut Tasks) -> T) -> T {
+    /// Applies the worker's own rules to this worker.
+    pub(super) fn with<T>(&mut self, action: impl FnOnce(&mut Tasks) -> T) -> T {
         let mut tasks = self.to_tasks();
-        let out = act(&mut tasks);
+        let out = action(&mut tasks);
         self.epoch = to_u8(tasks.epoch.0);
         self.copy = tasks.tasks.get(&job_id()).map(|task| TaskCopy {
             attempt: to_u8(task.attempt.0.into()),
@@ -798,7 +803,6 @@
         tasks
     }
 
-    /// Whether a copy runs here.
     pub(super) fn is_running(&self) -> bool {
         self.alive && self.copy.is_some_and(|copy| copy.ran == Ran::Running)
     }
--- a/tests/testsuite/policy/admission.rs
+++ b/tests/testsuite/policy/admission.rs
@@ -1,4 +1,4 @@
-//! No limit is exceeded at any instant.
+//! Concurrency and rate limits hold at all times.
 
 use super::{entry, owner};
 use assert_matches::assert_matches;
@@ -18,22 +18,22 @@
 }
 
 #[derive(Clone, Debug)]
-enum Act {
+enum Action {
     Start(usize),
     Finish(usize),
     Shrink(usize, u32),
 }
 
-fn act() -> impl Strategy<Value = Act> {
+fn action() -> impl Strategy<Value = Action> {
     prop_oneof![
-        4 => (0..3_usize).prop_map(Act::Start),
-        3 => (0..3_usize).prop_map(Act::Finish),
-        1 => (0..3_usize, 0..6_u32).prop_map(|(i, n)| Act::Shrink(i, n)),
+        4 => (0..3_usize).prop_map(Action::Start),
+        3 => (0..3_usize).prop_map(Action::Finish),
+        1 => (0..3_usize, 0..6_u32).prop_map(|(i, n)| Action::Shrink(i, n)),
     ]
 }
 
 proptest! {
-    /// However a limit is divided, the parts add up to it, and a daemon more or less never gains.
+    /// The parts of a limit add up to it, and a daemon beyond the number of parts gets none.
     #[test]
     fn parts_add_up_to_the_limit(whole in 0..100_000_u32, parts in 1..300_u32) {
         let sum: u32 = (0..parts).map(|index| split_evenly(whole, parts, index)).sum();
@@ -50,31 +50,31 @@
         prop_assert_eq!(shares.iter().map(|s| s.queue).sum::<u32>(), queue);
     }
 
-    /// Runs of an entry stay within its share, and those of an owner within its quota, whatever the
-    /// order of starts, ends and changed shares. A share lowered below what runs lets nothing start.
+    /// Runs stay within the share of their entry and the quota of their owner, in any order of
+    /// starts, ends and changed shares. Nothing starts while a share is below what already runs.
     #[test]
-    fn runs_stay_within_share_and_quota(acts in prop::collection::vec(act(), 1..200)) {
+    fn runs_stay_within_share_and_quota(actions in prop::collection::vec(action(), 1..200)) {
         let entries = [entry("a"), entry("b"), entry("c")];
         let owners = [owner("one"), owner("one"), owner("two")];
         let mut shares = [share(4, None), share(4, None), share(4, None)];
         let quota = Some(share(5, None));
         let mut running = [0_u32; 3];
         let mut admission = Admission::default();
-        for act in acts {
-            match act {
-                Act::Start(i) => {
+        for action in actions {
+            match action {
+                Action::Start(i) => {
                     let request = AdmissionRequest { entry: &entries[i], owner: &owners[i], share: shares[i], quota };
                     let of_owner: u32 = (0..3).filter(|j| owners[*j] == owners[i]).map(|j| running[j]).sum();
                     let expected = running[i] < shares[i].concurrency && of_owner < 5;
                     prop_assert_eq!(admission.start(&request), expected);
                     running[i] += u32::from(expected);
                 }
-                Act::Finish(i) if running[i] > 0 => {
+                Action::Finish(i) if running[i] > 0 => {
                     admission.finish(&entries[i], &owners[i]);
                     running[i] -= 1;
                 }
-                Act::Finish(_) => {}
-                Act::Shrink(i, n) => shares[i].concurrency = n,
+                Action::Finish(_) => {}
+                Action::Shrink(i, n) => shares[i].concurrency = n,
             }
             for i in 0..3 {
                 prop_assert_eq!(admission.running(&entries[i]), running[i]);
@@ -82,8 +82,8 @@
         }
     }
 
-    /// In no span of one second are more requests let in than the rate, however they arrive, and a
-    /// steady stream at the rate is let in whole.
+    /// No span of one second admits more requests than the rate, and a request that fits is always
+    /// admitted.
     #[test]
     fn no_second_exceeds_the_rate(rate in 1..20_u32, gaps in prop::collection::vec(0..300_u64, 1..400)) {
         let (entry, owner) = (entry("a"), owner("one"));
@@ -105,9 +105,10 @@
     }
 }
 
-/// A caller refused for its owner's rate must not have used up a part of its entry's rate.
+/// Guards against a request refused for its owner's rate that still counts against its entry's
+/// rate.
 #[test]
-fn a_refusal_charges_nobody() {
+fn a_refusal_uses_up_no_rate() {
     let (entry, owner) = (entry("a"), owner("one"));
     let mut admission = Admission::default();
     let request = |quota| AdmissionRequest {
@@ -129,9 +130,9 @@
     );
 }
 
-/// Ten thousand entries that were busy once must not be remembered for ever.
+/// Guards against memory that grows with every entry that ever had a request.
 #[test]
-fn idle_entries_are_forgotten() {
+fn idle_entries_are_dropped() {
     let owner = owner("one");
     let mut admission = Admission::default();
     for i in 0..100 {
--- a/tests/testsuite/policy/drain.rs
+++ b/tests/testsuite/policy/drain.rs
@@ -1,4 +1,4 @@
-//! The measured drain rate, and returns that spread.
+//! The measured drain rate of a queue, and retry times spread over the time that it takes to drain.
 
 use super::seeded;
 use lapisdrum::{
@@ -8,8 +8,8 @@
 use proptest::prelude::*;
 use std::time::Duration;
 
-/// A queue that is empty nine tenths of the time and drains a hundred a second while it is not: the
-/// idle time must not make it look slow.
+/// Guards against idle time that lowers the drain rate: the queue is empty nine tenths of the time
+/// and drains 100 items a second otherwise.
 #[test]
 fn idle_time_does_not_count() {
     let mut rate = DrainRate::default();
@@ -27,10 +27,10 @@
     assert!((95.0..105.0).contains(&measured), "{measured}");
 }
 
-/// All workers hang: nothing is started any more, and the measured rate falls while the queue waits,
-/// instead of promising callers the rate of a minute ago.
+/// Guards against a drain rate that stays high while all workers hang and the queue waits; callers
+/// would get retry times based on the rate before.
 #[test]
-fn a_queue_that_stands_still_looks_slow() {
+fn a_stalled_queue_has_a_falling_drain_rate() {
     let mut rate = DrainRate::default();
     rate.busy(Millis(0));
     for i in 1..=100 {
@@ -43,22 +43,22 @@
     assert!(after < before / 10.0, "{before} and {after}");
 }
 
-/// A thousand callers are refused in the same moment by a queue that drains a hundred a second. Told
-/// one fixed time they would all return together; here no half second gets more than twice what
-/// it can serve, and nobody is sent away for more than the longest time.
+/// Guards against refused callers that all retry together: 1000 are refused at once by a queue that
+/// drains 100 a second. No half second gets more than twice what can be served in it, and no retry
+/// time exceeds the maximum.
 #[test]
-fn returns_are_spread_over_the_time_that_serving_them_takes() {
+fn retries_are_spread_over_the_time_that_serving_them_takes() {
     let mut rng = seeded(3);
     let mut retry_schedule = RetrySchedule::default();
     let mut per_half_second = [0_u32; 62];
     for _ in 0..1_000 {
-        let back = retry_schedule.next_retry_after(
+        let retry_after = retry_schedule.next_retry_after(
             Duration::from_millis(300),
             Some(100.0),
             Millis(0),
             &mut rng,
         );
-        per_half_second[usize::try_from(back.as_millis() / 500).expect("bounded")] += 1;
+        per_half_second[usize::try_from(retry_after.as_millis() / 500).expect("bounded")] += 1;
     }
     let busiest = per_half_second.iter().max().copied().unwrap_or_default();
     assert!(busiest <= 2 * 50, "{busiest} return within one half second");
@@ -67,9 +67,10 @@
 }
 
 proptest! {
-    /// Whatever is measured, a caller comes back after the shortest and before the longest time.
+    /// The retry time stays between its minimum and its maximum plus jitter, whatever the measured
+    /// rate.
     #[test]
-    fn returns_are_bounded(
+    fn retry_times_are_bounded(
         seed in any::<u64>(),
         wait_ms in 0..10_000_000_u64,
         rate in prop::option::of(0.0..1e6_f64),
@@ -79,9 +80,9 @@
         let mut retry_schedule = RetrySchedule::default();
         for i in 0..refusals {
             let now = Millis(i as u64);
-            let back = retry_schedule.next_retry_after(Duration::from_millis(wait_ms), rate, now, &mut rng);
-            prop_assert!(back >= MIN_RETRY_AFTER);
-            prop_assert!(back <= MAX_RETRY_AFTER + MAX_RETRY_AFTER / 4);
+            let retry_after = retry_schedule.next_retry_after(Duration::from_millis(wait_ms), rate, now, &mut rng);
+            prop_assert!(retry_after >= MIN_RETRY_AFTER);
+            prop_assert!(retry_after <= MAX_RETRY_AFTER + MAX_RETRY_AFTER / 4);
         }
     }
 }
--- a/tests/testsuite/policy/health.rs
+++ b/tests/testsuite/policy/health.rs
@@ -1,4 +1,4 @@
-//! Workers that fail everything are told apart from jobs that fail everywhere.
+//! Telling workers that fail every job from jobs that fail on every worker.
 
 use super::{entry, job, seeded, worker};
 use lapisdrum::{
@@ -13,10 +13,10 @@
 
 const POOL: usize = 12;
 
-/// One worker fails every task it starts within a second, so it is always free and draws the next.
-/// After three distinct jobs it is set aside, and the jobs run elsewhere without blame.
+/// Guards against a worker that fails every task within a second, is therefore always free and gets
+/// the next one. It is ejected after three distinct jobs failed there.
 #[test]
-fn a_worker_that_fails_everything_is_set_aside() {
+fn a_worker_that_fails_everything_is_ejected() {
     let mut health = Health::default();
     let render = entry("render");
     for i in 0..2 {
@@ -35,10 +35,10 @@
     );
 }
 
-/// A job that can never run is tried on worker after worker. The job is named at fault, no worker is
-/// set aside, and none has to answer for it later.
+/// Guards against ejecting workers for a job that can never run: the job is at fault, and its
+/// failures do not count against the workers later.
 #[test]
-fn a_job_that_fails_everywhere_sets_no_worker_aside() {
+fn a_job_that_fails_everywhere_ejects_no_worker() {
     let mut health = Health::default();
     let broken = entry("broken");
     for i in 0..50 {
@@ -54,10 +54,10 @@
     assert_eq!(health.ejected_count(Millis(0)), 0);
 }
 
-/// A broken release: a hundred jobs of one entry are tried, none succeeds. The first worker may be
-/// suspected for it, but not one after another.
+/// Guards against a broken release that ejects worker after worker: 100 jobs of one entry run and
+/// none succeeds.
 #[test]
-fn an_entry_that_fails_everywhere_sets_few_workers_aside() {
+fn an_entry_that_fails_everywhere_ejects_few_workers() {
     let mut health = Health::default();
     let broken = entry("broken");
     for i in 0..100 {
@@ -66,38 +66,41 @@
     assert_eq!(health.ejected_count(Millis(100)), 0);
 }
 
-/// The worker comes back with one task at a time: a failure sends it away for longer, a success
-/// clears it.
+/// An ejected worker returns on probation, with one task at a time: a failure ejects it for longer,
+/// a success makes it healthy.
 #[test]
-fn a_worker_comes_back_slowly() {
+fn an_ejected_worker_returns_on_probation() {
     let mut health = Health::default();
     let render = entry("render");
     for i in 0..3 {
         health.failed(&worker(0), &job(i), &render, POOL, Millis(0));
     }
-    let back = Millis(30_000);
+    let probation_start = Millis(30_000);
     assert_eq!(
-        health.worker_state(&worker(0), back),
+        health.worker_state(&worker(0), probation_start),
         WorkerState::Probation
     );
-    let verdict = health.failed(&worker(0), &job(9), &render, POOL, back);
+    let verdict = health.failed(&worker(0), &job(9), &render, POOL, probation_start);
     assert_eq!(verdict, Verdict::WorkerEjected);
     assert_eq!(
-        health.worker_state(&worker(0), back + Duration::from_secs(59)),
+        health.worker_state(&worker(0), probation_start + Duration::from_secs(59)),
         WorkerState::Ejected
     );
     assert_eq!(
-        health.worker_state(&worker(0), back + Duration::from_secs(60)),
+        health.worker_state(&worker(0), probation_start + Duration::from_secs(60)),
         WorkerState::Probation
     );
     health.succeeded(&worker(0), &job(10), &render);
-    assert_eq!(health.worker_state(&worker(0), back), WorkerState::Healthy);
+    assert_eq!(
+        health.worker_state(&worker(0), probation_start),
+        WorkerState::Healthy
+    );
 }
 
-/// Three broken workers fail the same three jobs one after another. Each is set aside, and no job is
-/// condemned for it: a worker that is aside is no witness against a job.
+/// Guards against blaming jobs for broken workers: three workers fail the same three jobs one after
+/// another. Failures on an ejected worker do not count against a job.
 #[test]
-fn bad_workers_do_not_condemn_a_job() {
+fn failing_workers_do_not_put_a_job_at_fault() {
     let mut health = Health::default();
     let render = entry("render");
     for w in 0..3 {
@@ -111,7 +114,7 @@
 }
 
 proptest! {
-    /// Whatever fails, at most a third of the workers are aside.
+    /// At most a third of the workers are ejected at any time.
     #[test]
     fn a_share_of_the_pool_is_kept(seed in any::<u64>(), pool in 1..20_usize) {
         let mut rng = seeded(seed);
--- a/tests/testsuite/policy/placement.rs
+++ b/tests/testsuite/policy/placement.rs
@@ -1,4 +1,4 @@
-//! A task goes where it fits, harms least, and apart from its like.
+//! The choice of a host by free capacity, expected slowdown and spread over racks.
 
 use super::{entry, seeded, worker};
 use lapisdrum::{
@@ -55,11 +55,12 @@
     }
 }
 
-/// Ten reports each of how much one `noisy` neighbour slows these kinds, in thousandths.
-fn learn(known: &mut SlowdownModel, noisy: Kind, slowed: &[(Kind, u32)]) {
+/// Notes ten reports for each of `slowed`: its slowdown beside one `noisy` neighbour, in
+/// thousandths.
+fn note_reports(model: &mut SlowdownModel, noisy: Kind, slowed: &[(Kind, u32)]) {
     for i in 0..10 {
         for (kind, slowdown_permille) in slowed {
-            known.note(&Report {
+            model.note(&Report {
                 kind: *kind,
                 beside: &[Neighbour {
                     kind: noisy,
@@ -73,7 +74,7 @@
 }
 
 proptest! {
-    /// A host is chosen exactly when one fits, and the chosen one fits in every dimension.
+    /// A host is chosen if and only if one fits, and the chosen one fits in every dimension.
     #[test]
     fn only_hosts_that_fit_are_chosen(
         frees in prop::collection::vec((0..32_u64, 0..1_000_u64, 0..2_u64), 0..80),
@@ -88,8 +89,8 @@
             .map(|((c, m, a), worker)| candidate(worker, &racks[0], size(*c, *m, *a)))
             .collect();
         let want = to_place(size(want.0, want.1, want.2));
-        let known = SlowdownModel::default();
-        let chosen = choose(&candidates, &want, &known, Millis(0), &mut seeded(seed));
+        let model = SlowdownModel::default();
+        let chosen = choose(&candidates, &want, &model, Millis(0), &mut seeded(seed));
         prop_assert_eq!(chosen.is_some(), candidates.iter().any(|candidate| want.size.fits(&candidate.free)));
         if let Some(index) = chosen {
             prop_assert!(want.size.fits(&candidates[index].free));
@@ -97,32 +98,33 @@
     }
 }
 
-/// Small tasks go to the host that is fullest, so that a whole host stays free for a large one.
+/// Guards against small tasks on empty hosts, which leave no whole host for a large task: the
+/// fullest host that fits is chosen.
 #[test]
-fn small_tasks_leave_room_for_large_ones() {
+fn small_tasks_leave_hosts_free_for_large_ones() {
     let (racks, workers) = (racks(1), [worker(0), worker(1), worker(2)]);
     let candidates = [
         candidate(&workers[0], &racks[0], CAPACITY),
         candidate(&workers[1], &racks[0], size(8, 30_000, 0)),
         candidate(&workers[2], &racks[0], size(20, 80_000, 1)),
     ];
-    let known = SlowdownModel::default();
+    let model = SlowdownModel::default();
     let chosen = choose(
         &candidates,
         &to_place(size(1, 1_000, 0)),
-        &known,
+        &model,
         Millis(0),
         &mut seeded(1),
     );
     assert_eq!(chosen, Some(1));
 }
 
-/// Renders slow route maps to three times their run time and leave the checks alone. Before that was
-/// measured a render goes to the tighter fit, beside the maps; afterwards it goes beside the checks.
+/// Renders slow route maps to three times their run time and do not slow the checks. Without
+/// reports a render goes to the tighter fit, beside the maps; with them it goes beside the checks.
 #[test]
 fn a_noisy_task_is_kept_from_the_service() {
-    let mut known = SlowdownModel::default();
-    let [map, render, check] = ["map", "render", "check"].map(|name| known.kind(&entry(name)));
+    let mut model = SlowdownModel::default();
+    let [map, render, check] = ["map", "render", "check"].map(|name| model.kind(&entry(name)));
     let running_kind = |kind| RunningKind {
         neighbour: Neighbour { kind, count: 1 },
         class: Class::LatencyCritical,
@@ -145,21 +147,21 @@
     };
     let now = Millis(50_000);
     assert_eq!(
-        choose(&candidates, &want, &known, now, &mut seeded(1)),
+        choose(&candidates, &want, &model, now, &mut seeded(1)),
         Some(0)
     );
-    learn(&mut known, render, &[(map, 3_000), (check, 1_000)]);
+    note_reports(&mut model, render, &[(map, 3_000), (check, 1_000)]);
     assert_eq!(
-        choose(&candidates, &want, &known, now, &mut seeded(1)),
+        choose(&candidates, &want, &model, now, &mut seeded(1)),
         Some(1)
     );
 }
 
-/// Nothing is known of a task yet. It is tried beside batch work rather than beside a service.
+/// A task without any reports is placed beside batch work rather than beside a service.
 #[test]
 fn unknown_work_is_not_tried_on_a_service_first() {
-    let mut known = SlowdownModel::default();
-    let [map, backup, render] = ["map", "backup", "render"].map(|name| known.kind(&entry(name)));
+    let mut model = SlowdownModel::default();
+    let [map, backup, render] = ["map", "backup", "render"].map(|name| model.kind(&entry(name)));
     let running_kind = |kind, class| RunningKind {
         neighbour: Neighbour { kind, count: 1 },
         class,
@@ -182,18 +184,18 @@
         ..to_place(size(2, 2_000, 0))
     };
     assert_eq!(
-        choose(&candidates, &want, &known, Millis(0), &mut seeded(1)),
+        choose(&candidates, &want, &model, Millis(0), &mut seeded(1)),
         Some(1)
     );
 }
 
-/// Eight streams of one entry over four racks of equal hosts: two in each, so that a switch that
-/// fails takes two of them and not eight.
+/// Guards against a rack failure that takes all tasks of an entry: eight streams over four racks of
+/// equal hosts are placed two in each.
 #[test]
 fn tasks_of_an_entry_are_spread_over_racks() {
     let (racks, workers) = (racks(4), (0..8).map(worker).collect::<Vec<_>>());
     let mut in_rack = [0_u32; 4];
-    let known = SlowdownModel::default();
+    let model = SlowdownModel::default();
     for placed in 0..8 {
         let candidates: Vec<CandidateHost<'_>> = workers
             .iter()
@@ -211,7 +213,7 @@
         let chosen = choose(
             &candidates,
             &want,
-            &known,
+            &model,
             Millis(0),
             &mut seeded(u64::from(placed)),
         );
@@ -220,13 +222,13 @@
     assert_eq!(in_rack, [2; 4]);
 }
 
-/// Renders triple the time of route maps, and every host runs maps. A render waits rather than go
-/// there; a livestream, which has to run, is placed all the same.
+/// Renders slow route maps to three times their run time, and every host runs maps. A batch render
+/// waits; a long-running task is placed all the same.
 #[test]
 fn batch_waits_rather_than_slow_a_service() {
-    let mut known = SlowdownModel::default();
-    let [map, render] = ["map", "render"].map(|name| known.kind(&entry(name)));
-    learn(&mut known, render, &[(map, 3_000)]);
+    let mut model = SlowdownModel::default();
+    let [map, render] = ["map", "render"].map(|name| model.kind(&entry(name)));
+    note_reports(&mut model, render, &[(map, 3_000)]);
     let maps = [RunningKind {
         neighbour: Neighbour {
             kind: map,
@@ -249,7 +251,7 @@
         choose(
             &candidates,
             &want(Class::Batch),
-            &known,
+            &model,
             now,
             &mut seeded(1)
         ),
@@ -258,20 +260,20 @@
     let stream = choose(
         &candidates,
         &want(Class::LongRunning),
-        &known,
+        &model,
         now,
         &mut seeded(1),
     );
     assert_eq!(stream, Some(0));
 }
 
-/// Renders slow route maps by a third, which is within what batch work may cause, and leave the checks
-/// alone: they still go beside the checks while there is room.
+/// Renders slow route maps by 30 %, which batch work may, and do not slow the checks. They go
+/// beside the checks where those fit, and otherwise beside the maps.
 #[test]
 fn a_mildly_noisy_task_goes_where_it_harms_less() {
-    let mut known = SlowdownModel::default();
-    let [map, render, check] = ["map", "render", "check"].map(|name| known.kind(&entry(name)));
-    learn(&mut known, render, &[(map, 1_300), (check, 1_000)]);
+    let mut model = SlowdownModel::default();
+    let [map, render, check] = ["map", "render", "check"].map(|name| model.kind(&entry(name)));
+    note_reports(&mut model, render, &[(map, 1_300), (check, 1_000)]);
     let running_kind = |kind| RunningKind {
         neighbour: Neighbour { kind, count: 1 },
         class: Class::LatencyCritical,
@@ -296,9 +298,9 @@
     ];
     let only_maps = [both[0]];
     let now = Millis(50_000);
-    assert_eq!(choose(&both, &want, &known, now, &mut seeded(1)), Some(1));
+    assert_eq!(choose(&both, &want, &model, now, &mut seeded(1)), Some(1));
     assert_eq!(
-        choose(&only_maps, &want, &known, now, &mut seeded(1)),
+        choose(&only_maps, &want, &model, now, &mut seeded(1)),
         Some(0)
     );
 }
--- a/tests/testsuite/policy/queueing.rs
+++ b/tests/testsuite/policy/queueing.rs
@@ -43,7 +43,7 @@
 }
 
 #[derive(Clone, Debug)]
-enum Act {
+enum Action {
     Put {
         flow: usize,
         max_waiting: u32,
@@ -55,29 +55,29 @@
     Wait(u64),
 }
 
-fn act() -> impl Strategy<Value = Act> {
+fn action() -> impl Strategy<Value = Action> {
     prop_oneof![
         5 => (0..6_usize, 0..6_u32, prop::option::of(0..400_u64), any::<bool>()).prop_map(
-            |(flow, max_waiting, deadline_ms, batch)| Act::Put { flow, max_waiting, deadline_ms, batch }
+            |(flow, max_waiting, deadline_ms, batch)| Action::Put { flow, max_waiting, deadline_ms, batch }
         ),
-        3 => Just(Act::Take),
-        1 => (0..20_usize).prop_map(Act::Remove),
-        1 => (0..100_u64).prop_map(Act::Wait),
+        3 => Just(Action::Take),
+        1 => (0..20_usize).prop_map(Action::Remove),
+        1 => (0..100_u64).prop_map(Action::Wait),
     ]
 }
 
 proptest! {
-    /// Whatever comes and goes: no entry has more waiting than its bound, each item leaves exactly
-    /// once (started, given up, or removed), and none is started that can't be finished in time.
+    /// No entry has more items waiting than its bound, each item leaves exactly once (started,
+    /// expired or removed), and none is started that cannot finish by its deadline.
     #[test]
-    fn each_item_leaves_once_and_bounds_hold(acts in prop::collection::vec(act(), 1..300)) {
+    fn each_item_leaves_once_and_bounds_hold(actions in prop::collection::vec(action(), 1..300)) {
         let mut rng = seeded(1);
         let mut queue: Queue<usize> = Queue::default();
         let mut waiting: IndexMap<usize, (Ticket, Option<Millis>)> = IndexMap::new();
         let mut now = Millis(1_000);
-        for (number, act) in acts.into_iter().enumerate() {
-            match act {
-                Act::Put { flow, max_waiting, deadline_ms, batch } => {
+        for (number, action) in actions.into_iter().enumerate() {
+            match action {
+                Action::Put { flow, max_waiting, deadline_ms, batch } => {
                     let name = ["a", "b", "c"][flow / 2];
                     let deadline = deadline_ms.map(|ms| now + Duration::from_millis(ms));
                     let class = if batch { Class::Batch } else { Class::LatencyCritical };
@@ -85,38 +85,38 @@
                     match queue.enqueue(item, number, now, &mut rng) {
                         EnqueueOutcome::Waiting { ticket, displaced } => {
                             prop_assert!(queue.waiting_of(&entry(name)) <= max_waiting);
-                            if let Some(gone) = displaced {
-                                prop_assert!(waiting.swap_remove(&gone.payload).is_some());
+                            if let Some(dropped) = displaced {
+                                prop_assert!(waiting.swap_remove(&dropped.payload).is_some());
                             }
                             waiting.insert(number, (ticket, deadline));
                         }
-                        EnqueueOutcome::Refused(gone) => prop_assert_eq!(gone.payload, number),
+                        EnqueueOutcome::Refused(dropped) => prop_assert_eq!(dropped.payload, number),
                     }
                 }
-                Act::Take => {
-                    for gone in queue.expire(now, &mut rng) {
-                        prop_assert!(waiting.swap_remove(&gone.payload).is_some());
-                        prop_assert_eq!(gone.reason, RefusalReason::Deadline);
+                Action::Take => {
+                    for dropped in queue.expire(now, &mut rng) {
+                        prop_assert!(waiting.swap_remove(&dropped.payload).is_some());
+                        prop_assert_eq!(dropped.reason, RefusalReason::Deadline);
                     }
                     if let Some((_, item, payload)) = queue.next(now, |_, _| true) {
                         let (_, deadline) = waiting.swap_remove(&payload).expect("it waited");
                         prop_assert!(deadline.is_none_or(|d| now + item.expected_run <= d));
                     }
                 }
-                Act::Remove(index) => {
+                Action::Remove(index) => {
                     if let Some((payload, (ticket, _))) = waiting.swap_remove_index(index) {
                         prop_assert_eq!(queue.remove(ticket, now), Some(payload));
                         prop_assert_eq!(queue.remove(ticket, now), None);
                     }
                 }
-                Act::Wait(ms) => now = now + Duration::from_millis(ms),
+                Action::Wait(ms) => now = now + Duration::from_millis(ms),
             }
             prop_assert_eq!(queue.len(), waiting.len());
         }
     }
 
-    /// Two owners always have work waiting. Whatever their weights and however many callers each
-    /// has, starts are in proportion to the weights: no owner is starved, none gains by numbers.
+    /// Two owners always have items waiting: starts are in proportion to their weights, whatever
+    /// the number of their callers.
     #[test]
     fn owners_share_by_weight(a in 1..20_u32, b in 1..20_u32, callers in 1..30_u64) {
         let mut queue: Queue<usize> = Queue::default();
@@ -132,7 +132,7 @@
         prop_assert!((f64::from(served[0]) - expected).abs() <= 3.0, "{:?} for {} and {}", served, a, b);
     }
 
-    /// Owners whose runs take different times share run time, not starts.
+    /// Owners with different run times share run time, not starts.
     #[test]
     fn long_runs_count_for_more(times in 2..30_u32) {
         let mut queue: Queue<usize> = Queue::default();
@@ -148,7 +148,8 @@
         prop_assert!((short - long).abs() <= f64::from(times) * 2.0, "{} and {}", short, long);
     }
 
-    /// Batch work behind an endless line of latency-critical work is started once in so many turns.
+    /// Guards against starvation: batch items behind an endless queue of latency-critical ones are
+    /// started once every `BACKGROUND_START_INTERVAL` starts.
     #[test]
     fn batch_is_not_starved(turns in 1..20_u32) {
         let mut queue: Queue<bool> = Queue::default();
@@ -161,8 +162,8 @@
     }
 }
 
-/// A technician's check is due in 50 ms, another's in a second; both have had nothing yet. The one
-/// that is due first goes first although it came last.
+/// Of two callers that have had no start yet, the one with the earlier deadline is served first,
+/// although it came last.
 #[test]
 fn the_earliest_deadline_goes_first() {
     let mut queue: Queue<&str> = Queue::default();
@@ -178,8 +179,8 @@
     assert_eq!(take(&mut queue, Millis(0)), Some("batch"));
 }
 
-/// A queue of four places, all of them taken by the entry's caller 1.
-fn full_of_one_caller() -> Queue<u32> {
+/// A queue with a bound of four, filled by caller 1 of the entry.
+fn queue_filled_by_one_caller() -> Queue<u32> {
     let mut queue: Queue<u32> = Queue::default();
     for n in 0..4 {
         put(
@@ -195,34 +196,34 @@
     queue
 }
 
-/// One caller fills the entry's queue. Another caller's first request is not refused for it: the
-/// full queue gives up the hot caller's last, who is told at once.
+/// Guards against one caller that fills an entry's queue and shuts the others out: the first
+/// request of another caller displaces the last one of the hot caller, which is refused at once.
 #[test]
 fn a_hot_caller_does_not_shut_others_out() {
-    let mut queue = full_of_one_caller();
+    let mut queue = queue_filled_by_one_caller();
     let light = Item {
         max_waiting: 4,
         ..item("map", 2)
     };
     let put = queue.enqueue(light, 99, Millis(0), &mut seeded(1));
-    assert_matches!(put, EnqueueOutcome::Waiting { displaced: Some(gone), .. } => {
-        assert_eq!(gone.payload, 3);
-        assert_eq!(gone.reason, RefusalReason::QueueFull);
+    assert_matches!(put, EnqueueOutcome::Waiting { displaced: Some(dropped), .. } => {
+        assert_eq!(dropped.payload, 3);
+        assert_eq!(dropped.reason, RefusalReason::QueueFull);
     });
     let again = Item {
         max_waiting: 4,
         ..item("map", 1)
     };
     let put = queue.enqueue(again, 100, Millis(0), &mut seeded(1));
-    assert_matches!(put, EnqueueOutcome::Refused(gone) => assert_eq!(gone.reason, RefusalReason::QueueFull));
+    assert_matches!(put, EnqueueOutcome::Refused(dropped) => assert_eq!(dropped.reason, RefusalReason::QueueFull));
     assert_eq!(queue.waiting_of(&entry("map")), 4);
 }
 
-/// A daemon's share of an entry's queue is lowered while the queue is full: it shrinks as items leave,
-/// and no place is handed from one caller to another meanwhile.
+/// A bound lowered while the queue is full takes effect as items leave; until then no item of one
+/// caller is displaced for another's.
 #[test]
 fn a_lowered_bound_holds_from_then_on() {
-    let mut queue = full_of_one_caller();
+    let mut queue = queue_filled_by_one_caller();
     let light = Item {
         max_waiting: 2,
         ..item("map", 2)
@@ -232,8 +233,8 @@
     assert_eq!(queue.waiting_of(&entry("map")), 4);
 }
 
-/// The queue drains a hundred a second and fifty wait. A caller whose deadline is in 300 ms is
-/// refused at once; left in line it would have been given up 300 ms later.
+/// Guards against requests that wait only to expire: 50 items wait and 100 drain per second, so a
+/// deadline in 300 ms is refused at once.
 #[test]
 fn what_cannot_be_in_time_is_refused_at_once() {
     let mut queue: Queue<u32> = Queue::default();
@@ -249,14 +250,14 @@
         ..item("map", 1)
     };
     let put = queue.enqueue(due(300), 0, now, &mut seeded(1));
-    assert_matches!(put, EnqueueOutcome::Refused(gone) => assert_eq!(gone.reason, RefusalReason::Deadline));
+    assert_matches!(put, EnqueueOutcome::Refused(dropped) => assert_eq!(dropped.reason, RefusalReason::Deadline));
     let put = queue.enqueue(due(900), 0, now, &mut seeded(1));
     assert_matches!(put, EnqueueOutcome::Waiting { .. });
 }
 
-/// The queue has stood for a quarter of a second: load is beyond capacity, and a longer line serves
-/// nobody more. Whoever would wait for longer than a run takes is refused; a caller with nothing in
-/// line still gets in.
+/// The queue has been standing for more than `STANDING_QUEUE_AFTER`, so the load exceeds the
+/// capacity and a longer queue serves no more. A caller whose request would wait too long is refused;
+/// one with nothing waiting is still accepted.
 #[test]
 fn a_standing_queue_is_kept_short() {
     let mut queue: Queue<u32> = Queue::default();
@@ -273,15 +274,14 @@
         ..item("map", caller)
     };
     let put = queue.enqueue(due(1), 0, now, &mut seeded(1));
-    assert_matches!(put, EnqueueOutcome::Refused(gone) => assert_eq!(gone.reason, RefusalReason::Overload));
+    assert_matches!(put, EnqueueOutcome::Refused(dropped) => assert_eq!(dropped.reason, RefusalReason::Overload));
     let put = queue.enqueue(due(2), 0, now, &mut seeded(1));
     assert_matches!(put, EnqueueOutcome::Waiting { .. });
 }
 
-/// An item whose deadline passes in line is given up in the first millisecond in which it can't be
-/// finished any more, and its caller is told then.
+/// A waiting item expires in the first millisecond in which it cannot finish by its deadline.
 #[test]
-fn an_item_is_given_up_as_soon_as_it_is_too_late() {
+fn an_item_expires_as_soon_as_it_cannot_be_in_time() {
     let mut queue: Queue<u32> = Queue::default();
     put(
         &mut queue,
@@ -294,13 +294,13 @@
     );
     assert_eq!(queue.next_expiry(), Some(Millis(91)));
     assert!(queue.expire(Millis(90), &mut seeded(1)).is_empty());
-    let gone = queue.expire(Millis(91), &mut seeded(1));
-    assert_eq!(gone.len(), 1);
-    assert_eq!(gone[0].reason, RefusalReason::Deadline);
+    let dropped = queue.expire(Millis(91), &mut seeded(1));
+    assert_eq!(dropped.len(), 1);
+    assert_eq!(dropped[0].reason, RefusalReason::Deadline);
     assert!(queue.is_empty());
 }
 
-/// An entry at its concurrency limit does not hold up the others behind it.
+/// An entry at its concurrency limit does not block the entries behind it.
 #[test]
 fn an_entry_at_its_limit_is_passed_over() {
     let mut queue: Queue<&str> = Queue::default();
@@ -312,7 +312,7 @@
     assert_matches!(next, None);
 }
 
-/// A flow that was away for long must not claim the turns that it did not use.
+/// Guards against a flow that saves up turns while it is idle and then claims them all at once.
 #[test]
 fn idleness_is_not_saved_up() {
     let mut queue: Queue<&str> = Queue::default();
--- a/tests/testsuite/properties/grants.rs
+++ b/tests/testsuite/properties/grants.rs
@@ -1,4 +1,4 @@
-//! Floors over exchanges that are lost, late or repeated, and over changes of owner.
+//! Floors of daemons when exchanges are lost, late or repeated and the owner changes.
 
 use super::events::{holder, worker};
 use indexmap::IndexMap;
@@ -15,51 +15,50 @@
 const WORKERS: u8 = 2;
 const SHARE_PERCENT: u32 = 60;
 
-/// One step of a daemon or of the shard.
 #[derive(Clone, Copy, Debug)]
 enum Op {
-    /// A daemon's exchange, and how far it gets.
-    Exchange(u8, Reach),
-    /// A request begins on a worker, if the floor has room.
-    Begin(u8, u8),
-    /// One ends.
-    End(u8, u8),
-    /// An earlier round, which was under way, reaches the present owner.
+    /// A daemon's exchange with the owner, and what happens to it.
+    Exchange(u8, Delivery),
+    /// A request starts on a worker, if the daemon's floor has free capacity.
+    StartRequest(u8, u8),
+    /// A request on a worker ends.
+    EndRequest(u8, u8),
+    /// An earlier round that was in flight reaches the current owner.
     LateRound(u8),
     /// Another owner takes the shard.
     OwnerChange,
-    /// The number of daemons that share changes.
+    /// The number of daemons that share the workers changes.
     Sharers(u8),
 }
 
 #[derive(Clone, Copy, Debug)]
-enum Reach {
+enum Delivery {
     Answered,
     NotDelivered,
-    /// The ledger has it; the answer is lost.
+    /// The ledger has the change; the answer is lost.
     AnswerLost,
-    /// Under way; see [`Op::LateRound`].
+    /// In flight; see [`Op::LateRound`].
     Late,
 }
 
 fn op() -> impl Strategy<Value = Op> {
-    let reach = prop_oneof![
-        4 => Just(Reach::Answered),
-        1 => Just(Reach::NotDelivered),
-        1 => Just(Reach::AnswerLost),
-        1 => Just(Reach::Late),
+    let delivery = prop_oneof![
+        4 => Just(Delivery::Answered),
+        1 => Just(Delivery::NotDelivered),
+        1 => Just(Delivery::AnswerLost),
+        1 => Just(Delivery::Late),
     ];
     prop_oneof![
-        6 => (0..DAEMONS, reach).prop_map(|(d, reach)| Op::Exchange(d, reach)),
-        4 => (0..DAEMONS, 0..WORKERS).prop_map(|(d, w)| Op::Begin(d, w)),
-        3 => (0..DAEMONS, 0..WORKERS).prop_map(|(d, w)| Op::End(d, w)),
+        6 => (0..DAEMONS, delivery).prop_map(|(d, delivery)| Op::Exchange(d, delivery)),
+        4 => (0..DAEMONS, 0..WORKERS).prop_map(|(d, w)| Op::StartRequest(d, w)),
+        3 => (0..DAEMONS, 0..WORKERS).prop_map(|(d, w)| Op::EndRequest(d, w)),
         2 => (0..DAEMONS).prop_map(Op::LateRound),
         1 => Just(Op::OwnerChange),
         1 => (1..=DAEMONS).prop_map(Op::Sharers),
     ]
 }
 
-fn whole() -> Grant {
+fn worker_capacity() -> Grant {
     Grant {
         slots: 8,
         size: Size {
@@ -78,7 +77,7 @@
     }
 }
 
-/// A round on its way: the epoch that it is meant for, its number, what its sender held.
+/// An exchange in flight: the epoch that it is for, its number and the floors that its sender held.
 #[derive(Clone, Debug)]
 struct Round {
     epoch: Epoch,
@@ -89,7 +88,7 @@
 struct World {
     ledger: State,
     epoch: Epoch,
-    /// The last round that the present owner saw of each daemon.
+    /// By daemon: the last round that the current owner received.
     rounds: IndexMap<u8, u64>,
     daemons: Vec<Floors>,
     late: Vec<Vec<Round>>,
@@ -114,7 +113,7 @@
         }
         let part = |w: u8| {
             grants::even_part(
-                &whole(),
+                &worker_capacity(),
                 SHARE_PERCENT,
                 usize::from(d + w),
                 self.sharers.into(),
@@ -123,7 +122,7 @@
         (0..WORKERS).map(|w| (worker(w), part(w))).collect()
     }
 
-    /// The owner's side: refuses a late round, or makes its changes durable.
+    /// Handles a round as the owner: returns false if it is late, or else commits its changes.
     fn receive(&mut self, d: u8, round: &Round) -> bool {
         let last = self.rounds.entry(d).or_default();
         let is_next = round.epoch == self.epoch && round.number > *last;
@@ -131,27 +130,29 @@
         if !is_next {
             return false;
         }
-        let hosts: ByWorker = (0..WORKERS).map(|w| (worker(w), whole())).collect();
+        let hosts: ByWorker = (0..WORKERS)
+            .map(|w| (worker(w), worker_capacity()))
+            .collect();
         let targets = self.targets(d);
         let events = grants::changes(&self.ledger, &hosts, &holder(d), &round.holding, &targets);
         assert_eq!(self.ledger.apply_all(&events), Ok(()));
         true
     }
 
-    fn exchange(&mut self, d: u8, reach: Reach) {
+    fn exchange(&mut self, d: u8, delivery: Delivery) {
         let floors = &mut self.daemons[usize::from(d)];
         let round = Round {
             epoch: self.epoch,
             number: floors.next_round(),
             holding: floors.holding(),
         };
-        match reach {
-            Reach::NotDelivered => {}
-            Reach::Late => self.late[usize::from(d)].push(round),
-            Reach::AnswerLost => {
+        match delivery {
+            Delivery::NotDelivered => {}
+            Delivery::Late => self.late[usize::from(d)].push(round),
+            Delivery::AnswerLost => {
                 self.receive(d, &round);
             }
-            Reach::Answered => {
+            Delivery::Answered => {
                 if self.receive(d, &round) {
                     let floors = self
                         .ledger
@@ -168,14 +169,14 @@
 
     fn run(&mut self, op: Op) {
         match op {
-            Op::Exchange(d, reach) => self.exchange(d, reach),
-            Op::Begin(d, w) => {
+            Op::Exchange(d, delivery) => self.exchange(d, delivery),
+            Op::StartRequest(d, w) => {
                 let floors = &mut self.daemons[usize::from(d)];
                 if floors.has_room(&worker(w), &request()) {
                     floors.take(&worker(w), &request());
                 }
             }
-            Op::End(d, w) => {
+            Op::EndRequest(d, w) => {
                 let floors = &mut self.daemons[usize::from(d)];
                 if floors
                     .held
@@ -202,8 +203,11 @@
         prop_assert_eq!(&self.ledger.committed, &self.ledger.recount());
         for w in 0..WORKERS {
             let committed = self.ledger.committed_on(&worker(w));
-            prop_assert!(committed.slots <= whole().slots, "{committed:?}");
-            prop_assert!(committed.size.fits(&whole().size), "{committed:?}");
+            prop_assert!(committed.slots <= worker_capacity().slots, "{committed:?}");
+            prop_assert!(
+                committed.size.fits(&worker_capacity().size),
+                "{committed:?}"
+            );
             for d in 0..DAEMONS {
                 let Some(floor) = self.daemons[usize::from(d)].held.get(&worker(w)) else {
                     continue;
@@ -231,9 +235,8 @@
 }
 
 proptest! {
-    /// Visitors' requests go on being served from floors while exchanges are lost, late or repeated
-    /// and owners change. What a daemon holds itself to is never above what the ledger has for it,
-    /// and the ledger never gives out more than the worker, so no host is committed beyond its size.
+    /// Guards against workers that are overcommitted by floors: a daemon never uses more than the
+    /// ledger grants it, and all grants together never exceed the worker.
     #[test]
     fn floors_never_sum_beyond_the_worker(ops in vec(op(), 1..150)) {
         let mut world = World::new();
--- a/tests/testsuite/requests/shares.rs
+++ b/tests/testsuite/requests/shares.rs
@@ -15,9 +15,9 @@
 
 const LIMIT_OF_ENTRY: u32 = 8;
 
-/// Callers in two data centres keep an entry at its limit of 8 over four daemons. One data centre is
-/// cut off from the table and goes on inside its share; the other does not take that over, however
-/// much it wants. At no moment do more than 8 run, and both go on answering.
+/// Guards against an exceeded limit during a network cut: two data centres use the whole limit of
+/// 8, and one is cut off from the table. It continues within its share, which the other does not
+/// take over.
 #[actix_rt::test]
 async fn a_limit_holds_over_two_data_centres_also_while_one_is_cut_off() {
     let site = EmbeddedSite::start(&["multan", "lahore"], 2, 2).await;
@@ -25,13 +25,13 @@
     raw.concurrency = Some(LIMIT_OF_ENTRY);
     site.serve_entry(&raw).await;
     site.switch_workers(|switches| switches.request_ms = 150);
-    let most = Cell::new(0);
-    let over = Cell::new(false);
+    let max_running = Cell::new(0);
+    let is_finished = Cell::new(false);
     let answered = [const { Cell::new(0_u32) }; 4];
     let caller = |caller: usize| {
-        let (site, over, answered) = (&site, &over, &answered[caller % 4]);
+        let (site, is_finished, answered) = (&site, &is_finished, &answered[caller % 4]);
         async move {
-            while !over.get() {
+            while !is_finished.get() {
                 let asked = site.daemons[caller % 4].ask("check", &[], "x").await;
                 if asked.is_ok_and(|answer| answer.status.is_success()) {
                     answered.set(answered.get() + 1);
@@ -42,9 +42,9 @@
         }
     };
     let watch = async {
-        while !over.get() {
+        while !is_finished.get() {
             let running = site.workers.iter().map(|w| w.worker.running_requests());
-            most.set(most.get().max(running.sum()));
+            max_running.set(max_running.get().max(running.sum()));
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     };
@@ -58,7 +58,7 @@
         })
         .await;
     };
-    let story = async {
+    let scenario = async {
         all_answer("all four daemons answer").await;
         let cut = vec!["multan-0".to_owned(), "multan-1".to_owned()];
         site.platform.switches.borrow_mut().cut = cut;
@@ -66,21 +66,25 @@
         all_answer("all four answer while one data centre is cut off").await;
         *site.platform.switches.borrow_mut() = PlatformSwitches::default();
         all_answer("all four answer afterwards").await;
-        over.set(true);
+        is_finished.set(true);
     };
     let callers = futures::future::join_all((0..16).map(caller));
-    futures::join!(callers, watch, story);
-    assert!(most.get() <= LIMIT_OF_ENTRY, "{} ran at once", most.get());
-    assert!(most.get() > 4, "{} ran at once", most.get());
+    futures::join!(callers, watch, scenario);
+    assert!(
+        max_running.get() <= LIMIT_OF_ENTRY,
+        "{} ran at once",
+        max_running.get()
+    );
+    assert!(max_running.get() > 4, "{} ran at once", max_running.get());
 }
 
 /// What happens to a write that a party sends.
 #[derive(Clone, Copy, Debug)]
-enum Fate {
+enum WriteOutcome {
     Committed,
     Lost,
     LostAfterEffect,
-    /// Its answer is lost, and it takes effect later if nobody has written since.
+    /// The answer is lost, and the write takes effect later if nobody has written since.
     Late,
 }
 
@@ -88,23 +92,23 @@
 enum Step {
     Start(usize),
     Finish(usize),
-    /// A party reads the row and writes its look.
-    Look(usize, Fate, u32),
+    /// A party reads the row and writes its update.
+    Look(usize, WriteOutcome, u32),
     /// Late writes arrive.
     Arrive,
 }
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
-    let fate = prop_oneof![
-        4 => Just(Fate::Committed),
-        1 => Just(Fate::Lost),
-        1 => Just(Fate::LostAfterEffect),
-        2 => Just(Fate::Late),
+    let outcome = prop_oneof![
+        4 => Just(WriteOutcome::Committed),
+        1 => Just(WriteOutcome::Lost),
+        1 => Just(WriteOutcome::LostAfterEffect),
+        2 => Just(WriteOutcome::Late),
     ];
     let step = prop_oneof![
         4 => (0..3_usize).prop_map(Step::Start),
         3 => (0..3_usize).prop_map(Step::Finish),
-        4 => (0..3_usize, fate, 0..12_u32).prop_map(|(p, fate, waits)| Step::Look(p, fate, waits)),
+        4 => (0..3_usize, outcome, 0..12_u32).prop_map(|(p, outcome, waits)| Step::Look(p, outcome, waits)),
         1 => Just(Step::Arrive),
     ];
     prop::collection::vec(step, 1..120)
@@ -131,7 +135,7 @@
     }
 }
 
-/// The table: the row, its version, and writes that have not arrived.
+/// The table: the row, its version, and writes in flight.
 #[derive(Default)]
 struct Table {
     row: Shares,
@@ -150,7 +154,13 @@
     }
 }
 
-fn look(member: &mut Member, rank: usize, waits: u32, fate: Fate, table: &mut Table) {
+fn update_share(
+    member: &mut Member,
+    rank: usize,
+    waits: u32,
+    outcome: WriteOutcome,
+    table: &mut Table,
+) {
     let in_row = table.row.part(&member.party).map_or(0, |part| part.amount);
     member.allowed.after_read(in_row);
     let next = table.row.looked_at(&Look {
@@ -165,25 +175,25 @@
     });
     let amount = next.part(&member.party).map_or(0, |part| part.amount);
     member.allowed.before_write(amount);
-    match fate {
-        Fate::Committed => {
+    match outcome {
+        WriteOutcome::Committed => {
             assert!(table.write(table.version, next));
             member.allowed.after_write(amount);
         }
-        Fate::Lost => {}
-        Fate::LostAfterEffect => {
+        WriteOutcome::Lost => {}
+        WriteOutcome::LostAfterEffect => {
             table.write(table.version, next);
         }
-        Fate::Late => table.late.push((table.version, next)),
+        WriteOutcome::Late => table.late.push((table.version, next)),
     }
 }
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(2_000))]
 
-    /// Three parties start and finish runs and look at the row in any order, while answers are lost
-    /// and writes arrive late. The parts never add up to more than the limit, and neither do the
-    /// runs; each party's runs stay within its part.
+    /// Guards against an exceeded limit when answers are lost and writes arrive late: the parts and
+    /// the runs of three parties never add up to more than the limit, and each party's runs stay
+    /// within its part.
     #[test]
     fn runs_never_exceed_the_limit_whatever_is_lost_or_late(steps in steps()) {
         let mut members: Vec<Member> = (0..3).map(member).collect();
@@ -194,7 +204,7 @@
                     members[p].running += 1;
                 }
                 Step::Finish(p) => members[p].running = members[p].running.saturating_sub(1),
-                Step::Look(p, fate, waits) => look(&mut members[p], p, waits, fate, &mut table),
+                Step::Look(p, outcome, waits) => update_share(&mut members[p], p, waits, outcome, &mut table),
                 Step::Arrive => {
                     for (version, row) in std::mem::take(&mut table.late) {
                         table.write(version, row);
@@ -212,9 +222,8 @@
     }
 }
 
-/// One party is busy and the others are idle: within a few looks the busy one has most of the limit,
-/// and the idle ones keep some. When another becomes busy, it has its even part back within a few
-/// looks of both.
+/// Within a few updates one busy party gets most of the limit and an idle one keeps some. When the
+/// idle one becomes busy, it gets its even part back.
 #[test]
 fn shares_follow_demand_and_come_back() {
     let mut members: Vec<Member> = (0..2).map(member).collect();
@@ -222,7 +231,13 @@
     let mut rounds = |waits: [u32; 2]| {
         for _ in 0..8 {
             for (rank, member) in members.iter_mut().enumerate() {
-                look(member, rank, waits[rank], Fate::Committed, &mut table);
+                update_share(
+                    member,
+                    rank,
+                    waits[rank],
+                    WriteOutcome::Committed,
+                    &mut table,
+                );
             }
         }
         [0, 1].map(|n| members[n].allowed.amount())
