--- a/tests/testsuite/sched/delegate.rs
+++ b/tests/testsuite/sched/delegate.rs
@@ -1,4 +1,4 @@
-//! Interrupted long-running tasks that go to a shard with room for them.
+//! Delegation of interrupted long-running tasks to a shard with free capacity.
 
 use super::{
     paused,
@@ -18,7 +18,7 @@
 const LIMIT: Duration = Duration::from_secs(10);
 const SHARDS: [ShardId; 2] = [ShardId(0), ShardId(1)];
 
-/// Tasks of two cores that run until they are cancelled: two fill a worker.
+/// Tasks of two cores that run until they are cancelled; a worker has room for two.
 fn lasting(count: u32) -> Vec<Step> {
     let mut step = step(count, 600_000, &[]);
     step.size.millicores = 2_000;
@@ -44,7 +44,7 @@
             })
             .await;
         }
-        // Its owner claims the workers.
+        // Time for the owners to claim their workers.
         sleep(Duration::from_secs(2)).await;
         site
     }
@@ -59,14 +59,14 @@
         racks.map(|(rack, _)| rack.clone()).collect()
     }
 
-    /// Ids of jobs that are at home in a shard.
+    /// Ids of jobs whose home is this shard.
     fn ids(&self, shard: ShardId) -> impl Iterator<Item = u64> {
         let cx = Rc::clone(&self.daemons[0]);
         (1..).filter(move |id| home(&cx, *id) == shard)
     }
 
-    /// Fills three of the first shard's four workers with a job, and has two of these fail for good. The tasks
-    /// of one find room in the shard; the others find none. The job's id.
+    /// Fills three of the first shard's four workers with a job, and crashes two of them for good. The shard has free
+    /// capacity for two of the four interrupted tasks. Returns the job's id.
     async fn strand(&self) -> u64 {
         let id = self.ids(SHARDS[0]).next().expect("an id");
         let owner = self.owner_of(SHARDS[0]).expect("an owner").clone();
@@ -83,7 +83,7 @@
         id
     }
 
-    /// The same, until the other shard runs two of its tasks.
+    /// Like [`Self::interrupt_job`], and waits until the other shard runs two tasks of the job.
     async fn hand_over(&self) -> u64 {
         let id = self.strand().await;
         until("tasks are adopted", LIMIT * 2, async || {
@@ -99,7 +99,7 @@
     }
 }
 
-/// Guards against long-running tasks that wait for ever beside another shard's free hosts.
+/// Guards against long-running tasks that wait for ever while another shard has free hosts.
 #[test]
 fn a_task_without_room_goes_to_a_shard_that_has_some() {
     paused(async {
@@ -118,7 +118,7 @@
     });
 }
 
-/// Guards against interrupted tasks that wait for ever since new ones wait in every shard that has room for them.
+/// Guards against interrupted tasks that wait for ever because new tasks wait in every shard with free capacity.
 #[test]
 fn new_tasks_that_wait_take_no_room_from_interrupted_ones() {
     paused(async {
@@ -134,7 +134,7 @@
     });
 }
 
-/// Guards against a guest that is shown, counted or cancelled as a job of its host shard's.
+/// Guards against a delegated job that is shown or cancelled as one of the shard that adopted its tasks.
 #[test]
 fn the_other_shard_does_not_answer_for_the_job() {
     paused(async {
@@ -152,7 +152,7 @@
     });
 }
 
-/// Guards against tasks that run on after their job was cancelled, since another shard runs them.
+/// Guards against tasks that keep running in another shard after their job was cancelled.
 #[test]
 fn a_cancel_reaches_the_shard_that_runs_the_tasks() {
     paused(async {
@@ -171,7 +171,7 @@
     });
 }
 
-/// Guards against an end that is lost since the job is cancelled while its tasks are being adopted.
+/// Guards against a cancel that is lost because it comes while the tasks are being adopted.
 #[test]
 fn a_cancel_during_a_hand_over_reaches_the_other_shard() {
     paused(async {
@@ -179,7 +179,7 @@
         let id = site.strand().await;
         let owner = site.owner_of(SHARDS[0]).expect("an owner").clone();
         let other = site.owner_of(SHARDS[1]).expect("an owner").clone();
-        until("the decision is made", LIMIT * 2, async || {
+        until("the delegation is decided", LIMIT * 2, async || {
             is_delegated(&owner, SHARDS[0])
         })
         .await;
@@ -195,14 +195,14 @@
     });
 }
 
-/// Guards against tasks that nobody runs, or two shards do: the owner ends between its decision and the hand-over.
+/// Guards against tasks that no shard runs, or two: the owner ends between its decision and the delegation.
 #[test]
 fn a_successor_completes_a_hand_over() {
     paused(async {
         let site = Site::start(&["a", "b", "c"]).await;
         site.strand().await;
         let owner = site.owner_of(SHARDS[0]).expect("an owner").clone();
-        until("the decision is made", LIMIT * 2, async || {
+        until("the delegation is decided", LIMIT * 2, async || {
             is_delegated(&owner, SHARDS[0])
         })
         .await;
@@ -227,7 +227,7 @@
     })
 }
 
-/// Guards against adopted tasks that are forgotten with the owner that adopted them.
+/// Guards against adopted tasks that are lost with the owner that adopted them.
 #[test]
 fn adopted_tasks_outlive_their_owner() {
     paused(async {
@@ -235,7 +235,7 @@
         let id = site.hand_over().await;
         let adopter = site.owner_of(SHARDS[1]).expect("an owner").clone();
         site.world.set_store(&adopter.cfg.name, StoreMood::Away);
-        until("another owns the shards", LIMIT * 2, async || {
+        until("other daemons own the shards", LIMIT * 2, async || {
             let others = site.daemons.iter().filter(|cx| !Rc::ptr_eq(cx, &adopter));
             let owned = |shard| others.clone().any(|cx| owns(cx, shard));
             SHARDS.into_iter().all(owned)
--- a/tests/testsuite/sched/evacuation.rs
+++ b/tests/testsuite/sched/evacuation.rs
@@ -1,4 +1,4 @@
-//! Evacuations of data centres: the belief alone, and the real owners acting on it.
+//! Evacuations of data centres: the known state by itself, and real owners that act on it.
 
 use super::{
     paused,
@@ -22,7 +22,7 @@
 const LIMIT: Duration = Duration::from_secs(5);
 const BOUND: Duration = Duration::from_secs(5);
 const TRANSIT: Duration = Duration::from_millis(750);
-/// By then every daemon has read an evacuation, with one read lost.
+/// Time until every daemon has read an evacuation, even if one read is lost.
 const KNOWN: Duration = Duration::from_millis(1_500);
 
 fn requests(data_centres: &[&str]) -> IndexMap<String, u64> {
@@ -34,7 +34,7 @@
     evacuations.allows_starts(data_centre, Millis(now), BOUND, TRANSIT)
 }
 
-/// Two workers in `karen` and two in `westlands`, under one daemon.
+/// A cluster of two workers in `karen`, two in `westlands` and one daemon.
 async fn two_data_centres() -> (Rc<World>, Cx) {
     let world = World::new(4);
     world.put_in("w0", "westlands");
@@ -51,7 +51,7 @@
     .await;
 }
 
-/// Guards against starts by a daemon that has read nothing yet, or nothing for too long.
+/// Guards against starts by a daemon that has not read the evacuations yet, or not for too long.
 #[test]
 fn a_belief_that_is_missing_or_old_allows_no_start() {
     let mut evacuations = Evacuations::default();
@@ -62,7 +62,7 @@
     assert!(!allows(&evacuations, "karen", 5_250));
 }
 
-/// Guards against an evacuation that ends with another's, or that a repeated request hides.
+/// Guards against an evacuation that ends together with another one, or that a repeated request hides.
 #[test]
 fn evacuations_of_several_data_centres_end_one_by_one() {
     let mut evacuations = Evacuations::default();
@@ -83,7 +83,7 @@
     assert!(note(&mut evacuations, &["karen"], 1_800).is_empty());
 }
 
-/// Guards against new starts in an evacuated data centre, and against ends of what runs there.
+/// Guards against new starts in an evacuated data centre, and against stopping the tasks that run there.
 #[test]
 fn an_evacuated_data_centre_gets_no_start_and_finishes_its_work() {
     paused(async {
@@ -115,7 +115,7 @@
     });
 }
 
-/// Guards against a start that was placed before the evacuation was known and is sent after it.
+/// Guards against a start that is placed before the evacuation is known and sent afterwards.
 #[test]
 fn a_start_that_waits_for_its_journal_row_is_not_sent_into_an_evacuated_data_centre() {
     paused(async {
@@ -127,7 +127,7 @@
         world.set_store("a", StoreMood::Slow);
         let submitted = world.submit(&cx, 1, vec![step(1, 300, &[])]).await;
         assert_matches!(submitted, SubmitReply::Accepted | SubmitReply::Unknown);
-        until("a placement is under way", LIMIT, async || {
+        until("a placement is being written", LIMIT, async || {
             cx.owners()
                 .iter()
                 .any(|owner| !owner.runs.borrow().is_empty())
@@ -155,7 +155,7 @@
         let steps = vec![step(4, 500, &[]), step(12, 500, &[0])];
         assert_matches!(world.submit(&first, 1, steps).await, SubmitReply::Accepted);
         world.set_store("a", StoreMood::Away);
-        until("the other has taken over", LIMIT * 2, async || {
+        until("the other daemon has taken over", LIMIT * 2, async || {
             owns(&second, ShardId(0))
         })
         .await;
@@ -166,7 +166,7 @@
     });
 }
 
-/// Guards against an owner that can write its journal but not read what operators ask for.
+/// Guards against starts by an owner that can write its journal but cannot read the operators' requests.
 #[test]
 fn an_owner_that_cannot_read_evacuations_stops_starting() {
     paused(async {
@@ -189,7 +189,8 @@
     });
 }
 
-/// Guards against jobs that are accepted while nothing can run them, and against a repeat that is refused.
+/// Guards against accepting jobs while no data centre can run them, and against refusing the repeated submission of an
+/// accepted job.
 #[test]
 fn submissions_are_refused_while_every_data_centre_is_evacuated() {
     paused(async {
@@ -223,7 +224,7 @@
     });
 }
 
-/// Guards against an end of the evacuation that is missed, or one that is taken for lasting.
+/// Guards against missing the end of an evacuation when a data centre is evacuated several times in a row.
 #[test]
 fn a_data_centre_that_is_taken_back_gets_work_again() {
     paused(async {
--- a/tests/testsuite/sched/faults.rs
+++ b/tests/testsuite/sched/faults.rs
@@ -1,4 +1,4 @@
-//! The real owner against a store and workers that fail by script.
+//! The real owner with scripted faults of the store and the workers.
 
 use super::{
     paused,
@@ -26,9 +26,9 @@
     }
 }
 
-/// Tasks end while the store takes a third of a second for each row. A worker lists an end until it is acknowledged, and
-/// is looked at again before that. Taken anew at each look, every end went into the journal several times, just
-/// when it could take the least; submissions waited for these rows, and the counters told of ends that never were.
+/// Guards against an end that is journaled several times on a slow store: a worker lists it until it is acknowledged,
+/// and is polled again before that. Submissions waited behind these rows, and the counters showed ends that never
+/// happened.
 #[test]
 fn an_end_is_taken_once_however_late_it_is_acknowledged() {
     paused(async {
@@ -43,7 +43,7 @@
                 SubmitReply::Accepted | SubmitReply::Unknown
             );
         }
-        until("all are over", LIMIT * 4, async || {
+        until("the last job is completed", LIMIT * 4, async || {
             world.state(&cx, 5).await == Some(JobState::Completed)
         })
         .await;
@@ -55,8 +55,8 @@
     });
 }
 
-/// A caller hands in three steps, the last after both others. Each task runs once, in order, and the
-/// caller sees the job completed; a repeat of the submission finds it.
+/// A job of three steps, the last after both others: each task runs once and in order, and a repeated submission finds
+/// the job.
 #[test]
 fn a_graph_runs_in_order_and_once() {
     paused(async {
@@ -84,8 +84,8 @@
     });
 }
 
-/// The store does what it is asked and loses its answers. A caller is told that nobody knows; the repeat is
-/// told that the job is accepted, and it runs once.
+/// Guards against a job that runs twice because the store's answer to its submission was lost. The caller is told that
+/// the outcome is unknown, and the repeated submission is accepted.
 #[test]
 fn a_hand_in_whose_answer_is_lost_is_one_job() {
     paused(async {
@@ -99,7 +99,7 @@
             matches!(first, SubmitReply::Unknown | SubmitReply::Accepted),
             "{first:?}"
         );
-        until("the repeat is accepted", LIMIT, async || {
+        until("the repeated submission is accepted", LIMIT, async || {
             let again = world.submit(&cx, 1, vec![step(1, 100, &[])]).await;
             matches!(again, SubmitReply::Accepted)
         })
@@ -113,8 +113,8 @@
     });
 }
 
-/// The store is away. The first caller waits for the row and is told that nobody knows; the next ones are
-/// refused within milliseconds, since their jobs were not even proposed. What runs goes on running.
+/// The store is unavailable. The first caller waits for its journal row and is told that the outcome is unknown; later
+/// callers are refused within milliseconds, as their jobs were not proposed. Running tasks keep running.
 #[test]
 fn hand_ins_are_refused_at_once_while_the_store_is_away() {
     paused(async {
@@ -138,17 +138,19 @@
             world.state(&cx, 1).await == Some(JobState::Completed)
         })
         .await;
-        until("so is the one in doubt", LIMIT, async || {
-            world.state(&cx, 2).await == Some(JobState::Completed)
-        })
+        until(
+            "the job with unknown outcome is completed",
+            LIMIT,
+            async || world.state(&cx, 2).await == Some(JobState::Completed),
+        )
         .await;
         assert_eq!(world.state(&cx, 3).await, None, "a refusal is final");
         world.check();
     });
 }
 
-/// A worker leaves an order to start unanswered and carries it out two seconds later. Meanwhile the task
-/// has been stopped there and started elsewhere; the late order must not double it.
+/// Guards against a task that runs twice at once: a worker leaves a start order unanswered and executes it two seconds
+/// later, after the task was stopped there and started elsewhere.
 #[test]
 fn an_order_that_is_carried_out_late_doubles_nothing() {
     paused(async {
@@ -171,8 +173,8 @@
     });
 }
 
-/// An order is on its way to a worker that crashes and starts again under its id. The new life knows
-/// neither token nor stopped runs, so the late order would be carried out there too.
+/// Guards against a task that runs twice at once: an order is in flight to a worker that crashes and restarts under its
+/// id. The new incarnation knows neither token nor stopped runs, so it would execute the late order.
 #[test]
 fn a_late_order_to_a_reborn_worker_doubles_nothing() {
     paused(async {
@@ -200,8 +202,8 @@
     });
 }
 
-/// A worker is cut off and runs on under its lease. Its task is started elsewhere only once that has run
-/// out, and not much later.
+/// An unreachable worker keeps running its task until its lease ends. The task is started elsewhere only then, and not
+/// much later.
 #[test]
 fn a_task_on_a_worker_that_is_cut_off_waits_for_its_lease() {
     paused(async {
@@ -210,14 +212,19 @@
         owned(&cx, LIMIT).await;
         let submitted = world.submit(&cx, 1, vec![step(1, 60_000, &[])]).await;
         assert_matches!(submitted, SubmitReply::Accepted);
-        until("it runs", LIMIT, async || world.running_on("w0").len() == 1).await;
+        until("the task runs", LIMIT, async || {
+            world.running_on("w0").len() == 1
+        })
+        .await;
         sleep(Duration::from_secs(3)).await;
         world.add_worker("w1");
         let cut_at = Instant::now();
         world.cut("w0", true);
-        until("it runs elsewhere", Duration::from_secs(12), async || {
-            world.running_on("w1").len() == 1
-        })
+        until(
+            "the task runs elsewhere",
+            Duration::from_secs(12),
+            async || world.running_on("w1").len() == 1,
+        )
         .await;
         let took = cut_at.elapsed();
         assert!(took < Duration::from_millis(8_500), "{took:?}");
@@ -225,8 +232,8 @@
     });
 }
 
-/// A worker crashes and starts again. Its tasks are started again as soon as its new life answers, without
-/// waiting for any lease.
+/// Guards against waiting for the lease of a worker that crashed and restarted: its tasks are started again as soon as
+/// the new incarnation answers.
 #[test]
 fn tasks_of_a_reborn_worker_start_again_at_once() {
     paused(async {
@@ -235,13 +242,16 @@
         owned(&cx, LIMIT).await;
         let submitted = world.submit(&cx, 1, vec![step(2, 3_000, &[])]).await;
         assert_matches!(submitted, SubmitReply::Accepted);
-        until("they run", LIMIT, async || world.running().len() == 2).await;
+        until("the tasks run", LIMIT, async || world.running().len() == 2).await;
         sleep(Duration::from_millis(500)).await;
         world.crash("w0");
         sleep(Duration::from_millis(1_500)).await;
         world.revive("w0");
         let began = Instant::now();
-        until("they run again", LIMIT, async || world.running().len() == 2).await;
+        until("the tasks run again", LIMIT, async || {
+            world.running().len() == 2
+        })
+        .await;
         assert!(
             began.elapsed() < Duration::from_millis(2_500),
             "{:?}",
@@ -251,8 +261,8 @@
     });
 }
 
-/// The store turns the owner away and serves another daemon, which takes over. Running tasks run on, the
-/// earlier owner's orders are refused, and every job is completed once.
+/// The store becomes unavailable to the owner, and another daemon takes over. Running tasks keep running, orders of
+/// the previous owner are refused, and every job is completed once.
 #[test]
 fn a_take_over_interrupts_and_doubles_nothing() {
     paused(async {
@@ -266,27 +276,31 @@
                 .await;
             assert_matches!(submitted, SubmitReply::Accepted);
         }
-        until("they run", LIMIT, async || world.running().len() == 6).await;
+        until("the tasks run", LIMIT, async || world.running().len() == 6).await;
         world.set_store("a", StoreMood::Away);
         owned(&second, LIMIT).await;
         for job in 1..=3 {
-            until("it is completed", Duration::from_secs(10), async || {
-                world.state(&second, job).await == Some(JobState::Completed)
-            })
+            until(
+                "the job is completed",
+                Duration::from_secs(10),
+                async || world.state(&second, job).await == Some(JobState::Completed),
+            )
             .await;
         }
         assert_eq!(world.starts.borrow().len(), 9, "nothing was started twice");
         world.set_store("a", StoreMood::Up);
-        until("the first one knows", LIMIT, async || {
-            first.handle(ShardId(0)).owner.borrow().is_none()
-        })
+        until(
+            "the first daemon has given the shard up",
+            LIMIT,
+            async || first.handle(ShardId(0)).owner.borrow().is_none(),
+        )
         .await;
         world.check();
     });
 }
 
-/// A caller cancels a job and is told so; the owner is turned away before its stops are sent. Whoever takes
-/// over must stop the tasks, which it would renew for ever otherwise.
+/// Guards against a confirmed cancel that is lost with its owner: the store becomes unavailable to the owner before its
+/// stop orders are sent, and the next owner would renew the tasks' leases for ever.
 #[test]
 fn a_cancel_outlives_its_owner() {
     paused(async {
@@ -296,13 +310,13 @@
         let second = world.daemon("b");
         let submitted = world.submit(&first, 1, vec![step(2, 60_000, &[])]).await;
         assert_matches!(submitted, SubmitReply::Accepted);
-        until("it runs", LIMIT, async || world.running().len() == 2).await;
+        until("the task runs", LIMIT, async || world.running().len() == 2).await;
         world.cut("w0", true);
         assert_matches!(world.cancel(&first, 1).await, CancelReply::Done);
         world.set_store("a", StoreMood::Away);
         owned(&second, LIMIT).await;
         world.cut("w0", false);
-        until("the tasks are gone", LIMIT, async || {
+        until("the tasks have ended", LIMIT, async || {
             world.running().is_empty()
         })
         .await;
@@ -311,7 +325,7 @@
     });
 }
 
-/// A worker says that it is leaving: no task is sent there from a second after.
+/// A worker reports that it is leaving: no task is sent to it from one second later.
 #[test]
 fn a_leaving_worker_gets_no_task() {
     paused(async {
@@ -334,7 +348,7 @@
     });
 }
 
-/// A job whose tasks fail wherever they run is given up after as many attempts as its queue allows.
+/// A job whose tasks fail on every worker has failed after the attempts that its queue allows.
 #[test]
 fn a_job_that_can_only_fail_is_given_up() {
     paused(async {
@@ -343,7 +357,7 @@
         owned(&cx, LIMIT).await;
         world.let_fail(JobId(1));
         world.submit(&cx, 1, vec![step(1, 200, &[])]).await;
-        until("it is failed", LIMIT, async || {
+        until("the job has failed", LIMIT, async || {
             world.state(&cx, 1).await == Some(JobState::Failed)
         })
         .await;
@@ -351,8 +365,8 @@
     });
 }
 
-/// A burst of events shares rows: a hundred jobs cost the store some fifty calls a second and not one an
-/// event.
+/// Guards against one store call per event: the events of a burst of a hundred jobs share journal rows, with at most
+/// about 60 calls a second.
 #[test]
 fn a_burst_shares_rows() {
     paused(async {
@@ -377,8 +391,8 @@
     });
 }
 
-/// A wide job comes to an idle site, and one pass places all of its 600 tasks: 100 KB of events, more than
-/// a row takes. The store would refuse the row for ever, and the shard would stand still.
+/// Guards against a shard that is blocked for ever by a journal row that the store refuses: on an idle cluster, one
+/// dispatch pass places all 600 tasks of a job, with 100 KB of events, more than fit into a row.
 #[test]
 fn a_pass_that_places_hundreds_fits_the_rows() {
     paused(async {
@@ -396,8 +410,8 @@
     });
 }
 
-/// A worker takes tasks and does nothing with them. They are stopped there, done elsewhere, and the worker
-/// gets the next ones last.
+/// A worker accepts tasks that make no progress. They are stopped and run elsewhere, and the worker is the last to get
+/// new tasks.
 #[test]
 fn tasks_that_stand_still_go_elsewhere() {
     paused(async {
@@ -413,16 +427,18 @@
         })
         .await;
         world.submit(&cx, 2, vec![step(2, 300, &[])]).await;
-        until("so is the next", Duration::from_secs(1), async || {
-            world.state(&cx, 2).await == Some(JobState::Completed)
-        })
+        until(
+            "the next job is completed",
+            Duration::from_secs(1),
+            async || world.state(&cx, 2).await == Some(JobState::Completed),
+        )
         .await;
         world.check();
     });
 }
 
-/// A worker says that it is leaving. A task that lasts is moved while the worker is still there, in place of
-/// lying down for the seconds until its lease is over.
+/// Guards against long-running tasks that are down until the lease of a worker that left has ended: they are moved
+/// while the worker is still running.
 #[test]
 fn lasting_tasks_leave_a_leaving_worker() {
     paused(async {
@@ -434,21 +450,26 @@
             ..step(1, 60_000, &[])
         };
         world.submit(&cx, 1, vec![lasting]).await;
-        until("it runs", LIMIT, async || world.running_on("w0").len() == 1).await;
+        until("the task runs", LIMIT, async || {
+            world.running_on("w0").len() == 1
+        })
+        .await;
         world.add_worker("w1");
         sleep(Duration::from_secs(1)).await;
         world.leave("w0");
-        until("it runs elsewhere", Duration::from_secs(2), async || {
-            world.running_on("w1").len() == 1
-        })
+        until(
+            "the task runs elsewhere",
+            Duration::from_secs(2),
+            async || world.running_on("w1").len() == 1,
+        )
         .await;
         world.check();
     });
 }
 
-/// A row's answer is lost, and by the time it is sent again another process that somehow has our fence has
-/// put its row at the place. The journal must end: taken for our own, the other's row would have callers
-/// told that jobs are accepted which no journal holds.
+/// A journal row is sent again because its answer was lost, and another process with the same fence has written its row
+/// at the key. The journal must end: if the row were taken for our own, callers would be told that jobs were accepted
+/// which no journal holds.
 #[test]
 fn anothers_row_at_our_place_ends_the_journal() {
     paused(async {
@@ -472,9 +493,8 @@
     });
 }
 
-/// The store turns the owner away and another daemon takes over; callers cut off with the old one still ask
-/// it. It must not say of a job that the new owner has accepted that there is none: the caller would take its
-/// cancel for done, and the job would run on.
+/// Guards against a replaced owner that denies a job which the new owner has accepted: callers that still reach only
+/// the old one would take their cancel for done, while the job keeps running.
 #[test]
 fn an_owner_that_may_be_replaced_denies_no_job() {
     paused(async {
@@ -497,7 +517,7 @@
     });
 }
 
-/// Time from the loss of a worker and of its owner at once to the next run of what ran there.
+/// Returns the time from the simultaneous loss of a worker and its owner until the worker's task runs again.
 async fn restarted_after(world: &Rc<World>, is_gone_known: bool, took_long_ago: bool) -> Duration {
     let first = world.daemon("a");
     owned(&first, LIMIT).await;
@@ -507,7 +527,7 @@
     }
     let submitted = world.submit(&first, 1, vec![step(1, 60_000, &[])]).await;
     assert_matches!(submitted, SubmitReply::Accepted);
-    until("it runs", LIMIT, async || world.running().len() == 1).await;
+    until("the task runs", LIMIT, async || world.running().len() == 1).await;
     let on = world.starts.borrow()[0].2.clone();
     let lost_at = Instant::now();
     world.cut(&on, true);
@@ -518,7 +538,7 @@
         owner.note_previous_owner_ended(&second, second.clock.now());
     }
     let limit = Duration::from_secs(20);
-    until("it runs again", limit, async || {
+    until("the task runs again", limit, async || {
         world.starts_of(&task(1, 0, 0)) == 2
     })
     .await;
@@ -526,22 +546,22 @@
     lost_at.elapsed()
 }
 
-/// A worker is cut off and its owner's daemon killed with it. The successor must wait for as long as the owner may
-/// go on renewing; a daemon that answers as a new run at the owner's address proves that it does not, and what
-/// ran there is started again that much sooner.
+/// A worker becomes unreachable and its owner is killed. The successor must wait for as long as the owner may keep
+/// renewing the worker's lease. A new process that answers at the owner's address proves that it has ended, and the
+/// task is started again more than 2 s sooner.
 #[test]
 fn an_owner_known_to_be_gone_is_not_waited_for() {
     paused(async {
         let silent = restarted_after(&World::new(2), false, true).await;
         let known = restarted_after(&World::new(2), true, true).await;
         let gained = silent.checked_sub(known);
-        let gained = gained.expect("knowing gains time");
+        let gained = gained.expect("the task is restarted sooner");
         assert!(gained > Duration::from_secs(2), "{silent:?}, {known:?}");
     });
 }
 
-/// The same, but the owner that is gone had only just taken the shard: the one before it may still be renewing
-/// within its hold, so knowing the last one gone allows nothing sooner than that.
+/// As above, but the owner that ended had only just taken over the shard: the owner before it may still renew the
+/// worker's lease within its hold time, so the task is not started sooner.
 #[test]
 fn the_owner_before_the_last_may_still_renew() {
     paused(async {
--- a/tests/testsuite/sched/interference.rs
+++ b/tests/testsuite/sched/interference.rs
@@ -1,4 +1,4 @@
-//! Placement of best-effort work beside serving tasks, what is learned of it, and what gives way.
+//! Placement of best-effort tasks beside serving tasks, the interference model, and mitigation.
 
 use lapisdrum::{
     core::{size::Size, time::Millis},
@@ -28,14 +28,15 @@
     }
 }
 
-/// The tail of a task at this utilisation, as a worker would report it.
+/// Tail latency in ms, with 10 % noise, that a worker reports of a serving task at this utilisation.
 fn tail(utilisation: f64, rng: &mut StdRng) -> f64 {
     let scatter = 1.0 + rng.random_range(-0.1..0.1);
     (BASE_MS / (1.0 - utilisation.min(0.98)) * scatter).round()
 }
 
-/// A serving load that swings by half in seven seconds, and two best-effort images of which one presses.
-/// Within ten seconds the model must tell them apart, and follow the load to a tenth.
+/// Guards against a model that attributes swings of the serving load to the tasks beside it. The load swings by half
+/// with a period of 14 s, and one of two best-effort images interferes. Within ten seconds the model must tell them
+/// apart, and after three it must follow the load to 0.12.
 #[test]
 fn the_image_that_presses_is_found_out() {
     let mut rng = StdRng::seed_from_u64(7);
@@ -70,7 +71,8 @@
     assert!(worst < 0.12, "the load is told wrong by {worst}");
 }
 
-/// What one owner has learned, the next one knows; it counts for half there, since some time has passed.
+/// Guards against interference estimates that are lost with their owner. The next owner takes them over with half
+/// their precision, as they may have aged.
 #[test]
 fn a_successor_knows_what_was_learned() {
     let mut model = InterferenceModel::default();
@@ -150,8 +152,8 @@
     }
 }
 
-/// Two hosts with room. One serves near its target; a best-effort task goes to the other, and to none when
-/// both are near.
+/// Of two hosts with free capacity, one has serving tasks near their target latency: a best-effort task is placed on
+/// the other, and on neither when both are near.
 #[test]
 fn left_over_work_stays_off_hosts_near_their_target() {
     let mut model = InterferenceModel::default();
@@ -164,8 +166,9 @@
     assert_eq!(choose(&need, &hosts, &model), None);
 }
 
-/// A host whose serving tasks miss their targets for certain, whatever comes. One more best-effort task made the figure no
-/// worse, seemed to be free and was let in; tails stayed over for as long as such tasks came.
+/// Guards against best-effort tasks on a host whose serving tasks are certain to miss their targets. One more task did
+/// not raise the cost of the misses, so it seemed to be free and was placed; tails stayed over their targets for as
+/// long as such tasks came.
 #[test]
 fn left_over_work_stays_off_hosts_that_miss_their_targets_already() {
     let mut model = InterferenceModel::default();
@@ -175,7 +178,7 @@
     assert_eq!(choose(&need, &hosts, &model), None);
 }
 
-/// Reserving work takes no notice of best-effort work: its processors are its own.
+/// Best-effort tasks do not count against the capacity for tasks that reserve their cores.
 #[test]
 fn left_over_work_is_in_nobodys_way() {
     let model = InterferenceModel::default();
@@ -185,7 +188,7 @@
     assert_eq!(chosen, Some(0));
 }
 
-/// A host is never filled beyond what it has.
+/// Reservations never exceed the capacity of a host.
 #[test]
 fn nothing_goes_where_it_does_not_fit() {
     let model = InterferenceModel::default();
@@ -194,7 +197,7 @@
     assert_eq!(choose(&need(Load::Reserving, None), &[full], &model), None);
 }
 
-/// Serving tasks gather by image.
+/// Serving tasks are placed beside others of their image.
 #[test]
 fn a_serving_task_joins_its_own_image() {
     let mut model = InterferenceModel::default();
@@ -216,7 +219,8 @@
     overload_borne: Duration::from_secs(4),
 };
 
-/// A serving image, and a best-effort one that presses on it with twice its share of the host.
+/// A model that knows a serving image and a best-effort one, which adds twice its share of the host to the
+/// utilisation of the first.
 fn loud_pair() -> (InterferenceModel, Image, Image) {
     let mut model = InterferenceModel::default();
     let (serving, loud) = (model.image("s"), model.image("l"));
@@ -233,7 +237,7 @@
     (model, serving, loud)
 }
 
-/// A best-effort task that has run for two seconds and would go on for ten, with this share of the host.
+/// A checkpointing task with this share of the host, which has run for 2 s and needs 10 s more.
 fn best_effort(image: Image, share: f64) -> BestEffort {
     BestEffort {
         image,
@@ -264,8 +268,8 @@
     mitigation::decide(&inputs, &serving, best_effort)
 }
 
-/// A tail that a best-effort task drives far over its target. What saves its progress is moved away; what doesn't is
-/// slowed until the tail is clear. A task that presses little is left alone.
+/// A best-effort task drives a tail far over its target. It is stopped if it writes checkpoints, so that it can resume
+/// elsewhere, and throttled otherwise. A task that interferes little is left as it is.
 #[test]
 fn a_tail_over_its_target_is_relieved() {
     let (mut model, serving, loud) = loud_pair();
@@ -284,7 +288,7 @@
     assert_eq!(decide(&model, serving, &[light]), []);
 }
 
-/// Of two tasks one presses. Only that one gives way: the other would lose its work for nothing.
+/// Guards against stopping a task that does not interfere: it would lose its work without any gain.
 #[test]
 fn what_does_not_press_goes_on() {
     let (mut model, serving, loud) = loud_pair();
@@ -293,8 +297,8 @@
     assert_eq!(decide(&model, serving, &tasks), [(1, Action::Stop)]);
 }
 
-/// A task that presses hard is over within 0.3 s, sooner than a stop would take. Stopped, it would begin anew
-/// elsewhere, and its whole step would wait for it; the serving tasks would hardly gain.
+/// Guards against stopping an interfering task that ends within 0.3 s, sooner than a stop takes effect. It would be run
+/// again elsewhere and delay its whole step, and the serving tasks would hardly gain.
 #[test]
 fn a_task_that_is_all_but_done_is_not_stopped() {
     let (model, serving, loud) = loud_pair();
@@ -309,7 +313,7 @@
     );
 }
 
-/// A throttled task gets its full CPU limit again as soon as the tails allow it.
+/// The CPU limit of a throttled task returns to 100 % once the tails allow it.
 #[test]
 fn a_throttled_task_is_raised_again() {
     let mut model = InterferenceModel::default();
@@ -325,8 +329,8 @@
     );
 }
 
-/// A tail is over its target while one best-effort task ends and the next one comes, with a moment without any and with
-/// a figure just below in between. Counted anew each time, the bound for all of it was passed unnoticed.
+/// Guards against an overload that restarts its count when one best-effort task ends and the next starts, or when a
+/// single sample lies just below the target: the bound on the total was then exceeded unnoticed.
 #[test]
 fn the_time_over_a_target_runs_on_between_left_over_tasks() {
     let mut overload = Overload::default();
@@ -339,9 +343,9 @@
     assert_eq!(overload.note([0.5, 0.9], Millis(3_000)), None);
 }
 
-/// A tail is over its target and nothing helps by itself: hosts are cleared. Seen late, stopped late and shown late,
-/// the tails must be down before the time that a deployment bears is over; a deployment that bears next to
-/// nothing still gives them a second to come down by themselves.
+/// Guards against an overload that outlasts what a deployment tolerates. With the delays of detection, of the stop and
+/// of the reported tails (1.8 s for the first and last), tails must be down in time after hosts are cleared. However
+/// short the tolerated time, tails get at least a second to recover by themselves.
 #[test]
 fn a_host_is_cleared_before_its_overload_has_lasted_too_long() {
     let seen_late = Duration::from_millis(1_800);
@@ -360,13 +364,13 @@
     assert_eq!(short.longest_over(), Duration::from_secs(1));
 }
 
-/// Serving tasks reserve 30 of 32 cores. While they are told to be idle a render of 12 cores finds room beside
-/// them; at their peak, when it would slow everything down, it does not.
+/// Serving tasks reserve 30 of 32 cores. At low load, a best-effort task of 12 cores is placed beside them; at their
+/// peak, when it would slow them down, it is not.
 #[test]
 fn room_for_leftover_work_follows_the_serving_load() {
     let mut model = InterferenceModel::default();
     let (serving, render) = (model.image("s"), model.image("r"));
-    // A pair that hardly disturbs, so that processors alone decide.
+    // The two images hardly interfere, so only idle cores decide.
     let mut known = victim(serving);
     for round in 0..200_u64 {
         let beside = [Aggressor {
@@ -394,7 +398,8 @@
     assert_eq!(choose(&render, &[busy], &model), None);
 }
 
-/// Guards against a host that is kept free in vain: what long-running tasks leave of it is never enough.
+/// Guards against keeping a host free for a task that can never fit there, because long-running tasks hold too much
+/// of it.
 #[test]
 fn a_host_is_kept_where_the_task_will_fit() {
     let mut model = InterferenceModel::default();
@@ -413,12 +418,15 @@
     assert!(keep_for(&stream, &mut hosts));
     assert_eq!(hosts[0].kept, None);
     assert_eq!(hosts[1].kept, Some(Kept::Processors));
-    assert!(!keep_for(&stream, &mut hosts), "it has room for one only");
+    assert!(
+        !keep_for(&stream, &mut hosts),
+        "the host has capacity for one such task only"
+    );
 }
 
-/// A livestream of eight cores waits on hosts that are nearly full, while maps of two cores come all the time. Each
-/// core that comes free went to a map, and the stream stood still. With the host that has the most room kept free of
-/// them the stream is placed as soon as that host has eight cores; best-effort work goes on there.
+/// Guards against a livestream that starves: it needs eight cores on nearly full hosts, and every core that becomes
+/// free goes to one of the two-core maps that arrive all the time. The host with the most free cores is kept free of
+/// them until the stream fits; best-effort tasks are still placed there.
 #[test]
 fn smaller_tasks_do_not_pass_a_livestream_for_ever() {
     let mut model = InterferenceModel::default();
--- a/tests/testsuite/sched/journal.rs
+++ b/tests/testsuite/sched/journal.rs
@@ -1,4 +1,4 @@
-//! The journal under load, on a store that is quick and on one that is slow.
+//! The journal under load, on a fast and on a slow store.
 
 use super::{
     paused,
@@ -19,7 +19,7 @@
 
 const PART: &str = "shard-0";
 
-/// A daemon that watches nothing, and a journal of its that writes.
+/// A daemon without background tasks, and a journal of it whose writer runs.
 async fn journal(world: &Rc<World>) -> (Cx, Rc<Journal>) {
     let cx = world.idle_daemon("a");
     let (fence, _) = world.fence(PART);
@@ -29,7 +29,7 @@
         delete: Vec::new(),
     };
     let TxnOutcome::Committed(version) = cx.store.commit(&raised).await else {
-        panic!("the fence is not raised");
+        panic!("the fence could not be raised");
     };
     let journal = Rc::new(Journal::new(PART, (fence, version)));
     let (writer, on) = (Rc::clone(&journal), Rc::clone(&cx));
@@ -37,7 +37,7 @@
     (cx, journal)
 }
 
-/// An event of some three kilobytes.
+/// An event of about 3 KB.
 fn event(job: u64) -> Event {
     Event::Accepted {
         job: JobId(job),
@@ -47,9 +47,9 @@
     }
 }
 
-/// 200 KB of events a second on a store that takes 300 ms for each transaction. With one row in each the events
-/// queued up behind each other: a submission at the end waited for several seconds, its caller was told that nobody
-/// knows, and nothing was started. With all that has gathered in one, each waits for two transactions at most.
+/// Guards against journal rows that queue up, at 200 KB of events a second and 300 ms for each transaction. With one
+/// row per transaction, submissions waited several seconds, their callers got no definite answer, and nothing was
+/// started. With all queued rows in one transaction, each event waits for two at most.
 #[test]
 fn a_slow_store_keeps_pace_with_many_events() {
     paused(async {
@@ -72,8 +72,8 @@
     });
 }
 
-/// A snapshot is due, and the store turns slow while it is stored. Rows waited for the object, its pointer and the
-/// deletion of the rows that it covers, which take seconds there; now they are written beside it.
+/// Guards against rows that wait until a snapshot is stored: on a slow store, writing the object and its pointer and
+/// deleting the rows that it covers takes seconds. Rows are written concurrently.
 #[test]
 fn rows_do_not_wait_for_a_snapshot() {
     paused(async {
@@ -97,7 +97,7 @@
     });
 }
 
-/// What was written in one transaction is read back whole and in order, with a snapshot in between.
+/// Rows of one transaction are all recovered, in order, with a snapshot in between.
 #[test]
 fn rows_of_one_transaction_are_recovered_in_order() {
     paused(async {
--- a/tests/testsuite/sched/layout.rs
+++ b/tests/testsuite/sched/layout.rs
@@ -1,4 +1,4 @@
-//! Several shards: who owns which racks, where jobs are at home, and what happens when one owner is gone.
+//! Several shards: the assignment of racks, the home shards of jobs, and the loss of an owner.
 
 use super::{
     paused,
@@ -57,10 +57,10 @@
         steps: vec![step],
         schedule: None,
     };
-    JobSpec::try_from(raw).expect("a good job")
+    JobSpec::try_from(raw).expect("a valid job")
 }
 
-/// 490 workers in racks of twelve make four shards of about as many workers; 66 make one.
+/// 492 workers in racks of twelve make four shards of about the same size; 72 workers and none make one each.
 #[test]
 fn shards_are_as_many_as_the_workers_need() {
     let layout = Layout::first(&racks_of(41, 12), 128);
@@ -73,8 +73,8 @@
     assert_eq!(Layout::first(&[], 128).shards, 1);
 }
 
-/// A pool with a single rack beside a large one: with more than one shard, jobs of the small pool would be at
-/// home where none of its workers is, and never run.
+/// Guards against jobs that never run because their home shard has no workers of their pool: a pool with a single rack
+/// allows one shard only.
 #[test]
 fn every_shard_has_a_rack_of_each_pool() {
     let mut workers = racks_of(41, 12);
@@ -86,7 +86,7 @@
     assert_ne!(layout.racks["s0"], layout.racks["s1"]);
 }
 
-/// A worker that says nothing of its rack is owned too.
+/// Guards against workers that no shard owns because they report no rack.
 #[test]
 fn a_worker_without_a_rack_has_an_owner() {
     let workers = [worker(1, "pool", "")];
@@ -95,8 +95,8 @@
 }
 
 proptest! {
-    /// Racks come in any order while daemons know layouts of different ages: a rack that was dealt stays where
-    /// it is, and a job's home is the same for all of them, near its data or not.
+    /// Racks join in any order, and daemons know layouts of different ages. An assigned rack stays in its shard, and
+    /// all daemons determine the same home of a job, with or without a data rack.
     #[test]
     fn what_was_dealt_stays(
         first in 1_usize..40,
@@ -119,8 +119,8 @@
     }
 }
 
-/// 79 shards and 140 daemons, as many as are designed for. Each shard has daemons that see its lease again within
-/// one lease, or its owner's end would go unseen for twelve seconds; and no shard is passed over by anybody.
+/// Guards against a lapsed lease that is noticed only after twelve seconds, at 79 shards and 140 daemons, the largest
+/// supported size. Every lease is polled often by at least three daemons, and by all of them now and then.
 #[test]
 fn every_shard_is_watched_by_several_daemons() {
     let shards: Vec<ShardId> = (0..79).map(ShardId).collect();
@@ -138,11 +138,11 @@
     assert_eq!(
         lease::poll_order(&shards[..4], 7).len(),
         4,
-        "few shards are all watched alike"
+        "few shards are all polled equally often"
     );
 }
 
-/// Whoever of the daemons owns a shard.
+/// The daemon that owns a shard, if any.
 fn owner_of(daemons: &[Cx], shard: ShardId) -> Option<Cx> {
     daemons.iter().find(|cx| owns(cx, shard)).cloned()
 }
@@ -154,7 +154,7 @@
     .await;
 }
 
-/// A world of so many workers in two shards, each with an owner of two daemons.
+/// A cluster of two shards with half of the workers each, and a daemon for each.
 async fn two_shards(workers: usize) -> (Rc<World>, [Cx; 2]) {
     let world = World::new(workers);
     world.workers_per_shard.set(workers / 2);
@@ -167,12 +167,15 @@
     (world, daemons)
 }
 
-/// A world of so many workers in two shards, both owned by its one daemon, and the queue that jobs go to.
+/// A cluster of two shards with half of the workers each, owned by a single daemon, and the queue for jobs.
 async fn sole_owner(workers: usize) -> (Rc<World>, Cx, Queue) {
     let world = World::new(workers);
     world.workers_per_shard.set(workers / 2);
     let cx = world.daemon("a");
-    until("it owns both", LIMIT, async || cx.owners().len() == 2).await;
+    until("the daemon owns both shards", LIMIT, async || {
+        cx.owners().len() == 2
+    })
+    .await;
     all_owned(std::slice::from_ref(&cx), 2).await;
     let asked = cx.directory.operator_state().await.expect("an answer");
     let queue = asked.catalogue.expect("a catalogue").queues["maps"].clone();
@@ -186,24 +189,28 @@
 }
 
 async fn completed(world: &World, daemons: &[Cx], job: u64) {
-    until("it is completed", Duration::from_secs(20), async || {
-        let Some(cx) = owner_of(daemons, home(&daemons[0], job)) else {
-            return false;
-        };
-        world.state(&cx, job).await == Some(JobState::Completed)
-    })
+    until(
+        "the job is completed",
+        Duration::from_secs(20),
+        async || {
+            let Some(cx) = owner_of(daemons, home(&daemons[0], job)) else {
+                return false;
+            };
+            world.state(&cx, job).await == Some(JobState::Completed)
+        },
+    )
     .await;
 }
 
-/// Two shards, two daemons. Each daemon comes to own one, jobs run in both, and no worker is started on by both
-/// owners: the later claim would have the earlier owner's orders refused, and its tasks stopped as unknown.
+/// Two daemons own one of two shards each. Guards against two owners that start tasks on the same worker: the later
+/// claim makes it refuse the earlier owner's orders, and the earlier owner's tasks are stopped as unknown.
 #[test]
 fn daemons_share_the_shards() {
     paused(async {
         let (world, daemons) = two_shards(4).await;
         assert!(
             daemons.iter().all(|cx| cx.owners().len() == 1),
-            "a daemon that owns one leaves the other to the next"
+            "a daemon that owns one shard leaves the other to the next daemon"
         );
         for job in 1..=12 {
             submit_at_home(
@@ -230,8 +237,8 @@
     });
 }
 
-/// The store turns one of two owners away. Callers of its shard wait for a take-over; the other shard's jobs are
-/// taken and run meanwhile, and afterwards the one daemon that is left owns both and completes everything once.
+/// The store is unavailable to one of two owners. Its shard waits for a takeover, while jobs of the other shard are
+/// accepted and run. Then the remaining daemon owns both shards and completes every job once.
 #[test]
 fn a_lost_owner_stops_its_own_shard_only() {
     paused(async {
@@ -249,7 +256,7 @@
         let left = &daemons[1..];
         let its_own = left[0].owners()[0].handle.shard;
         let job = (100..).find(|id| home(&left[0], *id) == its_own);
-        let job = job.expect("a job of the shard that is left");
+        let job = job.expect("a job of the remaining shard");
         submit_at_home(&world, left, job, vec![step(1, 100, &[])]).await;
         completed(&world, left, job).await;
         all_owned(left, 2).await;
@@ -265,8 +272,8 @@
     });
 }
 
-/// Empty workers on a new rack join while jobs wait. The owner of the first shard deals the rack, the shard that
-/// it falls to takes it in, and what waited runs there.
+/// Workers on new racks join while jobs wait. The owner of the first shard assigns the racks to shards, and waiting
+/// tasks run on them.
 #[test]
 fn a_new_rack_is_dealt_and_used() {
     paused(async {
@@ -287,8 +294,8 @@
     });
 }
 
-/// A job whose data has a place is at home with that rack, which its id doesn't tell. Whoever asks for it by its
-/// id finds it all the same, and an id that nobody submitted is unknown only if every shard says so.
+/// Guards against jobs that cannot be found by their id because their home is the shard of their data rack. An id is
+/// unknown only if every shard says so.
 #[test]
 fn a_job_near_its_data_is_found_by_its_id() {
     paused(async {
@@ -297,11 +304,15 @@
         let spec = near("w1");
         let at = layout.racks["w1"];
         let id = (1..).map(JobId).find(|id| layout.home_by_id(*id) != at);
-        let job = id.expect("an id at home elsewhere");
+        let job = id.expect("an id with another home");
         let submitted = front::submit(&cx, &queue, job, spec.clone()).await;
         assert_eq!(submitted, Outcome::Done(()));
         let again = front::submit(&cx, &queue, job, spec).await;
-        assert_eq!(again, Outcome::Done(()), "a repeat finds it");
+        assert_eq!(
+            again,
+            Outcome::Done(()),
+            "a repeated submission finds the job"
+        );
         let elsewhere = layout.home_by_id(job);
         let asked = peer::answer(&cx, elsewhere, OwnerRequest::Pending("maps".to_owned())).await;
         assert_matches!(asked, OwnerReply::Pending(Some(0)));
@@ -310,11 +321,11 @@
         assert_eq!(front::cancel(&cx, JobId(99)).await, Outcome::NoSuchJob);
         let handle = cx.handle(at);
         let owner = handle.owner.borrow().clone().expect("an owner");
-        owner.lose("the test says so");
+        owner.lose("lost by the test");
         assert_matches!(
             front::show(&cx, JobId(99)).await,
             Outcome::Refused(_),
-            "a shard without an owner may know it"
+            "a shard without an owner may have the job"
         );
         assert!(lease::read(&cx, &handle).await.is_ok());
     });
@@ -333,12 +344,12 @@
         steps,
         schedule: None,
     };
-    JobSpec::try_from(raw).expect("a good job")
+    JobSpec::try_from(raw).expect("a valid job")
 }
 
-/// Livestreams whose ids all fall to one shard. Dealt by their ids alone, half of them would wait for room there
-/// while the other shard is empty; handed on by load all of them run. Each caller that repeats its submission is sent to
-/// the same shard, though the loads have changed since, and finds its job by its id.
+/// Guards against livestreams that wait because all their ids map to one shard while the other is idle: they are
+/// transferred by load. A repeated submission goes to the same shard, although the loads have changed since, and the
+/// job is found by its id.
 #[test]
 fn lasting_jobs_go_where_there_is_room() {
     paused(async {
@@ -371,14 +382,14 @@
         sleep(Duration::from_secs(2)).await;
         let jobs = |owner: &Rc<Owner>| owner.ledger.borrow().jobs.len();
         let accepted: usize = cx.owners().iter().map(jobs).sum();
-        assert_eq!(accepted, ids.len(), "each is accepted once");
+        assert_eq!(accepted, ids.len(), "each job is accepted once");
         assert_eq!(world.running().len(), 16);
         world.check();
     });
 }
 
-/// The same submission comes twice at once, over two connections, to the job's home. Both callers are sent to the same
-/// shard or find the job here; two decisions would run it twice.
+/// Guards against two decisions on a job that is submitted over several connections at once: it would run twice. All
+/// callers are sent to the same shard.
 #[test]
 fn two_hand_ins_at_once_are_decided_once() {
     paused(async {
@@ -393,13 +404,13 @@
         }
         let jobs = |owner: &Rc<Owner>| owner.ledger.borrow().jobs.len();
         let accepted: usize = cx.owners().iter().map(jobs).sum();
-        assert_eq!(accepted, 20, "each is accepted once");
+        assert_eq!(accepted, 20, "each job is accepted once");
         world.check();
     });
 }
 
-/// A job is sent to another shard, and the store turns its home's owner away. The next owner reads the decision from
-/// the journal and sends a repeat to the same shard.
+/// Guards against a job that runs twice because the next owner of its home shard does not know the decision to send it
+/// to another shard: the decision is recovered from the journal.
 #[test]
 fn a_decision_outlives_its_owner() {
     let mut ledger = Ledger::default();
@@ -408,9 +419,9 @@
         to: ShardId(1),
         at_unix_ms: 5,
     };
-    ledger.apply(&sent).expect("it fits");
-    let text = serde_json::to_vec(&ledger).expect("a text form");
-    let mut read: Ledger = serde_json::from_slice(&text).expect("it is read back");
+    ledger.apply(&sent).expect("a valid event");
+    let text = serde_json::to_vec(&ledger).expect("a serialisable ledger");
+    let mut read: Ledger = serde_json::from_slice(&text).expect("the ledger is parsed back");
     assert_eq!(
         read.sent.get(&JobId(1)).map(|sent| sent.to),
         Some(ShardId(1))
@@ -424,7 +435,7 @@
     assert_matches!(
         read.apply(&accepted),
         Err(InvalidEvent::Job(_)),
-        "it is elsewhere"
+        "the job is in another shard"
     );
     let other = Event::Sent {
         job: JobId(1),
@@ -434,9 +445,9 @@
     assert_matches!(
         read.apply(&other),
         Err(InvalidEvent::Job(_)),
-        "decided once"
+        "the decision is final"
     );
     read.apply(&Event::Forgotten { job: JobId(1) })
-        .expect("it fits");
+        .expect("a valid event");
     assert!(read.sent.is_empty());
 }
--- a/tests/testsuite/sched/learning.rs
+++ b/tests/testsuite/sched/learning.rs
@@ -1,4 +1,5 @@
-//! What is learned of images beyond the pairs that met, of loads beyond the present, and what owners tell each other.
+//! Interference estimates of image pairs that never shared a host, load forecasts, and the exchange of estimates
+//! between owners.
 
 use lapisdrum::{
     core::time::Millis,
@@ -24,8 +25,8 @@
     }
 }
 
-/// Images contend for three things; each best-effort image uses one of them or none, each serving image suffers from
-/// one.
+/// Images contend for three resources: each serving image is sensitive to one, each best-effort image uses one or
+/// none.
 fn interferes(victim: usize, aggressor: usize) -> bool {
     aggressor % 4 == victim % 3
 }
@@ -37,7 +38,7 @@
     (victims, aggressors.collect())
 }
 
-/// Shows an owner every pair for which `has_met`.
+/// Feeds a model eight noisy samples of every pair for which `has_met`.
 fn show(model: &mut InterferenceModel, has_met: impl Fn(usize, usize) -> bool, rng: &mut StdRng) {
     let (victims, aggressors) = images(model);
     for round in 0..8_u64 {
@@ -59,7 +60,7 @@
     }
 }
 
-/// The part of the pairs for which `counts` that are told rightly: those that press from those that don't.
+/// The share of the pairs with `counts` that the model classifies correctly as interfering or not.
 fn told_rightly(model: &mut InterferenceModel, counts: impl Fn(usize, usize) -> bool) -> f64 {
     let (victims, aggressors) = images(model);
     let (mut right, mut all) = (0, 0);
@@ -78,8 +79,8 @@
     f64::from(right) / f64::from(all)
 }
 
-/// A third of the pairs has met; the rest would be tried on tasks that serve users, and a fifth of the best-effort
-/// tasks would have to give way again. From what images have in common the others are told.
+/// Guards against trying unknown pairs on tasks that serve users, where a fifth of the best-effort tasks would have to
+/// be stopped again. A third of the pairs has met; the others are predicted from what the images have in common.
 #[test]
 fn pairs_that_never_met_are_told_from_those_that_did() {
     let mut rng = StdRng::seed_from_u64(3);
@@ -93,8 +94,8 @@
     assert!(right >= 0.85, "{right} of the pairs that never met");
 }
 
-/// Two shards, each of which has seen the other half of the pairs. Each tells the other; told again, the same
-/// evidence must not count twice, or an owner grows sure of what was measured once.
+/// Two shards measured one half of the pairs each, and one receives the estimates of the other. Guards against
+/// counting the same evidence twice when it is received again, which would understate the variance.
 #[test]
 fn what_one_owner_learned_another_knows() {
     let mut rng = StdRng::seed_from_u64(4);
@@ -117,7 +118,7 @@
     assert!((variance - again).abs() < 1e-9, "{variance} {again}");
 }
 
-/// Only what is new is told again: an answer stays small however much is known.
+/// Guards against replies that grow with all known pairs: only those measured since the last request are sent.
 #[test]
 fn what_was_told_is_not_told_again() {
     let mut model = InterferenceModel::default();
@@ -141,8 +142,8 @@
     0.45 + 0.22 * (TAU * (at_s / period_s + step as f64 * 0.29)).sin()
 }
 
-/// Loads swing in waves of one length. Told ahead by their slope, a load at its turn is wrong by half the swing within
-/// two seconds, and best-effort tasks are let in that must give way; told by the wave it is right.
+/// Guards against forecasting periodic loads by their slope: near a peak or trough, such a forecast is wrong by half
+/// the swing within two seconds, and best-effort tasks are admitted that must be stopped again.
 #[test]
 fn a_load_that_swings_is_told_ahead() {
     let mut rng = StdRng::seed_from_u64(6);
@@ -176,7 +177,7 @@
     }
 }
 
-/// Loads that only scatter have no period: a wave that isn't there would be told ahead.
+/// Guards against a period found in noise, which would be forecast as a swing that never comes.
 #[test]
 fn a_load_that_only_scatters_has_no_period() {
     let mut rng = StdRng::seed_from_u64(8);
--- a/tests/testsuite/sched/ledger.rs
+++ b/tests/testsuite/sched/ledger.rs
@@ -1,4 +1,4 @@
-//! What a shard remembers: which events fit, and what they add up to.
+//! The ledger of a shard: which events are valid, and the state that results from them.
 
 use super::world::{step, terms};
 use assert_matches::assert_matches;
@@ -16,7 +16,7 @@
         steps,
         schedule: None,
     };
-    Rc::new(JobSpec::try_from(raw).expect("a good job"))
+    Rc::new(JobSpec::try_from(raw).expect("a valid job"))
 }
 
 fn with_job(spec: Rc<JobSpec>) -> Ledger {
@@ -27,7 +27,7 @@
         terms: terms(),
         at_unix_ms: 1_000,
     };
-    ledger.apply(&accepted).expect("it is new");
+    ledger.apply(&accepted).expect("a new job is valid");
     assert_eq!(ledger.apply(&accepted), Err(InvalidEvent::Job(JobId(1))));
     ledger
 }
@@ -68,16 +68,18 @@
     let mut ledger = with_job(spec(vec![step(1, 10, &[]), step(1, 10, &[0])]));
     let early = ledger.apply(&placed(run(1, 0, 1)));
     assert_eq!(early, Err(InvalidEvent::Task(run(1, 0, 1).task)));
-    ledger.apply(&placed(run(0, 0, 1))).expect("it may begin");
+    ledger
+        .apply(&placed(run(0, 0, 1)))
+        .expect("the first step may start");
     ledger
         .apply(&ended(run(0, 0, 1), RunEnd::Done))
-        .expect("it ran");
+        .expect("the run was live");
     ledger
         .apply(&placed(run(1, 0, 1)))
-        .expect("its turn has come");
+        .expect("the step before has ended");
     ledger
         .apply(&ended(run(1, 0, 1), RunEnd::Done))
-        .expect("it ran");
+        .expect("the run was live");
     assert_eq!(ledger.jobs[&JobId(1)].phase, Phase::Completed);
 }
 
@@ -93,7 +95,7 @@
         run: run(0, 0, 1),
         why: Loss::Lapsed,
     };
-    ledger.apply(&lost).expect("it was live");
+    ledger.apply(&lost).expect("the run was live");
     assert_matches!(
         ledger.apply(&placed(run(0, 0, 1))),
         Err(InvalidEvent::Run(_))
@@ -103,7 +105,7 @@
         .expect("a greater number");
     ledger
         .apply(&ended(run(0, 0, 2), RunEnd::Done))
-        .expect("it ran");
+        .expect("the run was live");
     assert_matches!(ledger.apply(&placed(run(0, 0, 3))), Err(_));
 }
 
@@ -117,7 +119,7 @@
             .expect("an attempt is left");
         ledger
             .apply(&ended(run(0, 0, number), RunEnd::Failed))
-            .expect("it ran");
+            .expect("the run was live");
     }
     assert_eq!(ledger.jobs[&JobId(1)].phase, Phase::Failed);
 }
@@ -136,7 +138,7 @@
     }
     ledger
         .apply(&ended(run(0, 1, 1), RunEnd::Done))
-        .expect("it ran");
+        .expect("the run was live");
     assert_eq!(ledger.jobs[&JobId(1)].phase, Phase::Completed);
 }
 
@@ -158,7 +160,7 @@
         };
         ledger
             .apply(&ended(run(0, 0, number), how))
-            .expect("it ran");
+            .expect("the run was live");
     }
     assert_eq!(ledger.jobs[&JobId(1)].phase, Phase::Active);
 }
@@ -187,8 +189,8 @@
     );
 }
 
-/// A graph in which thirty steps each come after all before has more chains than could be walked one by
-/// one while a caller waits.
+/// Guards against enumerating all chains of a graph while a caller waits: thirty steps, each after all earlier ones,
+/// have too many.
 #[test]
 fn the_longest_chain_of_a_dense_graph_is_found_at_once() {
     let steps = (0..30_u16).map(|at| step(1, 10, &(0..at).collect::<Vec<_>>()));
@@ -206,12 +208,12 @@
             times: 3,
         }),
     };
-    let spec = JobSpec::try_from(raw).expect("a good job");
+    let spec = JobSpec::try_from(raw).expect("a valid job");
     assert_eq!(spec.occurrences(), 3);
     assert_eq!(spec.due_unix_ms(2), Some(9_000));
 }
 
-/// Any event, fitting or not.
+/// Any event of a run, valid or not.
 fn any_event() -> impl Strategy<Value = Event> {
     let any_run = (0..2_u16, 0..2_u32, 1..5_u32).prop_map(|(s, i, r)| run(s, i, r));
     let any_how = prop_oneof![
@@ -228,9 +230,8 @@
 }
 
 proptest! {
-    /// Whatever is proposed in whatever order: a task never has two live runs, its numbers rise, a done
-    /// task isn't placed again, the counts of a step are those of its tasks, and a replay of what was
-    /// taken gives the same state.
+    /// For any sequence of events: a task never has two live runs, the counts of a step match its tasks, and a replay
+    /// of the valid events gives the same state.
     #[test]
     fn any_events_keep_the_invariants(events in prop::collection::vec(any_event(), 0..60)) {
         let two = spec(vec![step(2, 10, &[]), step(2, 10, &[0])]);
@@ -239,7 +240,7 @@
         for event in &events {
             let before = ledger.clone();
             match ledger.apply(event) {
-                Ok(()) => replayed.apply(event).expect("it fits the replay too"),
+                Ok(()) => replayed.apply(event).expect("the event is valid in the replay too"),
                 Err(_) => prop_assert_eq!(&before.jobs[&JobId(1)].phase, &ledger.jobs[&JobId(1)].phase),
             }
             for occurrence in ledger.jobs[&JobId(1)].occurrences.values() {
@@ -253,8 +254,8 @@
             }
         }
         prop_assert_eq!(&ledger, &replayed);
-        let text = serde_json::to_vec(&ledger).expect("a text form");
-        let read: Ledger = serde_json::from_slice(&text).expect("it is read back");
+        let text = serde_json::to_vec(&ledger).expect("a serialisable ledger");
+        let read: Ledger = serde_json::from_slice(&text).expect("the ledger is parsed back");
         prop_assert_eq!(read, ledger);
     }
 }
--- a/tests/testsuite/sched/mod.rs
+++ b/tests/testsuite/sched/mod.rs
@@ -1,4 +1,5 @@
-//! The scheduler of job graphs: its pure parts, and the real owner in a world of scripted faults.
+//! Tests of the job graph scheduler: its pure policies, and the real shard owner in a simulated cluster with
+//! injected faults.
 
 mod delegate;
 mod evacuation;
@@ -18,7 +19,7 @@
 mod takeover;
 pub(crate) mod world;
 
-/// Runs a test under a paused clock that jumps to the next timer whenever nothing else is to be done.
+/// Runs a test under a paused clock, which advances to the next timer whenever no task can run.
 fn paused(test: impl Future<Output = ()>) {
     let runtime = || {
         let mut builder = tokio::runtime::Builder::new_current_thread();
--- a/tests/testsuite/sched/order.rs
+++ b/tests/testsuite/sched/order.rs
@@ -1,4 +1,4 @@
-//! The order of waiting steps, and what queues' jobs are expected to take.
+//! The order in which waiting steps are placed, and the estimates of how long the jobs of a queue take.
 
 use lapisdrum::policy::dispatch::{
     duration::DurationEstimates,
@@ -18,8 +18,8 @@
     }
 }
 
-/// A burst: one job can still be on time, one can only be late, one is beyond hope. Served oldest first,
-/// all three would be late.
+/// Guards against a burst in which jobs are served oldest first: of one job that can still be on time, one that
+/// can only be late and one that is too late to have any value, all three would be late.
 #[test]
 fn who_can_be_on_time_goes_first() {
     let (on_time, late, hopeless) = (
@@ -39,11 +39,12 @@
     };
     assert!(
         urgent.rank() < on_time.rank(),
-        "a class goes before the next"
+        "a more urgent priority goes first, whatever the deadlines"
     );
 }
 
-/// Guards against livestreams that stay down while more urgent short work takes each core that comes free.
+/// Guards against interrupted livestreams that are not restarted because more urgent short tasks take every core
+/// that becomes free.
 #[test]
 fn interrupted_long_running_tasks_go_before_everything() {
     let interrupted = RankInputs {
@@ -64,7 +65,8 @@
     assert!(urgent.rank() < new.rank());
 }
 
-/// Guards against short tasks that wait behind long-running ones of their class for room that these keep for minutes.
+/// Guards against short tasks that wait behind long-running ones of the same priority, which hold their cores for
+/// minutes.
 #[test]
 fn short_tasks_go_before_new_long_running_ones_of_their_class() {
     let long_running = RankInputs {
@@ -81,7 +83,7 @@
     }
 }
 
-/// Of two jobs with the same prospect, the one that has begun goes first, however little time the other has.
+/// Of two jobs with the same feasibility, the one in progress goes first, however close the deadline of the other.
 #[test]
 fn a_job_that_has_begun_goes_before_new_ones() {
     let begun = RankInputs {
@@ -96,15 +98,15 @@
     };
     assert!(
         new.rank() < too_late.rank(),
-        "its work would be too late anyway"
+        "a job that cannot be on time has no precedence, even in progress"
     );
 }
 
 /// Places that tasks run in.
 const PLACES: usize = 40;
-/// Tasks of a step; a job has two steps.
+/// A job has two steps.
 const WIDTH: usize = 10;
-/// What a task is said to take; it takes up to 0.8 s more.
+/// Declared duration of a task; it takes up to 0.8 s longer.
 const TASK_MS: u64 = 1_000;
 const STEP_MS: u64 = 10;
 
@@ -142,17 +144,18 @@
     }
 }
 
-/// The share of jobs on time when so many arrive a second for a minute.
+/// Simulates a minute of arrivals and returns the share of jobs that ended on time. Without `durations`, jobs are
+/// ranked by their declared durations only.
 fn on_time_share(jobs_a_second: u64, mut durations: Option<DurationEstimates>) -> f64 {
     let mut jobs: Vec<SimJob> = Vec::new();
     let mut running: BTreeSet<(u64, usize, usize, usize)> = BTreeSet::new();
     for now_ms in (0..90_000).step_by(STEP_MS as usize) {
         while running.first().is_some_and(|(end, ..)| *end <= now_ms) {
-            let (_, job, step, _) = running.pop_first().expect("one runs");
+            let (_, job, step, _) = running.pop_first().expect("a task is running");
             jobs[job].open[step] -= 1;
             if jobs[job].open == [0, 0] {
                 jobs[job].done_ms = Some(now_ms);
-                let begun_ms = jobs[job].begun_ms.expect("it was begun");
+                let begun_ms = jobs[job].begun_ms.expect("a job that ended was started");
                 if let Some(durations) = &mut durations {
                     durations.note("renders", 2 * TASK_MS, now_ms - begun_ms);
                 }
@@ -189,10 +192,10 @@
     jobs.iter().filter(on_time).count() as f64 / jobs.len() as f64
 }
 
-/// Callers hand in twice what the hosts can do, for a minute, and tasks take longer than was said. By the
-/// estimates alone every job is begun when it is all but late, and 0.03 of them are on time; going on with
-/// what has begun, and with what is really expected of the others, 0.49 are, of the 0.48 that there is room
-/// for. Without overload all are.
+/// For a minute, twice as much work is submitted as the hosts can run, and tasks take longer than declared. Ranked
+/// by declared durations alone, every job is started when it is nearly late, and 0.03 of them are on time. With jobs
+/// in progress first and estimated durations for the others, 0.49 are; capacity suffices for 0.48. Without overload
+/// all are on time.
 #[test]
 fn under_overload_jobs_that_have_begun_end_on_time() {
     let with_estimates = |rate| on_time_share(rate, Some(DurationEstimates::default()));
@@ -205,8 +208,9 @@
     assert!(with_estimates(1) > 0.99, "without overload all are");
 }
 
-/// Renders take twice what is estimated. After some twenty of them their queue is expected to; another
-/// queue's jobs, and a single job that stood still for a minute, change little.
+/// Jobs of the queue `renders` take twice their declared duration, and after some twenty its estimate follows. The
+/// estimate of another queue keeps its initial value, and a single job that took a minute changes that of `renders`
+/// little.
 #[test]
 fn a_queue_is_expected_to_take_what_its_jobs_took() {
     let mut durations = DurationEstimates::default();
@@ -218,7 +222,7 @@
     assert_eq!(
         durations.expected_ms("maps", 1_000),
         1_500,
-        "the first guess"
+        "the initial estimate"
     );
     durations.note("renders", 3_000, 60_000);
     assert!(near(durations.expected_ms("renders", 1_000), 2_050));
--- a/tests/testsuite/sched/ownership.rs
+++ b/tests/testsuite/sched/ownership.rs
@@ -1,4 +1,4 @@
-//! How soon a shard has its next owner, and that a slow store is not taken for one that is away.
+//! How soon a shard has its next owner, and that a slow store is not taken for an unavailable one.
 
 use super::{
     paused,
@@ -23,7 +23,7 @@
 
 const LIMIT: Duration = Duration::from_secs(5);
 
-/// An address at which nothing listens.
+/// An address on which nothing listens.
 fn dead_address() -> SocketAddr {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a free port");
     listener.local_addr().expect("an address")
@@ -35,8 +35,8 @@
     began.elapsed()
 }
 
-/// A daemon is killed and started again at its address within its lease. Callers were refused until the lease
-/// of its own earlier run had lapsed; it knows that run to be over, since only one process can listen there.
+/// Guards against a restarted daemon that waits for the lease of its own previous process, while callers are refused.
+/// That process must have ended, as only one can listen on the address.
 #[test]
 fn a_daemon_that_starts_again_waits_for_no_lease() {
     paused(async {
@@ -53,8 +53,8 @@
     });
 }
 
-/// An owner's process is killed. Its row stands still and nothing listens at its address any more: another takes
-/// the shard when one renewal is missing, and doesn't wait for the rest of the lease.
+/// An owner's process is killed, so that nothing listens on its address. Another daemon takes over when one renewal is
+/// missing, without waiting for the rest of the lease.
 #[test]
 fn an_owner_that_is_not_there_is_replaced_before_its_lease_is_over() {
     paused(async {
@@ -70,8 +70,8 @@
     });
 }
 
-/// The store turns an owner away that is otherwise well: it answers, so it keeps its shard for its whole lease.
-/// Taken over at the first missing renewal, a slow store would have the shard change hands all the time.
+/// Guards against a shard that changes owners all the time on a slow store: an owner that answers keeps its shard for
+/// the whole lease, although a renewal is missing.
 #[test]
 fn an_owner_that_answers_keeps_its_lease() {
     paused(async {
@@ -88,8 +88,8 @@
     });
 }
 
-/// Daemons are stopped and started one after another. Who has had its turn takes the shard over from the one
-/// whose turn it is; in the hands of one that is yet to be stopped it would change hands once more.
+/// Guards against needless changes of owner in a rolling restart: a daemon that was already restarted takes over, as
+/// one that is yet to be restarted would have to give the shard up again.
 #[test]
 fn a_shard_goes_to_who_was_started_since() {
     paused(async {
@@ -110,8 +110,8 @@
     });
 }
 
-/// The store's answers take sixty times as long. Callers were refused as though it were away; now their jobs are
-/// accepted and run, if more slowly, and an owner that takes over meanwhile finds them.
+/// Guards against callers that are refused because a store that is 60 times slower is taken for unavailable. Their jobs
+/// are accepted and run, and an owner that takes over meanwhile recovers them.
 #[test]
 fn a_slow_store_is_not_away() {
     paused(async {
@@ -142,10 +142,9 @@
     });
 }
 
-/// The store's answers take sixty times as long for twelve seconds, on a shard that starts some hundred tasks a second
-/// and takes a job each 100 ms. Renewals queued up behind journal rows and calls that were given up; the lease
-/// lapsed under a live owner, all daemons tried to take over in the same part of the store, and nothing was
-/// started until the store was quick again. Now the owner stays, and every submission is accepted.
+/// Guards against the loss of a live owner when the store is 60 times slower for twelve seconds, at a hundred starts
+/// a second and a job each 100 ms. Renewals queued up behind journal rows and abandoned calls, the lease lapsed, all
+/// daemons tried to take over in the same partition of the store, and nothing was started until the store recovered.
 #[test]
 fn a_busy_owner_keeps_its_shard_while_the_store_is_slow() {
     paused(async {
@@ -175,11 +174,11 @@
         assert_eq!(
             world.fence("shard-0").1,
             fence,
-            "another has taken the shard"
+            "another daemon has taken over the shard"
         );
         assert!(others.iter().all(|other| !owns(other, ShardId(0))));
         assert_eq!(accepted.get(), 100);
-        until("all are over", LIMIT * 4, async || {
+        until("all jobs are completed", LIMIT * 4, async || {
             world.state(&first, 99).await == Some(JobState::Completed)
         })
         .await;
@@ -187,8 +186,8 @@
     });
 }
 
-/// A row stands still for longer than a lease. Read from a quick store that is a lapse; read from one whose answers
-/// take sixty times as long it is a renewal under way, which all the daemons that try to take over would hold up.
+/// A lease row is unchanged for longer than a lease. On a fast store the lease has lapsed; on one that is 60 times
+/// slower a renewal is in flight, which takeover attempts of all daemons would delay further.
 #[test]
 fn a_lease_lapses_later_on_a_store_that_answers_late() {
     let row = LeaseRow {
@@ -202,14 +201,14 @@
             answer_took,
             ..LeaseView::default()
         };
-        let value = serde_json::to_vec(&row).expect("a text form").into();
+        let value = serde_json::to_vec(&row).expect("a serialisable row").into();
         let row = Row {
             table: "owners".to_owned(),
             key: "lease".to_owned(),
             value,
             version: 9,
         };
-        view.note(&[row], Millis(0)).expect("a good row");
+        view.note(&[row], Millis(0)).expect("a valid row");
         view
     };
     let is_free = |view: &LeaseView, ms| view.is_free_for(&holder("b"), Millis(ms));
@@ -220,7 +219,7 @@
     let slow = read(Duration::from_millis(360));
     assert!(!is_free(&slow, 3_000));
     assert!(slow.holder(Millis(3_000)).is_some());
-    assert!(is_free(&slow, 4_600), "an owner that is gone is replaced");
+    assert!(is_free(&slow, 4_600), "an owner that has ended is replaced");
 }
 
 fn holder(daemon: &str) -> Holder {
@@ -231,8 +230,8 @@
     }
 }
 
-/// The answer to a renewal is lost; the next renewal goes with journal rows and expects a version that is gone. The
-/// conflict is about that row alone: taken for another owner's work it would end an ownership that holds.
+/// Guards against a valid ownership that ends after the answer to a renewal was lost: the next renewal, piggybacked on
+/// journal rows, expects an outdated version, and the conflict was taken for another owner's write.
 #[test]
 fn a_renewal_whose_answer_was_lost_ends_no_ownership() {
     paused(async {
@@ -253,8 +252,8 @@
     });
 }
 
-/// The same before a planned end: what gives the lease up expects the version that is gone. Given up in one try only,
-/// the lease was left to lapse, and callers were refused meanwhile.
+/// Guards against a lease that is left to lapse in a planned shutdown, while callers are refused: after a lost answer
+/// to a renewal, the release expects an outdated version and must be retried.
 #[test]
 fn a_shard_is_given_up_after_a_renewal_whose_answer_was_lost() {
     paused(async {
@@ -272,11 +271,14 @@
     });
 }
 
-/// Has the answer to the owner's next renewal lost, and returns while it waits for it.
+/// Drops the store's answer to the owner's next renewal, and returns while the owner waits for it.
 async fn lose_a_renewal(world: &Rc<World>, daemon: &str) {
     let before = world.commits();
     world.set_store(daemon, StoreMood::LosesAnswers);
-    until("a renewal is in", LIMIT, async || world.commits() > before).await;
+    until("a renewal is committed", LIMIT, async || {
+        world.commits() > before
+    })
+    .await;
     world.set_store(daemon, StoreMood::Up);
 }
 
@@ -288,9 +290,9 @@
     }
 }
 
-/// A data centre is cut off with its entry hosts, and callers still reach them. A daemon there finds within a
-/// second or so that neither the store nor anybody outside answers, turns not ready, and refuses at once, where each
-/// caller had waited a second for an owner that can't be asked. Once the store answers it is ready again.
+/// A data centre is partitioned from the others, while callers still reach its entry hosts. Guards against callers that
+/// wait a second each for an unreachable owner: a daemon without an answer from the store or from any other data
+/// centre becomes not ready within 1.8 s and refuses at once, until the store answers again.
 #[test]
 fn a_daemon_that_reaches_nobody_says_so() {
     paused(async {
@@ -304,7 +306,7 @@
         world.set_store("b", StoreMood::Away);
         relay.cut();
         until(
-            "it finds itself alone",
+            "the daemon is isolated",
             Duration::from_millis(1_800),
             async || cut_off.reachability.is_isolated(),
         )
@@ -314,15 +316,15 @@
         assert_matches!(outcome, Outcome::Refused(_));
         assert!(began.elapsed() < Duration::from_millis(20));
         world.set_store("b", StoreMood::Up);
-        until("it is ready again", LIMIT, async || {
+        until("the daemon is ready again", LIMIT, async || {
             !cut_off.reachability.is_isolated()
         })
         .await;
     });
 }
 
-/// The owner says that a submission is under way, and nobody is known to own the shard when it is to be asked again. Its row
-/// is written all the same, and the job is there: told that it was refused, the caller would have it twice.
+/// Guards against a submission that is refused although its row is written: the caller would submit the job again and
+/// have it twice. The owner reports the submission as in progress, and is no longer known when it is to be asked again.
 #[test]
 fn a_hand_in_that_was_under_way_is_not_refused() {
     paused(async {
@@ -345,15 +347,15 @@
         let outcome = front::submit(&front, &queue(), JobId(1), spec("work")).await;
         assert_eq!(outcome, Outcome::Unknown);
         world.set_store("a", StoreMood::Up);
-        until("it is accepted", LIMIT, async || {
+        until("the job is accepted", LIMIT, async || {
             world.state(&owner, 1).await.is_some()
         })
         .await;
     });
 }
 
-/// The store is away for everybody. Daemons of other data centres answer, so none takes itself for cut off: all
-/// would leave the balancer together, and callers would find nobody.
+/// Guards against all daemons becoming not ready at once when the store is unavailable, so that no caller is served:
+/// a daemon that daemons of other data centres answer is not isolated.
 #[test]
 fn a_daemon_that_misses_the_store_alone_stays_ready() {
     paused(async {
--- a/tests/testsuite/sched/polling.rs
+++ b/tests/testsuite/sched/polling.rs
@@ -1,4 +1,4 @@
-//! A daemon whose reads the store refuses since there are too many.
+//! A daemon whose reads are rate-limited by the store.
 
 use super::{
     paused,
@@ -10,14 +10,14 @@
 const LIMIT: Duration = Duration::from_secs(5);
 const WHILE: Duration = Duration::from_secs(6);
 
-/// How many reads are made within some seconds.
+/// Counts the reads within one window.
 async fn count(reads: &Cell<usize>) -> usize {
     let before = reads.get();
     sleep(WHILE).await;
     reads.get() - before
 }
 
-/// Guards against reads of leases that use up the rate which reads of the catalogue need on hundreds of daemons.
+/// Guards against lease reads of hundreds of daemons that exhaust the read rate which catalogue reads need.
 #[test]
 fn refused_reads_of_leases_slow_down_and_those_of_the_catalogue_are_repeated() {
     paused(async {
@@ -35,10 +35,10 @@
             refused_catalogue > catalogue * 2,
             "{refused_catalogue} for {catalogue}"
         );
-        assert!(cx.store_up.get(), "a refusal is an answer");
+        assert!(cx.store_up.get(), "a store that refuses reads is up");
         world.set_store("a", StoreMood::Up);
         sleep(LIMIT * 4).await;
-        // A window of this length holds one read more or less by where it begins.
+        // Depending on where it starts, a window holds one read more or less.
         let after = count(&world.lease_reads).await;
         assert!(after.abs_diff(leases) <= 1, "{after} for {leases}");
         world.check();
--- a/tests/testsuite/sched/random.rs
+++ b/tests/testsuite/sched/random.rs
@@ -1,6 +1,6 @@
-//! The real owner under faults drawn at random: whatever comes, no task runs twice at once, none is
-//! started after its end was taken, no worker is overcommitted, nothing is sent to a data centre that was evacuated,
-//! and every accepted job is completed once the faults are over.
+//! The real owner under random faults: no task runs twice at once, none is started after its end was acknowledged, no
+//! worker is overcommitted, nothing is sent to an evacuated data centre, and every accepted job is completed after the
+//! faults have ended.
 
 use super::{
     paused,
@@ -18,7 +18,7 @@
 /// Time for everything to be completed after the last fault.
 const AFTERWARDS: Duration = Duration::from_secs(60);
 
-/// Where each worker is.
+/// Data centre of each worker.
 const DATA_CENTRES: [&str; 3] = ["westlands", "karen", "kilimani"];
 
 #[derive(Clone, Debug)]
@@ -118,7 +118,7 @@
         daemons,
         dead: [false; 3],
     };
-    until("somebody owns the shard", AFTERWARDS, async || {
+    until("a daemon owns the shard", AFTERWARDS, async || {
         play.owner().is_some()
     })
     .await;
@@ -153,15 +153,15 @@
 proptest! {
     #![proptest_config(ProptestConfig { max_shrink_iters: 200, ..ProptestConfig::default() })]
 
-    /// See the module's head.
+    /// Checks the invariants in the module documentation.
     #[test]
     fn nothing_is_doubled_or_lost(faults in prop::collection::vec((50..2_500_u64, any_fault()), 1..14)) {
         paused(play(faults));
     }
 }
 
-/// Both daemons are turned away by the store one after the other while a worker ends what it has, then a
-/// worker crashes: an end that was taken is not forgotten.
+/// Guards against an acknowledged end that is lost: the store becomes unavailable to both daemons in turn while tasks
+/// end on a worker, and then a worker crashes.
 #[test]
 fn ends_taken_before_two_outages_stay_taken() {
     paused(play(vec![
@@ -171,9 +171,8 @@
     ]));
 }
 
-/// A worker is started again under its id while the owner's store loses answers. The owner's look carries
-/// the number up to which the earlier life's ends were taken; the new life numbers its ends from 1 and must
-/// not forget them by it.
+/// Guards against ends that a restarted worker drops unread: it numbers them from 1 again, while the owner's poll still
+/// acknowledges the ends of the previous incarnation by their numbers. Meanwhile the store loses answers.
 #[test]
 fn a_new_lifes_ends_are_not_forgotten_by_the_old_lifes_numbers() {
     paused(play(vec![
--- a/tests/testsuite/sched/resolution.rs
+++ b/tests/testsuite/sched/resolution.rs
@@ -1,4 +1,4 @@
-//! What may be concluded from which evidence.
+//! Resolution of journal writes, runs and leases whose calls may have had no answer.
 
 use super::world::limits;
 use lapisdrum::{
@@ -32,8 +32,9 @@
     )
 }
 
-/// A row's answer is lost and it is sent again. The row that stands at its place is ours only if its nonce
-/// is; taken for ours, the next owner's row would have callers told that jobs are accepted which are not.
+/// A journal row is sent again because its answer was lost, and a row exists at its key. Guards against taking the
+/// next owner's row for our own, which differs by its nonce: callers would be told that jobs were accepted which were
+/// not.
 #[test]
 fn only_our_own_row_at_our_place_counts() {
     assert_eq!(
@@ -78,9 +79,8 @@
     judge_run(RunKnowledge { order, stop }, observation)
 }
 
-/// A look is sent, the worker answers an order to start in the same millisecond, and the look's answer,
-/// which is older, comes in after it without the run. Taken for the run's end, the task would be started a
-/// second time beside itself.
+/// Guards against a run taken for lost because a poll response does not list it that is older than the answer to the
+/// start order: both can fall into one millisecond, and the task would run twice at once.
 #[test]
 fn a_look_that_may_be_older_than_the_order_settles_nothing() {
     let answered = Order::Answered(Millis(100));
@@ -96,8 +96,8 @@
     assert_eq!(later, RunVerdict::Lost(Loss::NotThere));
 }
 
-/// A start has no answer and isn't listed. It may be carried out seconds later, so only a stop settles it:
-/// once that is confirmed, the worker never runs it.
+/// A start order is unanswered and its run isn't listed. The worker may still execute it seconds later, so only a
+/// confirmed stop resolves it: after that the worker never starts the run.
 #[test]
 fn a_silent_start_is_settled_by_a_stop_alone() {
     for is_same_incarnation in [true, false] {
@@ -143,7 +143,7 @@
     );
 }
 
-/// Nothing is concluded about a run whose order is not sent or under way.
+/// A run whose start order is unsent or in flight is not resolved.
 #[test]
 fn an_order_under_way_is_waited_for() {
     for order in [Order::NotSent, Order::InFlight] {
@@ -151,9 +151,8 @@
     }
 }
 
-/// A worker falls silent. Its tasks may be started elsewhere after its lease, counted from the last answer;
-/// a lease without an answer counts from its sending, and for the longest delay where workers were seen to
-/// carry orders out late.
+/// When the tasks of an unresponsive worker may be started elsewhere: after its lease, counted from the last answer. An
+/// unanswered lease counts from its sending, plus the longest delay of an order if late execution was seen.
 #[test]
 fn a_lease_is_over_when_nothing_can_extend_it() {
     let limits = limits();
@@ -163,7 +162,7 @@
     bound.note_sent();
     assert!(
         !bound.has_ended(at(60_000), LateExecution::NotSeen, &limits),
-        "a call is under way"
+        "a call is in flight"
     );
     bound.note_answered(at(2_000));
     assert!(!bound.has_ended(at(8_000), LateExecution::NotSeen, &limits));
@@ -176,7 +175,7 @@
     assert!(bound.has_ended(at(21_700), LateExecution::Seen, &limits));
 }
 
-/// A new owner can't reach a worker. The earlier owner may have renewed it until its hold was over.
+/// A new owner cannot reach a worker, whose lease the previous owner may have renewed until the end of its hold time.
 #[test]
 fn the_hold_of_an_earlier_owner_is_waited_out() {
     let limits = limits();
@@ -190,8 +189,8 @@
     ));
 }
 
-/// A worker falls silent and may be in a new life when it answers next, in which it numbers its ends from 1.
-/// The number up to which the earlier life's ends were taken must not be sent to it.
+/// Guards against acknowledging ends that were never received: a worker that did not answer may be in a new
+/// incarnation, which numbers its ends from 1 again.
 #[test]
 fn nothing_is_acknowledged_after_a_silence() {
     let mut session = Session::new(LeaseBound::inherited(Millis(0), &limits()));
@@ -201,8 +200,8 @@
     assert_eq!(session.ackable(), 0);
 }
 
-/// Only a conflict with our fence and nothing at our place is about the row that rode along: without the fence
-/// another owner has come, and with a row at our place the journal rows themselves are in question.
+/// A conflict is caused by the piggybacked row only if the fence is ours and no row exists at our key. Without the
+/// fence, another owner has taken over; with a row at our key, the journal rows themselves are in conflict.
 #[test]
 fn a_conflict_is_about_the_rider_only_with_our_fence_and_a_free_place() {
     let judge = |end: &TxnOutcome, holds_fence, is_place_free| {
--- a/tests/testsuite/sched/room.rs
+++ b/tests/testsuite/sched/room.rs
@@ -1,4 +1,4 @@
-//! What log lines say of how full hosts are, and of what keeps them from taking a task.
+//! Log fields on the free capacity of hosts and on the reasons why a task fits none.
 
 use lapisdrum::{
     core::size::Size,
@@ -18,7 +18,7 @@
     }
 }
 
-/// A host of ten cores of which so many are reserved, none by serving tasks.
+/// A host of ten cores, of which `reserved` are reserved by tasks other than serving ones.
 fn host(reserved: u64) -> Host<'static> {
     Host {
         id: "host",
@@ -52,7 +52,7 @@
     }
 }
 
-/// Guards against lines that read alike whether hosts are full or what is free lies in pieces.
+/// Guards against log lines that do not distinguish full hosts from fragmented free capacity.
 #[test]
 fn free_room_in_pieces_is_told_from_full_hosts() {
     let model = InterferenceModel::default();
--- a/tests/testsuite/sched/short_work.rs
+++ b/tests/testsuite/sched/short_work.rs
@@ -1,4 +1,4 @@
-//! Short tasks beside long-running ones of their priority: what callers of each get while both ask for the same room.
+//! Short tasks and long-running ones of the same priority that compete for the same capacity.
 
 use super::{
     paused,
@@ -19,7 +19,7 @@
 use tokio::time::{Instant, sleep};
 
 const LIMIT: Duration = Duration::from_secs(5);
-/// Ids of short jobs begin here.
+/// The first id of a short job.
 const FIRST_SHORT: u64 = 100;
 
 fn long_running(count: u32, cores: u64) -> Vec<Step> {
@@ -29,7 +29,7 @@
     vec![step]
 }
 
-/// Four workers of four cores, of which a long-running job holds three each.
+/// A cluster of four workers with four cores each, three of which a long-running job holds.
 async fn nearly_full() -> (Rc<World>, Cx) {
     let world = World::new(4);
     let cx = world.daemon("a");
@@ -50,7 +50,7 @@
     world.state(cx, id).await == Some(JobState::Completed)
 }
 
-/// Guards against short tasks that wait for as long as long-running ones of their priority take each core that comes free.
+/// Guards against short tasks that starve while long-running ones of their priority take every core that becomes free.
 #[test]
 fn new_long_running_tasks_are_placed_after_short_ones_that_wait() {
     paused(async {
@@ -60,7 +60,7 @@
             submit(&world, &cx, id, vec![step(1, 400, &[])]).await;
         }
         submit(&world, &cx, 2, long_running(4, 1)).await;
-        // Three rounds of four tasks each, and as much again for orders and looks.
+        // Three rounds of four tasks of 400 ms each, and as much again for orders and polls.
         until(
             "the short jobs are completed",
             Duration::from_millis(2_400),
@@ -77,7 +77,7 @@
     });
 }
 
-/// Guards against a short lull in which long-running tasks take the room that short ones need again a moment later.
+/// Guards against long-running tasks that, in a short lull, take the cores that short ones need again 300 ms later.
 #[test]
 fn a_lull_gives_no_room_of_short_tasks_to_long_running_ones() {
     paused(async {
@@ -96,12 +96,12 @@
             }
             sleep(Duration::from_millis(300)).await;
         }
-        assert_eq!(late, 0, "short jobs that waited for room");
+        assert_eq!(late, 0, "short jobs that waited for free cores");
         world.check();
     });
 }
 
-/// Guards against room that is kept for short tasks that have stopped coming.
+/// Guards against cores that stay reserved for short tasks after these have stopped coming.
 #[test]
 fn long_running_tasks_get_the_room_once_no_short_ones_come() {
     paused(async {
@@ -123,13 +123,13 @@
     }
 }
 
-/// Short tasks of this class wait for so many thousandths of a core at this second.
+/// Records that, at this second, waiting short tasks of the class ask for `waiting` millicores.
 fn note(work: &mut ShortWork, class: &Class, waiting: u64, second: u64) {
     let waiting = IndexMap::from([(class.clone(), waiting)]);
     work.note_waiting(&waiting, Millis(second * 1_000));
 }
 
-/// Guards against urgent long-running tasks that wait for the sake of less urgent short ones, or of another pool's.
+/// Guards against long-running tasks that wait for less urgent short ones, or for those of another pool.
 #[test]
 fn only_short_tasks_of_the_pool_that_are_as_urgent_count() {
     let mut work = ShortWork::default();
@@ -140,7 +140,7 @@
     assert_eq!(work.headroom(&class("b", 1), 100_000), 0);
 }
 
-/// Guards against a backlog of short tasks that shuts long-running ones out.
+/// Guards against a backlog of short tasks that starves long-running ones.
 #[test]
 fn a_backlog_leaves_most_of_the_pool_to_long_running_tasks() {
     let mut work = ShortWork::default();
--- a/tests/testsuite/sched/takeover.rs
+++ b/tests/testsuite/sched/takeover.rs
@@ -1,4 +1,4 @@
-//! What an owner that was replaced may still do, and what its successor may conclude.
+//! What a replaced owner may still do, and what its successor may conclude.
 
 use super::{
     paused,
@@ -29,12 +29,12 @@
     let second = world.daemon("b");
     let steps = vec![step(1, 60_000, &[])];
     assert_matches!(world.submit(&first, 1, steps).await, SubmitReply::Accepted);
-    until("it runs", LIMIT, async || world.running().len() == 1).await;
+    until("the task runs", LIMIT, async || world.running().len() == 1).await;
     [first, second]
 }
 
-/// Guards against a task that runs twice: its worker hears only the owner that the store turns away, whose renewals
-/// must be over before the successor starts the task elsewhere.
+/// Guards against a task that runs twice at once: only the owner without access to the store reaches its worker, and
+/// must have stopped renewing the worker's lease before the successor starts the task elsewhere.
 #[test]
 fn a_replaced_owner_stops_renewing_before_its_successor_starts_anew() {
     paused(async {
@@ -44,7 +44,7 @@
         world.cut_from("b", if on_first[0] { "w0" } else { "w1" });
         world.set_store("a", StoreMood::Away);
         owned(&second, LIMIT).await;
-        until("it is started anew", LIMIT * 6, async || {
+        until("the task is started again", LIMIT * 6, async || {
             world.starts.borrow().len() == 2
         })
         .await;
@@ -53,7 +53,8 @@
     });
 }
 
-/// Guards against a cancel that is confirmed and then forgotten: the first one's row is not durable yet.
+/// Guards against a repeated cancel that is confirmed while the journal row of the first is not durable, and lost with
+/// the owner.
 #[test]
 fn a_second_cancel_is_confirmed_no_sooner_than_the_first() {
     paused(async {
@@ -68,14 +69,14 @@
     });
 }
 
-/// An address that accepts connections and never answers, as that of a frozen process.
+/// An address that accepts connections and never answers, like that of a frozen process.
 fn frozen_address() -> (std::net::TcpListener, SocketAddr) {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = listener.local_addr().expect("an address");
     (listener, address)
 }
 
-/// Guards against a frozen or slow owner that is replaced at its first missing renewal.
+/// Guards against replacing a frozen or slow owner at its first missing renewal.
 #[test]
 fn an_owner_that_does_not_answer_keeps_its_lease() {
     paused(async {
@@ -93,7 +94,7 @@
     });
 }
 
-/// Guards against an owner found gone whose successors are then taken for gone too.
+/// Guards against taking the successors of an owner that has ended for ended too.
 #[test]
 fn a_successor_of_an_owner_that_was_gone_keeps_the_shard() {
     paused(async {
@@ -105,7 +106,7 @@
         let others = ["b", "c"].map(|name| world.daemon(name));
         sleep(Duration::from_secs(1)).await;
         world.set_store("a", StoreMood::Away);
-        until("one has taken over", LIMIT, async || {
+        until("another daemon has taken over", LIMIT, async || {
             others.iter().any(|cx| owns(cx, ShardId(0)))
         })
         .await;
@@ -115,7 +116,8 @@
     });
 }
 
-/// Guards against a daemon that leaves the balancer while the store answers it: others' silence alone is no cut.
+/// Guards against a daemon that becomes not ready while the store answers: unreachable daemons alone do not make it
+/// isolated.
 #[test]
 fn a_daemon_that_reaches_the_store_stays_ready() {
     paused(async {
@@ -133,8 +135,8 @@
     });
 }
 
-/// Guards against a shard that is never recovered again: an owner ended after its snapshot was stored and before the rows
-/// that it covers were deleted.
+/// Guards against a shard that can never be recovered because its owner ended after storing a snapshot and before
+/// deleting the rows that the snapshot covers.
 #[test]
 fn rows_that_a_snapshot_covers_are_passed_over() {
     paused(async {
@@ -146,11 +148,11 @@
             ..Txn::default()
         };
         let TxnOutcome::Committed(version) = cx.store.commit(&raise).await else {
-            panic!("the fence is not raised");
+            panic!("the fence could not be raised");
         };
         let journal = Rc::new(Journal::new("shard-0", (fence, version)));
         let (writer, on) = (Rc::clone(&journal), Rc::clone(&cx));
-        let state = || serde_json::to_vec(&Ledger::default()).expect("a text form");
+        let state = || serde_json::to_vec(&Ledger::default()).expect("a serialisable ledger");
         actix_rt::spawn(async move { writer.write_all(&on, state).await });
         let accepted = |job| Event::Accepted {
             job: JobId(job),
--- a/tests/testsuite/sched/world.rs
+++ b/tests/testsuite/sched/world.rs
@@ -1,9 +1,9 @@
-//! A store, workers and a directory in memory, with faults by script, and the scheduler's own parts on top.
+//! An in-memory store, workers and directory with scripted faults, on which real daemons run.
 //!
-//! Time is the runtime's, paused. The workers keep the promises that the scheduler is built on (tokens,
-//! leases, ends listed until they are acknowledged) and note every breach of what must hold: two runs of a
-//! task at once, a task started again after its end was taken, a worker over its capacity, a step begun
-//! before the ones before it.
+//! Time is the runtime's paused clock. The workers keep the guarantees that the scheduler relies on (fencing tokens,
+//! leases, ends listed until they are acknowledged), and violations of its invariants are recorded: two runs of a task
+//! at once, a task started again after its end was acknowledged, a worker over its capacity, a step started before
+//! the steps that it depends on have ended, a start sent to a data centre after its evacuation deadline.
 
 mod relay;
 mod store;
@@ -64,27 +64,27 @@
 /// Step of a worker that waits for an end.
 const WAIT_STEP: Duration = Duration::from_millis(10);
 
-/// What the store does with a daemon's calls.
+/// How the store responds to a daemon's calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum StoreMood {
-    /// Answers.
+    /// Executes calls and answers.
     Up,
-    /// Neither does anything nor answers.
+    /// Neither executes calls nor answers.
     Away,
-    /// Does what it is asked and loses the answers of writes.
+    /// Executes calls, but the answers to writes are lost.
     LosesAnswers,
-    /// Takes sixty times as long as usual for everything, and does the transactions of a part one after another.
+    /// Is 60 times slower, and executes the transactions of a partition one after another.
     Slow,
-    /// Refuses reads, since there are too many of them.
+    /// Refuses reads with a rate-limit error.
     RefusesReads,
 }
 
-/// What a worker does with orders to start.
+/// How a worker responds to start orders.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum WorkerMood {
-    /// Carries them out and answers.
+    /// Executes them and answers.
     Prompt,
-    /// Leaves them unanswered and carries them out after this time.
+    /// Leaves them unanswered and executes them after this time.
     Late(Duration),
 }
 
@@ -93,7 +93,7 @@
     rows: IndexMap<(String, String, String), (bytes::Bytes, u64)>,
     version: u64,
     objects: IndexMap<String, bytes::Bytes>,
-    /// Until when a part of a slow store has transactions to do.
+    /// When each partition of a slow store has executed its queued transactions.
     busy_until: IndexMap<String, Instant>,
     /// Transactions that took effect.
     commits: u64,
@@ -113,17 +113,17 @@
     capacity: Size,
     running: IndexMap<RunId, Running>,
     ended: Vec<ListedEnd>,
-    /// When each of them was.
+    /// Times of the ends, by number.
     ended_at: IndexMap<u64, Instant>,
-    /// When its lease ran out last.
+    /// Time at which its lease last ended.
     lapsed_at: Option<Instant>,
     over: IndexMap<TaskId, RunNumber>,
     next_end: u64,
     token: u64,
     lease_until: Instant,
-    /// Whether nothing reaches it; it runs on.
+    /// Whether it is unreachable; its tasks keep running.
     is_cut: bool,
-    /// Whether it is dead; nothing runs there.
+    /// Whether it has crashed.
     is_dead: bool,
     is_listed: bool,
     data_centre: String,
@@ -132,44 +132,43 @@
     is_stalled: bool,
 }
 
-/// Where daemons and workers are, unless a test says otherwise.
+/// Default data centre of daemons and workers.
 const DATA_CENTRE: &str = "karen";
 
-/// Everything around the daemons.
+/// The simulated environment of the daemons.
 pub(crate) struct World {
     rows: RefCell<Rows>,
     moods: RefCell<IndexMap<String, StoreMood>>,
     /// How long a slow store works on a transaction, and how much later its answer comes.
     slow_txn: Cell<(Duration, Duration)>,
     workers: RefCell<IndexMap<String, Worker>>,
-    /// Since when data centres are evacuated, by the store's acknowledgement.
+    /// Evacuated data centres, and when the evacuation was acknowledged.
     evacuated: RefCell<IndexMap<String, Instant>>,
-    /// Run time of tasks of each step, by job.
+    /// Steps of submitted jobs; tasks take the estimated time of their step.
     jobs: RefCell<IndexMap<JobId, Vec<Step>>>,
     /// Tasks of which an end as done was acknowledged.
     taken: RefCell<IndexSet<TaskId>>,
     done: RefCell<IndexSet<TaskId>>,
-    /// Steps that fail wherever they run.
+    /// Jobs whose tasks fail on every worker.
     failing: RefCell<IndexSet<JobId>>,
-    /// Whether orders that are carried out late outlive their worker's crash, as packets on the way may;
-    /// by default they are lost with it.
+    /// Whether delayed orders outlive a crash of their worker, as packets in flight may; by default they are lost.
     pub(crate) orders_outlive_crashes: Cell<bool>,
-    /// Workers that one daemon can't reach.
+    /// Pairs of a daemon and a worker that it cannot reach.
     paths_cut: RefCell<IndexSet<(String, String)>>,
     /// Reads of leases and of what operators ask for, answered or refused.
     pub(crate) lease_reads: Cell<usize>,
     pub(crate) operator_reads: Cell<usize>,
-    /// Whether nobody can read what operators ask for.
+    /// Whether reads of the operators' state get no answer.
     pub(crate) operators_are_silent: Cell<bool>,
-    /// Most workers of a shard, for daemons made from now on; all in one at first.
+    /// Target number of workers per shard, for daemons created from now on; unlimited by default.
     pub(crate) workers_per_shard: Cell<usize>,
-    /// Starts that were carried out.
+    /// Executed start orders: when, which run, on which worker.
     pub(crate) starts: RefCell<Vec<(Instant, RunId, String)>>,
     /// What must not happen and did.
     pub(crate) breaches: RefCell<Vec<String>>,
 }
 
-/// A listener at a free port, and its address.
+/// Opens a listener on a free port.
 fn listen() -> (TcpListener, SocketAddr) {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a free port");
     listener.set_nonblocking(true).expect("a socket");
@@ -178,7 +177,7 @@
     (listener, address)
 }
 
-/// The queue that all jobs of these tests go to.
+/// Settings of the queue of all jobs.
 pub(crate) fn terms() -> QueueConfig {
     QueueConfig {
         queue: "maps".to_owned(),
@@ -198,10 +197,10 @@
         steps: vec![step(1, 100, &[])],
         schedule: None,
     };
-    JobSpec::try_from(raw).expect("a good job")
+    JobSpec::try_from(raw).expect("a valid job")
 }
 
-/// A step of so many tasks that take so long, on one core and a gigabyte each.
+/// A step of tasks that take `estimate_ms`, one core and 1 GB each.
 pub(crate) fn step(count: u32, estimate_ms: u64, after: &[u16]) -> Step {
     Step {
         count,
@@ -217,7 +216,7 @@
 }
 
 impl World {
-    /// A world with workers of four cores each, one a rack, named `w0`, `w1` and so on.
+    /// Creates workers of four cores named `w0`, `w1` and so on, each in a rack of its own.
     pub(crate) fn new(workers: usize) -> Rc<Self> {
         let world = Rc::new(Self {
             rows: RefCell::default(),
@@ -244,7 +243,6 @@
         world
     }
 
-    /// Adds a worker.
     pub(crate) fn add_worker(&self, id: &str) {
         let capacity = Size {
             millicores: 4_000,
@@ -275,12 +273,12 @@
         self.workers.borrow_mut().insert(id.to_owned(), worker);
     }
 
-    /// A daemon in this world that watches the lease, and answers whoever asks for it.
+    /// Starts a daemon that polls leases and answers requests of other daemons.
     pub(crate) fn daemon(self: &Rc<Self>, name: &str) -> Cx {
         self.daemon_in(name, DATA_CENTRE)
     }
 
-    /// A daemon in another data centre.
+    /// Like [`Self::daemon`], in another data centre.
     pub(crate) fn daemon_in(self: &Rc<Self>, name: &str, data_centre: &str) -> Cx {
         let (listener, address) = listen();
         let cx = self.make_daemon(name, data_centre, address);
@@ -288,7 +286,7 @@
         cx
     }
 
-    /// The same, where other daemons reach it through a relay.
+    /// Like [`Self::daemon_in`], where other daemons reach it through a relay.
     pub(crate) fn daemon_behind_relay(
         self: &Rc<Self>,
         name: &str,
@@ -300,12 +298,12 @@
         (cx, Relay::start(relayed, target))
     }
 
-    /// A daemon that watches the lease and is said to be at an address where nobody answers for it.
+    /// Starts a daemon that polls leases, but does not serve the address under which other daemons know it.
     pub(crate) fn daemon_at(self: &Rc<Self>, name: &str, address: SocketAddr) -> Cx {
         self.make_daemon(name, DATA_CENTRE, address)
     }
 
-    /// A daemon that does nothing by itself.
+    /// Creates a daemon without background tasks.
     pub(crate) fn idle_daemon(self: &Rc<Self>, name: &str) -> Cx {
         self.node(name, DATA_CENTRE, listen().1)
     }
@@ -342,7 +340,7 @@
         Node::new(cfg, store, Rc::clone(&edges) as Rc<dyn Workers>, edges)
     }
 
-    /// The fence row of a part and its version.
+    /// The key of the fence row of a partition, and its version.
     pub(crate) fn fence(&self, partition: &str) -> (RowKey, u64) {
         let fence = RowKey {
             table: "owners",
@@ -364,7 +362,7 @@
         self.slow_txn.set((work, answer));
     }
 
-    /// What the store does with a daemon's calls from now on.
+    /// Sets how the store responds to a daemon's calls from now on.
     pub(crate) fn set_store(&self, daemon: &str, mood: StoreMood) {
         self.moods.borrow_mut().insert(daemon.to_owned(), mood);
     }
@@ -378,18 +376,18 @@
         change(self.workers.borrow_mut().get_mut(worker).expect("a worker"));
     }
 
-    /// Cuts a worker off, or joins it again.
+    /// Makes a worker unreachable for all daemons, or reachable again.
     pub(crate) fn cut(&self, worker: &str, is_cut: bool) {
         self.change(worker, |w| w.is_cut = is_cut);
     }
 
-    /// Cuts a worker off from one daemon.
+    /// Makes a worker unreachable for one daemon.
     pub(crate) fn cut_from(&self, daemon: &str, worker: &str) {
         let path = (daemon.to_owned(), worker.to_owned());
         self.paths_cut.borrow_mut().insert(path);
     }
 
-    /// Kills a worker and its tasks.
+    /// Crashes a worker with its tasks.
     pub(crate) fn crash(&self, worker: &str) {
         self.change(worker, |w| {
             w.is_dead = true;
@@ -398,7 +396,7 @@
         });
     }
 
-    /// Starts a killed worker again under its id.
+    /// Restarts a crashed worker under its id.
     pub(crate) fn revive(&self, worker: &str) {
         self.change(worker, |w| {
             w.is_dead = false;
@@ -410,17 +408,17 @@
         });
     }
 
-    /// Says that a worker is leaving.
+    /// Makes a worker report that it is leaving in 2 s.
     pub(crate) fn leave(&self, worker: &str) {
         self.change(worker, |w| w.leaving_in = Some(Duration::from_secs(2)));
     }
 
-    /// Puts a worker into another data centre.
+    /// Moves a worker to a data centre.
     pub(crate) fn put_in(&self, worker: &str, data_centre: &str) {
         self.change(worker, |w| w.data_centre = data_centre.to_owned());
     }
 
-    /// Has a data centre evacuated, as its operator is told by the store.
+    /// Marks a data centre as evacuated, acknowledged by the store now.
     pub(crate) fn evacuate(&self, data_centre: &str) {
         let mut evacuated = self.evacuated.borrow_mut();
         evacuated
@@ -428,12 +426,12 @@
             .or_insert_with(Instant::now);
     }
 
-    /// Takes a data centre back.
+    /// Ends the evacuation of a data centre.
     pub(crate) fn restore(&self, data_centre: &str) {
         self.evacuated.borrow_mut().swap_remove(data_centre);
     }
 
-    /// Notes a start that arrives in a data centre that was evacuated too long ago.
+    /// Records a violation if a start order arrives in a data centre after its evacuation deadline.
     fn check_evacuation(&self, id: &str, run: &RunId) {
         let data_centre = self.workers.borrow()[id].data_centre.clone();
         let since = self.evacuated.borrow().get(&data_centre).copied();
@@ -445,29 +443,29 @@
         }
     }
 
-    /// What a worker does with orders to start from now on.
+    /// Sets how a worker responds to start orders from now on.
     pub(crate) fn set_mood(&self, worker: &str, mood: WorkerMood) {
         self.change(worker, |w| w.mood = mood);
     }
 
-    /// Has everything that a worker starts from now on stand still.
+    /// Makes tasks that a worker starts from now on make no progress.
     pub(crate) fn stall(&self, worker: &str) {
         self.change(worker, |w| w.is_stalled = true);
     }
 
-    /// Has every task of a job fail.
+    /// Makes every task of a job fail.
     pub(crate) fn let_fail(&self, job: JobId) {
         self.failing.borrow_mut().insert(job);
     }
 
-    /// The runs that a worker has now.
+    /// Runs on a worker, after ending those that are due.
     pub(crate) fn running_on(&self, worker: &str) -> Vec<RunId> {
         self.settle_all();
         let workers = self.workers.borrow();
         workers[worker].running.keys().copied().collect()
     }
 
-    /// Every run anywhere.
+    /// Runs on all workers, after ending those that are due.
     pub(crate) fn running(&self) -> Vec<RunId> {
         self.settle_all();
         let workers = self.workers.borrow();
@@ -475,7 +473,7 @@
         running.collect()
     }
 
-    /// How many starts of a task were carried out.
+    /// Number of executed start orders of a task.
     pub(crate) fn starts_of(&self, task: &TaskId) -> usize {
         let starts = self.starts.borrow();
         starts
@@ -499,7 +497,7 @@
         self.rows.borrow().commits
     }
 
-    /// Fails the test when something happened that must not.
+    /// Panics if an invariant was violated.
     pub(crate) fn check(&self) {
         let breaches = self.breaches.borrow();
         assert!(breaches.is_empty(), "{}", breaches.join("\n"));
@@ -519,7 +517,7 @@
         }
     }
 
-    /// Carries an order to start out.
+    /// Executes a start order on a worker and checks the invariants.
     fn carry_out(&self, id: &str, order: &StartOrder) -> OrderOutcome<WorkerMillis> {
         self.settle_all();
         let now = Instant::now();
@@ -599,7 +597,7 @@
     }
 }
 
-/// What this world promises of stops, restores and tails.
+/// Timings that the simulated workers keep.
 fn work_timings() -> Timings {
     Timings {
         stop_takes: Duration::from_millis(900),
@@ -608,7 +606,7 @@
     }
 }
 
-/// The bounds that the workers of this world keep.
+/// Lease limits that the simulated workers keep.
 pub(crate) fn limits() -> LeaseLimits {
     LeaseLimits {
         longest: LONGEST_LEASE,
@@ -624,7 +622,7 @@
         WorkerMillis((now - self.born_at).as_millis() as u64 + 1_000)
     }
 
-    /// Ends what is over by now; the tasks that are done.
+    /// Ends the runs that are due by now; returns the tasks that were completed.
     fn settle(&mut self, now: Instant) -> Vec<TaskId> {
         let mut done = Vec::new();
         let lease_until = self.lease_until;
@@ -684,7 +682,7 @@
 }
 
 impl Running {
-    /// How much of the work is done, in hundredths.
+    /// Progress of the run, in percent.
     fn percent(&self, now: Instant) -> u32 {
         let (whole, done) = (self.done_at - self.began_at, now - self.began_at);
         (done.as_secs_f64() / whole.as_secs_f64() * 100.0) as u32
@@ -719,7 +717,7 @@
 }
 
 impl Edges {
-    /// Lets an order's time pass; false when the worker does not hear it.
+    /// Waits for the latency of an order, or its timeout; returns whether the worker is reachable.
     async fn reach(&self, worker: &str) -> bool {
         sleep(ORDER).await;
         let is_reached = {
@@ -827,11 +825,11 @@
                         return OrderOutcome::Refused(why);
                     }
                     if let Some(until) = order.lease_until {
-                        // One that has passed extends nothing.
+                        // A lease that has already ended extends nothing.
                         let _ = worker.take_lease(until, now);
                     }
                     let acked = worker.ended.iter().filter(|e| e.number <= order.acked_upto);
-                    // One whose worker's lease ran out before it was taken may have been done again.
+                    // If the lease ended between the end and its acknowledgement, the task may have been run again.
                     let stands = |end: &&ListedEnd| {
                         let at = worker.ended_at.get(&end.number).copied();
                         worker.lapsed_at.is_none_or(|lapsed| Some(lapsed) <= at)
@@ -946,14 +944,14 @@
     }
 }
 
-/// The owner's side as a caller reaches it.
+/// Requests to the owner, as a caller makes them.
 impl World {
-    /// Lets workers know the steps of a job that is submitted by other ways than [`World::submit`].
+    /// Registers the steps of a job that is not submitted with [`World::submit`].
     pub(crate) fn expect(&self, id: u64, steps: Vec<Step>) {
         self.jobs.borrow_mut().insert(JobId(id), steps);
     }
 
-    /// Hands a job in at the owner.
+    /// Submits a job to the owner, and repeats the request while the owner reports it as in progress.
     pub(crate) async fn submit(&self, cx: &Cx, id: u64, steps: Vec<Step>) -> SubmitReply {
         let job = JobId(id);
         self.jobs.borrow_mut().insert(job, steps.clone());
@@ -962,7 +960,7 @@
             steps,
             schedule: None,
         };
-        let spec = JobSpec::try_from(raw).expect("a good job");
+        let spec = JobSpec::try_from(raw).expect("a valid job");
         let ask = OwnerRequest::Submit {
             job,
             spec,
@@ -972,7 +970,7 @@
         let began = Instant::now();
         loop {
             match peer::answer(cx, home(cx, id), ask.clone()).await {
-                // Asked again as the front does.
+                // The front end repeats the request in the same way.
                 OwnerReply::Submitted(SubmitReply::UnderWay)
                     if began.elapsed() < Duration::from_millis(1_500) => {}
                 OwnerReply::Submitted(reply) => return reply,
@@ -981,7 +979,7 @@
         }
     }
 
-    /// Cancels a job at the owner.
+    /// Asks the owner to cancel a job.
     pub(crate) async fn cancel(&self, cx: &Cx, id: u64) -> CancelReply {
         match peer::answer(cx, home(cx, id), OwnerRequest::Cancel(JobId(id))).await {
             OwnerReply::Cancelled(reply) => reply,
@@ -989,7 +987,7 @@
         }
     }
 
-    /// A job's state as the owner shows it.
+    /// State of a job as reported by the owner; none if it reports none.
     pub(crate) async fn state(&self, cx: &Cx, id: u64) -> Option<JobState> {
         match peer::answer(cx, home(cx, id), OwnerRequest::Show(JobId(id))).await {
             OwnerReply::Shown(ShowReply::State(state)) => Some(state),
@@ -998,26 +996,26 @@
     }
 }
 
-/// The shard that is a job's home.
+/// The home shard of a job, by its id.
 pub(crate) fn home(cx: &Cx, id: u64) -> ShardId {
     let layout = cx.layout.borrow();
     let layout = layout.as_ref().expect("the layout is known");
     layout.home_by_id(JobId(id))
 }
 
-/// Whether a daemon owns a shard and knows its jobs.
+/// Whether a daemon owns a shard and has recovered its jobs.
 pub(crate) fn owns(cx: &Cx, shard: ShardId) -> bool {
     let handle = cx.handle(shard);
     let owner = handle.owner.borrow();
     owner.as_ref().is_some_and(|owner| owner.is_recovered())
 }
 
-/// Waits until a daemon owns the first shard and knows its jobs.
+/// Waits until a daemon owns the first shard and has recovered its jobs.
 pub(crate) async fn owned(cx: &Cx, limit: Duration) {
     until("the shard is owned", limit, async || owns(cx, ShardId(0))).await;
 }
 
-/// Waits until a condition holds.
+/// Waits until a condition holds; panics after `limit`.
 pub(crate) async fn until(what: &str, limit: Duration, mut holds: impl AsyncFnMut() -> bool) {
     let began = Instant::now();
     while !holds().await {
--- a/tests/testsuite/sched/world/relay.rs
+++ b/tests/testsuite/sched/world/relay.rs
@@ -1,4 +1,4 @@
-//! A relay between daemons that a test can end, as a cut of the network between them.
+//! A TCP relay between daemons, which a test can cut to simulate a network partition.
 
 use actix_rt::{net::TcpListener, task::JoinHandle};
 use std::{cell::RefCell, net::SocketAddr, rc::Rc};
@@ -11,7 +11,7 @@
 }
 
 impl Relay {
-    /// Relays what comes to `listener` to `target`.
+    /// Forwards the connections to `listener` to `target`.
     pub(super) fn start(listener: TcpListener, target: SocketAddr) -> Self {
         let open: Rc<RefCell<Vec<JoinHandle<()>>>> = Rc::default();
         let joined = Rc::clone(&open);
@@ -19,7 +19,7 @@
             while let Ok((mut near, _)) = listener.accept().await {
                 let relaying = actix_rt::spawn(async move {
                     if let Ok(mut far) = TcpStream::connect(target).await {
-                        // Either side's end is the end of both.
+                        // An error closes both connections.
                         let _ = copy_bidirectional(&mut near, &mut far).await;
                     }
                 });
@@ -29,7 +29,7 @@
         Self { accepting, open }
     }
 
-    /// Ends the relay and every connection through it.
+    /// Stops the relay and closes its connections.
     pub(crate) fn cut(&self) {
         self.accepting.abort();
         for relaying in self.open.borrow().iter() {
--- a/tests/testsuite/sched/world/store.rs
+++ b/tests/testsuite/sched/world/store.rs
@@ -1,4 +1,4 @@
-//! The store of the world: rows with one version counter, objects, and what it does with a daemon's calls.
+//! The simulated store: rows with one version counter, objects, and scripted faults for each daemon.
 
 use super::{
     CALLER_PATIENCE, LONGEST_QUEUE, ROW_BYTES, Rows, SILENCE, SLOW_STORE_CALL, STORE_CALL,
@@ -12,7 +12,7 @@
 use std::rc::Rc;
 use tokio::time::{Instant, sleep};
 
-/// The store as one daemon reaches it.
+/// Client of the store for one daemon.
 pub(super) struct StoreHandle {
     pub(super) world: Rc<World>,
     pub(super) daemon: String,
@@ -23,7 +23,7 @@
         self.world.mood_of(&self.daemon)
     }
 
-    /// Lets a call's time pass; false when the store is away.
+    /// Waits for the latency of a call other than a commit, or its timeout; returns whether the store is available.
     async fn reach(&self) -> bool {
         let is_there = self.is_there().await;
         if is_there && self.mood() == StoreMood::Slow {
@@ -41,8 +41,8 @@
         !is_away
     }
 
-    /// A transaction on a slow store: those of a part go one after another, and who waits too long for its turn is
-    /// turned away. A caller that has given up is told nothing; what it sent takes effect all the same.
+    /// Commits on a slow store: transactions of a partition are executed one after another, and one that would wait too
+    /// long is refused. After its timeout the caller gets no answer, although the transaction still takes effect.
     async fn commit_slowly(&self, txn: &Txn) -> TxnOutcome {
         let (work, answer) = self.world.slow_txn.get();
         let now = Instant::now();
@@ -173,7 +173,7 @@
 }
 
 impl Rows {
-    /// When the transactions before this one are done.
+    /// When the queued transactions of the partition have been executed.
     fn turn_of(&self, txn: &Txn) -> Instant {
         let busy = self.busy_until.get(part_of(txn));
         busy.copied().unwrap_or_else(Instant::now)
