--- a/tests/testsuite/sched/interference.rs
+++ b/tests/testsuite/sched/interference.rs
@@ -350,8 +350,8 @@
     );
 }
 
-/// Guards against an overload that restarts its count when one best-effort task ends and the next starts, or when a
-/// single sample lies just below the target: the bound on the total was then exceeded unnoticed.
+/// Guards against measuring an overload from the start again when one best-effort task ends and the next starts, or
+/// when a sample lies just below the target: the bound on the total was then exceeded unnoticed.
 #[test]
 fn the_time_over_a_target_spans_several_best_effort_tasks() {
     let mut overload = Overload::default();
--- a/tests/testsuite/sched/layout.rs
+++ b/tests/testsuite/sched/layout.rs
@@ -240,7 +240,7 @@
 /// The store is unavailable to one of two owners. Its shard waits for a takeover, while jobs of the other shard are
 /// accepted and run. Then the remaining daemon owns both shards and completes every job once.
 #[test]
-fn a_lost_owner_stops_remaining_shard_shard_only() {
+fn a_lost_owner_stops_its_own_shard_only() {
     paused(async {
         let (world, daemons) = two_shards(4).await;
         for job in 1..=8 {
@@ -412,7 +412,7 @@
 /// Guards against a job that runs twice because the next owner of its home shard does not know the decision to send it
 /// to another shard: the decision is recovered from the journal.
 #[test]
-fn a_decision_outlives_remaining_sharder() {
+fn a_decision_outlives_its_owner() {
     let mut ledger = Ledger::default();
     let sent = Event::Sent {
         job: JobId(1),
--- a/tests/testsuite/sched/resolution.rs
+++ b/tests/testsuite/sched/resolution.rs
@@ -79,8 +79,8 @@
     judge_run(RunKnowledge { order, stop }, observation)
 }
 
-/// Guards against a run taken for lost because a poll response does not list it that is older than the answer to the
-/// start order: both can fall into one millisecond, and the task would run twice at once.
+/// Guards against taking a run for lost because a poll response that may be older than the answer to the start order
+/// does not list it. Both can fall into one millisecond, and the task would run twice at once.
 #[test]
 fn a_poll_that_may_be_older_than_the_order_resolves_nothing() {
     let answered = Order::Answered(Millis(100));
