--- a/tests/testsuite/sched/journal.rs
+++ b/tests/testsuite/sched/journal.rs
@@ -1,8 +1,8 @@
-//! The journal under load, on a store that is quick and on one that is slow.
+//! The journal under load, on a fast and on a slow store.
 
 use super::{
     paused,
-    world::{StoreMood, World, spec, terms},
+    world::{StoreBehaviour, World, spec, terms},
 };
 use lapisdrum::{
     core::time::Millis,
@@ -17,27 +17,27 @@
 use std::{cell::Cell, rc::Rc, time::Duration};
 use tokio::time::{Instant, sleep};
 
-const PART: &str = "shard-0";
+const PARTITION: &str = "shard-0";
 
-/// A daemon that watches nothing, and a journal of its that writes.
+/// A daemon without background tasks, and a journal of it whose writer runs.
 async fn journal(world: &Rc<World>) -> (Cx, Rc<Journal>) {
     let cx = world.idle_daemon("a");
-    let (fence, _) = world.fence(PART);
-    let raised = Txn {
+    let (fence, _) = world.fence(PARTITION);
+    let raise_fence = Txn {
         expect: vec![(fence.clone(), 0)],
         put: vec![(fence.clone(), "a".into())],
         delete: Vec::new(),
     };
-    let TxnOutcome::Committed(version) = cx.store.commit(&raised).await else {
-        panic!("the fence is not raised");
+    let TxnOutcome::Committed(version) = cx.store.commit(&raise_fence).await else {
+        panic!("the fence could not be raised");
     };
-    let journal = Rc::new(Journal::new(PART, (fence, version)));
-    let (writer, on) = (Rc::clone(&journal), Rc::clone(&cx));
-    actix_rt::spawn(async move { writer.write_all(&on, || b"{}".to_vec()).await });
+    let journal = Rc::new(Journal::new(PARTITION, (fence, version)));
+    let (writer, daemon) = (Rc::clone(&journal), Rc::clone(&cx));
+    actix_rt::spawn(async move { writer.write_all(&daemon, || b"{}".to_vec()).await });
     (cx, journal)
 }
 
-/// An event of some three kilobytes.
+/// An event of about 3 KB.
 fn event(job: u64) -> Event {
     Event::Accepted {
         job: JobId(job),
@@ -47,22 +47,22 @@
     }
 }
 
-/// 200 KB of events a second on a store that takes 300 ms for each transaction. With one row in each the events
-/// queued up behind each other: a submission at the end waited for several seconds, its caller was told that nobody
-/// knows, and nothing was started. With all that has gathered in one, each waits for two transactions at most.
+/// Guards against journal rows that queue up, at 200 KB of events a second and 300 ms for each transaction. With one
+/// row per transaction, submissions waited several seconds, their callers got no definite answer, and nothing was
+/// started. With all queued rows in one transaction, each event waits for two at most.
 #[test]
 fn a_slow_store_keeps_pace_with_many_events() {
     paused(async {
         let world = World::new(0);
         let (_cx, journal) = journal(&world).await;
-        world.set_store("a", StoreMood::Slow);
+        world.set_store("a", StoreBehaviour::Slow);
         let longest = Rc::new(Cell::new(Duration::ZERO));
         for job in 0..400 {
-            let (began, ticket) = (Instant::now(), journal.append(&[event(job)]));
+            let (started_at, ticket) = (Instant::now(), journal.append(&[event(job)]));
             let longest = Rc::clone(&longest);
             actix_rt::spawn(async move {
                 assert_eq!(ticket.outcome().await, AppendOutcome::Durable);
-                longest.set(longest.get().max(began.elapsed()));
+                longest.set(longest.get().max(started_at.elapsed()));
             });
             sleep(Duration::from_millis(15)).await;
         }
@@ -72,8 +72,8 @@
     });
 }
 
-/// A snapshot is due, and the store turns slow while it is stored. Rows waited for the object, its pointer and the
-/// deletion of the rows that it covers, which take seconds there; now they are written beside it.
+/// Guards against rows that wait until a snapshot is stored: on a slow store, writing the object and its pointer and
+/// deleting the rows that it covers takes seconds. Rows are written concurrently.
 #[test]
 fn rows_do_not_wait_for_a_snapshot() {
     paused(async {
@@ -85,31 +85,31 @@
                 AppendOutcome::Durable
             );
         }
-        world.set_store("a", StoreMood::Slow);
-        let began = Instant::now();
+        world.set_store("a", StoreBehaviour::Slow);
+        let started_at = Instant::now();
         assert_eq!(
             journal.append(&[event(400)]).outcome().await,
             AppendOutcome::Durable
         );
-        let took = began.elapsed();
+        let took = started_at.elapsed();
         assert!(took < Duration::from_millis(1_000), "{took:?}");
         assert!(journal.accepts_work(cx.clock.now()));
     });
 }
 
-/// What was written in one transaction is read back whole and in order, with a snapshot in between.
+/// Rows of one transaction are all recovered, in order, with a snapshot in between.
 #[test]
 fn rows_of_one_transaction_are_recovered_in_order() {
     paused(async {
         let world = World::new(0);
         let (cx, journal) = journal(&world).await;
-        world.set_store("a", StoreMood::Slow);
+        world.set_store("a", StoreBehaviour::Slow);
         let tickets: Vec<_> = (0..200).map(|job| journal.append(&[event(job)])).collect();
         for ticket in tickets {
             assert_eq!(ticket.outcome().await, AppendOutcome::Durable);
         }
         journal.stop();
-        let next = Journal::new(PART, world.fence(PART));
+        let next = Journal::new(PARTITION, world.fence(PARTITION));
         let ledger = next.recover(&cx).await.expect("a ledger");
         let jobs: Vec<u64> = ledger.jobs.keys().map(|id| id.0).collect();
         assert_eq!(jobs, (0..200).collect::<Vec<u64>>());
--- a/tests/testsuite/sched/layout.rs
+++ b/tests/testsuite/sched/layout.rs
@@ -1,8 +1,8 @@
-//! Several shards: who owns which racks, where jobs are at home, and what happens when one owner is gone.
+//! Several shards: the assignment of racks, the home shards of jobs, and the loss of an owner.
 
 use super::{
     paused,
-    world::{StoreMood, World, home, owns, step, until},
+    world::{StoreBehaviour, World, home, owns, step, until},
 };
 use assert_matches::assert_matches;
 use lapisdrum::{
@@ -47,7 +47,7 @@
     (0..count * size).map(one).collect()
 }
 
-fn near(rack: &str) -> JobSpec {
+fn job_near(rack: &str) -> JobSpec {
     let step = Step {
         data_rack: Some(rack.to_owned()),
         ..step(1, 100, &[])
@@ -57,12 +57,12 @@
         steps: vec![step],
         schedule: None,
     };
-    JobSpec::try_from(raw).expect("a good job")
+    JobSpec::try_from(raw).expect("a valid job")
 }
 
-/// 490 workers in racks of twelve make four shards of about as many workers; 66 make one.
+/// 492 workers in racks of twelve make four shards of about the same size; 72 workers and none make one each.
 #[test]
-fn shards_are_as_many_as_the_workers_need() {
+fn the_number_of_shards_follows_the_number_of_workers() {
     let layout = Layout::first(&racks_of(41, 12), 128);
     assert_eq!(layout.shards, 4);
     for shard in layout.all() {
@@ -73,8 +73,8 @@
     assert_eq!(Layout::first(&[], 128).shards, 1);
 }
 
-/// A pool with a single rack beside a large one: with more than one shard, jobs of the small pool would be at
-/// home where none of its workers is, and never run.
+/// Guards against jobs that never run because their home shard has no workers of their pool: a pool with a single rack
+/// allows one shard only.
 #[test]
 fn every_shard_has_a_rack_of_each_pool() {
     let mut workers = racks_of(41, 12);
@@ -86,7 +86,7 @@
     assert_ne!(layout.racks["s0"], layout.racks["s1"]);
 }
 
-/// A worker that says nothing of its rack is owned too.
+/// Guards against workers that no shard owns because they report no rack.
 #[test]
 fn a_worker_without_a_rack_has_an_owner() {
     let workers = [worker(1, "pool", "")];
@@ -95,10 +95,10 @@
 }
 
 proptest! {
-    /// Racks come in any order while daemons know layouts of different ages: a rack that was dealt stays where
-    /// it is, and a job's home is the same for all of them, near its data or not.
+    /// Racks join in any order, and daemons know layouts of different ages. An assigned rack stays in its shard, and
+    /// all daemons determine the same home of a job, with or without a data rack.
     #[test]
-    fn what_was_dealt_stays(
+    fn assigned_racks_stay_in_their_shard(
         first in 1_usize..40,
         later in proptest::collection::vec(0_usize..60, 0..6),
         id: u64,
@@ -112,49 +112,49 @@
         for (rack, shard) in &old.racks {
             prop_assert_eq!(new.racks.get(rack), Some(shard));
         }
-        let spec = near(&format!("r{rack}"));
+        let spec = job_near(&format!("r{rack}"));
         prop_assert_eq!(old.home(JobId(id), &spec), new.home(JobId(id), &spec));
         prop_assert!(new.homes(JobId(id)).contains(&new.home(JobId(id), &spec)));
         prop_assert!(!new.assign_racks(&racks_of(first, 3)), "no rack is left to assign");
     }
 }
 
-/// 79 shards and 140 daemons, as many as are designed for. Each shard has daemons that see its lease again within
-/// one lease, or its owner's end would go unseen for twelve seconds; and no shard is passed over by anybody.
+/// Guards against a lapsed lease that is noticed only after twelve seconds, at 79 shards and 140 daemons, the largest
+/// supported size. Every lease is polled often by at least three daemons, and by all of them now and then.
 #[test]
-fn every_shard_is_watched_by_several_daemons() {
+fn every_shard_is_polled_by_several_daemons() {
     let shards: Vec<ShardId> = (0..79).map(ShardId).collect();
-    let rotas: Vec<_> = (0..140)
-        .map(|run| lease::poll_order(&shards, run))
+    let orders: Vec<_> = (0..140)
+        .map(|incarnation| lease::poll_order(&shards, incarnation))
         .collect();
     for shard in &shards {
-        let sees_often =
-            |rota: &&Vec<ShardId>| rota[..9].contains(shard) && rota[9..18].contains(shard);
-        let watchers = rotas.iter().filter(sees_often).count();
-        assert!(watchers >= 3, "{watchers} daemons watch {shard:?}");
-        assert!(rotas.iter().all(|rota| rota.contains(shard)));
+        let polls_often =
+            |order: &&Vec<ShardId>| order[..9].contains(shard) && order[9..18].contains(shard);
+        let daemons = orders.iter().filter(polls_often).count();
+        assert!(daemons >= 3, "{daemons} daemons poll {shard:?} often");
+        assert!(orders.iter().all(|order| order.contains(shard)));
     }
     assert_eq!(lease::poll_order(&shards[..1], 7), [ShardId(0)]);
     assert_eq!(
         lease::poll_order(&shards[..4], 7).len(),
         4,
-        "few shards are all watched alike"
+        "few shards are all polled equally often"
     );
 }
 
-/// Whoever of the daemons owns a shard.
+/// The daemon that owns a shard, if any.
 fn owner_of(daemons: &[Cx], shard: ShardId) -> Option<Cx> {
     daemons.iter().find(|cx| owns(cx, shard)).cloned()
 }
 
-async fn all_owned(daemons: &[Cx], shards: u16) {
+async fn wait_all_owned(daemons: &[Cx], shards: u16) {
     until("every shard is owned", LIMIT, async || {
         (0..shards).all(|shard| owner_of(daemons, ShardId(shard)).is_some())
     })
     .await;
 }
 
-/// A world of so many workers in two shards, each with an owner of two daemons.
+/// A cluster of two shards with half of the workers each, and a daemon for each.
 async fn two_shards(workers: usize) -> (Rc<World>, [Cx; 2]) {
     let world = World::new(workers);
     world.workers_per_shard.set(workers / 2);
@@ -163,19 +163,22 @@
         daemons.iter().all(|cx| cx.layout.borrow().is_some())
     })
     .await;
-    all_owned(&daemons, 2).await;
+    wait_all_owned(&daemons, 2).await;
     (world, daemons)
 }
 
-/// A world of so many workers in two shards, both owned by its one daemon, and the queue that jobs go to.
+/// A cluster of two shards with half of the workers each, owned by a single daemon, and the queue for jobs.
 async fn sole_owner(workers: usize) -> (Rc<World>, Cx, Queue) {
     let world = World::new(workers);
     world.workers_per_shard.set(workers / 2);
     let cx = world.daemon("a");
-    until("it owns both", LIMIT, async || cx.owners().len() == 2).await;
-    all_owned(std::slice::from_ref(&cx), 2).await;
-    let asked = cx.directory.operator_state().await.expect("an answer");
-    let queue = asked.catalogue.expect("a catalogue").queues["maps"].clone();
+    until("the daemon owns both shards", LIMIT, async || {
+        cx.owners().len() == 2
+    })
+    .await;
+    wait_all_owned(std::slice::from_ref(&cx), 2).await;
+    let state = cx.directory.operator_state().await.expect("an answer");
+    let queue = state.catalogue.expect("a catalogue").queues["maps"].clone();
     (world, cx, queue)
 }
 
@@ -185,25 +188,29 @@
     assert_matches!(submitted, SubmitReply::Accepted);
 }
 
-async fn completed(world: &World, daemons: &[Cx], job: u64) {
-    until("it is completed", Duration::from_secs(20), async || {
-        let Some(cx) = owner_of(daemons, home(&daemons[0], job)) else {
-            return false;
-        };
-        world.state(&cx, job).await == Some(JobState::Completed)
-    })
+async fn wait_completed(world: &World, daemons: &[Cx], job: u64) {
+    until(
+        "the job is completed",
+        Duration::from_secs(20),
+        async || {
+            let Some(cx) = owner_of(daemons, home(&daemons[0], job)) else {
+                return false;
+            };
+            world.state(&cx, job).await == Some(JobState::Completed)
+        },
+    )
     .await;
 }
 
-/// Two shards, two daemons. Each daemon comes to own one, jobs run in both, and no worker is started on by both
-/// owners: the later claim would have the earlier owner's orders refused, and its tasks stopped as unknown.
+/// Two daemons own one of two shards each. Guards against two owners that start tasks on the same worker: the later
+/// claim makes it refuse the earlier owner's orders, and the earlier owner's tasks are stopped as unknown.
 #[test]
 fn daemons_share_the_shards() {
     paused(async {
         let (world, daemons) = two_shards(4).await;
         assert!(
             daemons.iter().all(|cx| cx.owners().len() == 1),
-            "a daemon that owns one leaves the other to the next"
+            "a daemon that owns one shard leaves the other to the next daemon"
         );
         for job in 1..=12 {
             submit_at_home(
@@ -215,7 +222,7 @@
             .await;
         }
         for job in 1..=12 {
-            completed(&world, &daemons, job).await;
+            wait_completed(&world, &daemons, job).await;
         }
         let layout = daemons[0].layout.borrow().clone().expect("a layout");
         for (_, run, worker) in world.starts.borrow().iter() {
@@ -223,15 +230,15 @@
             assert_eq!(
                 layout.racks.get(worker),
                 Some(&at),
-                "{worker} is another shard's"
+                "{worker} belongs to another shard"
             );
         }
         world.check();
     });
 }
 
-/// The store turns one of two owners away. Callers of its shard wait for a take-over; the other shard's jobs are
-/// taken and run meanwhile, and afterwards the one daemon that is left owns both and completes everything once.
+/// The store is unavailable to one of two owners. Its shard waits for a takeover, while jobs of the other shard are
+/// accepted and run. Then the remaining daemon owns both shards and completes every job once.
 #[test]
 fn a_lost_owner_stops_its_own_shard_only() {
     paused(async {
@@ -245,16 +252,16 @@
             )
             .await;
         }
-        world.set_store("a", StoreMood::Away);
-        let left = &daemons[1..];
-        let its_own = left[0].owners()[0].handle.shard;
-        let job = (100..).find(|id| home(&left[0], *id) == its_own);
-        let job = job.expect("a job of the shard that is left");
-        submit_at_home(&world, left, job, vec![step(1, 100, &[])]).await;
-        completed(&world, left, job).await;
-        all_owned(left, 2).await;
+        world.set_store("a", StoreBehaviour::Unavailable);
+        let remaining = &daemons[1..];
+        let remaining_shard = remaining[0].owners()[0].handle.shard;
+        let job = (100..).find(|id| home(&remaining[0], *id) == remaining_shard);
+        let job = job.expect("a job of the remaining shard");
+        submit_at_home(&world, remaining, job, vec![step(1, 100, &[])]).await;
+        wait_completed(&world, remaining, job).await;
+        wait_all_owned(remaining, 2).await;
         for job in 1..=8 {
-            completed(&world, left, job).await;
+            wait_completed(&world, remaining, job).await;
         }
         assert_eq!(
             world.starts.borrow().len(),
@@ -265,10 +272,10 @@
     });
 }
 
-/// Empty workers on a new rack join while jobs wait. The owner of the first shard deals the rack, the shard that
-/// it falls to takes it in, and what waited runs there.
+/// Workers on new racks join while jobs wait. The owner of the first shard assigns the racks to shards, and waiting
+/// tasks run on them.
 #[test]
-fn a_new_rack_is_dealt_and_used() {
+fn a_new_rack_is_assigned_and_used() {
     paused(async {
         let (world, daemons) = two_shards(2).await;
         world.add_worker("w2");
@@ -281,46 +288,50 @@
         })
         .await;
         for job in 1..=6 {
-            completed(&world, &daemons, job).await;
+            wait_completed(&world, &daemons, job).await;
         }
         world.check();
     });
 }
 
-/// A job whose data has a place is at home with that rack, which its id doesn't tell. Whoever asks for it by its
-/// id finds it all the same, and an id that nobody submitted is unknown only if every shard says so.
+/// Guards against jobs that cannot be found by their id because their home is the shard of their data rack. An id is
+/// unknown only if every shard says so.
 #[test]
 fn a_job_near_its_data_is_found_by_its_id() {
     paused(async {
         let (_world, cx, queue) = sole_owner(2).await;
         let layout = cx.layout.borrow().clone().expect("a layout");
-        let spec = near("w1");
+        let spec = job_near("w1");
         let at = layout.racks["w1"];
         let id = (1..).map(JobId).find(|id| layout.home_by_id(*id) != at);
-        let job = id.expect("an id at home elsewhere");
+        let job = id.expect("an id with another home");
         let submitted = front::submit(&cx, &queue, job, spec.clone()).await;
         assert_eq!(submitted, Outcome::Done(()));
         let again = front::submit(&cx, &queue, job, spec).await;
-        assert_eq!(again, Outcome::Done(()), "a repeat finds it");
+        assert_eq!(
+            again,
+            Outcome::Done(()),
+            "a repeated submission finds the job"
+        );
         let elsewhere = layout.home_by_id(job);
-        let asked = peer::answer(&cx, elsewhere, OwnerRequest::Pending("maps".to_owned())).await;
-        assert_matches!(asked, OwnerReply::Pending(Some(0)));
+        let reply = peer::answer(&cx, elsewhere, OwnerRequest::Pending("maps".to_owned())).await;
+        assert_matches!(reply, OwnerReply::Pending(Some(0)));
         assert_matches!(front::show(&cx, job).await, Outcome::Done(_));
         assert_eq!(front::cancel(&cx, job).await, Outcome::Done(()));
         assert_eq!(front::cancel(&cx, JobId(99)).await, Outcome::NoSuchJob);
         let handle = cx.handle(at);
         let owner = handle.owner.borrow().clone().expect("an owner");
-        owner.lose("the test says so");
+        owner.lose("lost by the test");
         assert_matches!(
             front::show(&cx, JobId(99)).await,
             Outcome::Refused(_),
-            "a shard without an owner may know it"
+            "a shard without an owner may have the job"
         );
         assert!(lease::read(&cx, &handle).await.is_ok());
     });
 }
 
-fn lasting(count: u32) -> Vec<Step> {
+fn long_running(count: u32) -> Vec<Step> {
     vec![Step {
         is_long_running: true,
         ..step(count, 600_000, &[])
@@ -333,14 +344,14 @@
         steps,
         schedule: None,
     };
-    JobSpec::try_from(raw).expect("a good job")
+    JobSpec::try_from(raw).expect("a valid job")
 }
 
-/// Livestreams whose ids all fall to one shard. Dealt by their ids alone, half of them would wait for room there
-/// while the other shard is empty; handed on by load all of them run. Each caller that repeats its submission is sent to
-/// the same shard, though the loads have changed since, and finds its job by its id.
+/// Guards against livestreams that wait because all their ids map to one shard while the other is idle: they are
+/// transferred by load. A repeated submission goes to the same shard, although the loads have changed since, and the
+/// job is found by its id.
 #[test]
-fn lasting_jobs_go_where_there_is_room() {
+fn long_running_jobs_go_where_there_is_capacity() {
     paused(async {
         let (world, cx, queue) = sole_owner(4).await;
         until("the workers are claimed", LIMIT, async || {
@@ -349,11 +360,11 @@
                 .all(|owner| owner.long_running_load(&cx).is_some())
         })
         .await;
-        let crowded = (1..).filter(|id| home(&cx, *id) == ShardId(0));
-        let ids: Vec<u64> = crowded.take(8).collect();
+        let in_first_shard = (1..).filter(|id| home(&cx, *id) == ShardId(0));
+        let ids: Vec<u64> = in_first_shard.take(8).collect();
         for id in &ids {
-            world.expect(*id, lasting(2));
-            let submitted = front::submit(&cx, &queue, JobId(*id), spec_of(lasting(2))).await;
+            world.register_steps(*id, long_running(2));
+            let submitted = front::submit(&cx, &queue, JobId(*id), spec_of(long_running(2))).await;
             assert_eq!(submitted, Outcome::Done(()));
         }
         until("all of them run", LIMIT, async || {
@@ -361,7 +372,7 @@
         })
         .await;
         for id in &ids {
-            let again = front::submit(&cx, &queue, JobId(*id), spec_of(lasting(2))).await;
+            let again = front::submit(&cx, &queue, JobId(*id), spec_of(long_running(2))).await;
             assert_eq!(again, Outcome::Done(()));
             assert_matches!(
                 front::show(&cx, JobId(*id)).await,
@@ -371,35 +382,35 @@
         sleep(Duration::from_secs(2)).await;
         let jobs = |owner: &Rc<Owner>| owner.ledger.borrow().jobs.len();
         let accepted: usize = cx.owners().iter().map(jobs).sum();
-        assert_eq!(accepted, ids.len(), "each is accepted once");
+        assert_eq!(accepted, ids.len(), "each job is accepted once");
         assert_eq!(world.running().len(), 16);
         world.check();
     });
 }
 
-/// The same submission comes twice at once, over two connections, to the job's home. Both callers are sent to the same
-/// shard or find the job here; two decisions would run it twice.
+/// Guards against two decisions on a job that is submitted over several connections at once: it would run twice. All
+/// callers are sent to the same shard.
 #[test]
-fn two_hand_ins_at_once_are_decided_once() {
+fn concurrent_submissions_are_decided_once() {
     paused(async {
         let (world, cx, queue) = sole_owner(4).await;
         for id in 1..=20 {
-            world.expect(id, lasting(1));
-            let twice =
-                [(); 3].map(|()| front::submit(&cx, &queue, JobId(id), spec_of(lasting(1))));
-            for submitted in futures::future::join_all(twice).await {
+            world.register_steps(id, long_running(1));
+            let submissions =
+                [(); 3].map(|()| front::submit(&cx, &queue, JobId(id), spec_of(long_running(1))));
+            for submitted in futures::future::join_all(submissions).await {
                 assert_eq!(submitted, Outcome::Done(()));
             }
         }
         let jobs = |owner: &Rc<Owner>| owner.ledger.borrow().jobs.len();
         let accepted: usize = cx.owners().iter().map(jobs).sum();
-        assert_eq!(accepted, 20, "each is accepted once");
+        assert_eq!(accepted, 20, "each job is accepted once");
         world.check();
     });
 }
 
-/// A job is sent to another shard, and the store turns its home's owner away. The next owner reads the decision from
-/// the journal and sends a repeat to the same shard.
+/// Guards against a job that runs twice because the next owner of its home shard does not know the decision to send it
+/// to another shard: the decision is recovered from the journal.
 #[test]
 fn a_decision_outlives_its_owner() {
     let mut ledger = Ledger::default();
@@ -408,23 +419,23 @@
         to: ShardId(1),
         at_unix_ms: 5,
     };
-    ledger.apply(&sent).expect("it fits");
-    let text = serde_json::to_vec(&ledger).expect("a text form");
-    let mut read: Ledger = serde_json::from_slice(&text).expect("it is read back");
+    ledger.apply(&sent).expect("a valid event");
+    let text = serde_json::to_vec(&ledger).expect("a serialisable ledger");
+    let mut read: Ledger = serde_json::from_slice(&text).expect("the ledger is parsed back");
     assert_eq!(
         read.sent.get(&JobId(1)).map(|sent| sent.to),
         Some(ShardId(1))
     );
     let accepted = Event::Accepted {
         job: JobId(1),
-        spec: Rc::new(spec_of(lasting(1))),
+        spec: Rc::new(spec_of(long_running(1))),
         terms: super::world::terms(),
         at_unix_ms: 6,
     };
     assert_matches!(
         read.apply(&accepted),
         Err(InvalidEvent::Job(_)),
-        "it is elsewhere"
+        "the job is in another shard"
     );
     let other = Event::Sent {
         job: JobId(1),
@@ -434,9 +445,9 @@
     assert_matches!(
         read.apply(&other),
         Err(InvalidEvent::Job(_)),
-        "decided once"
+        "the decision is final"
     );
     read.apply(&Event::Forgotten { job: JobId(1) })
-        .expect("it fits");
+        .expect("a valid event");
     assert!(read.sent.is_empty());
 }
--- a/tests/testsuite/sched/world.rs
+++ b/tests/testsuite/sched/world.rs
@@ -1,9 +1,9 @@
-//! A store, workers and a directory in memory, with faults by script, and the scheduler's own parts on top.
+//! An in-memory store, workers and directory with scripted faults, on which real daemons run.
 //!
-//! Time is the runtime's, paused. The workers keep the promises that the scheduler is built on (tokens,
-//! leases, ends listed until they are acknowledged) and note every breach of what must hold: two runs of a
-//! task at once, a task started again after its end was taken, a worker over its capacity, a step begun
-//! before the ones before it.
+//! Time is the runtime's paused clock. The workers keep the guarantees that the scheduler relies on (fencing tokens,
+//! leases, ends listed until they are acknowledged), and violations of its invariants are recorded: two runs of a task
+//! at once, a task started again after its end was acknowledged, a worker over its capacity, a step started before
+//! the steps that it depends on have ended, a start sent to a data centre after its evacuation deadline.
 
 mod relay;
 mod store;
@@ -39,52 +39,49 @@
 use store::StoreHandle;
 use tokio::time::{Instant, sleep};
 
-/// Time of a store call.
-const STORE_CALL: Duration = Duration::from_millis(8);
-/// The same in [`StoreMood::Slow`], beyond it.
-const SLOW_STORE_CALL: Duration = Duration::from_millis(360);
-/// Time of a transaction there, in which its part does no other, unless a test says otherwise.
-const SLOW_TXN: Duration = Duration::from_millis(300);
-/// Longest time that transactions wait for their turn.
-const LONGEST_QUEUE: Duration = Duration::from_secs(1);
-/// Time after which a daemon gives a transaction up that it knows to be slow.
-const CALLER_PATIENCE: Duration = Duration::from_millis(2_500);
-/// Time of an order.
-const ORDER: Duration = Duration::from_millis(2);
-/// Time after which a caller of a silent store or worker gives up.
-const SILENCE: Duration = Duration::from_millis(500);
-/// Most bytes of a row.
-const ROW_BYTES: usize = 64 * 1024;
-/// Longest lease of a worker.
-const LONGEST_LEASE: Duration = Duration::from_secs(6);
-/// Time that a stop takes.
-const STOP: Duration = Duration::from_millis(300);
-/// Time after which an evacuation must be in force.
-const EVACUATED_WITHIN: Duration = Duration::from_secs(5);
-/// Step of a worker that waits for an end.
-const WAIT_STEP: Duration = Duration::from_millis(10);
-
-/// What the store does with a daemon's calls.
+const STORE_LATENCY: Duration = Duration::from_millis(8);
+/// Additional latency of calls other than commits in [`StoreBehaviour::Slow`].
+const SLOW_STORE_LATENCY: Duration = Duration::from_millis(360);
+/// Default time that a transaction occupies its partition in [`StoreBehaviour::Slow`].
+const SLOW_TXN_TIME: Duration = Duration::from_millis(300);
+/// Maximum time that a transaction may wait for its partition.
+const MAX_QUEUE_TIME: Duration = Duration::from_secs(1);
+/// Timeout of a transaction on a slow store.
+const SLOW_TXN_TIMEOUT: Duration = Duration::from_millis(2_500);
+const ORDER_LATENCY: Duration = Duration::from_millis(2);
+/// Timeout of a call to the store or a worker.
+const CALL_TIMEOUT: Duration = Duration::from_millis(500);
+const MAX_ROW_BYTES: usize = 64 * 1024;
+/// Longest lease that a worker accepts.
+const MAX_WORKER_LEASE: Duration = Duration::from_secs(6);
+/// Time from a stop order until the run ends.
+const STOP_TIME: Duration = Duration::from_millis(300);
+/// Time after which no start may reach an evacuated data centre.
+const EVACUATION_DEADLINE: Duration = Duration::from_secs(5);
+/// Interval at which a long poll checks for new ends.
+const CHECK_INTERVAL: Duration = Duration::from_millis(10);
+
+/// How the store responds to a daemon's calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum StoreMood {
-    /// Answers.
+pub(crate) enum StoreBehaviour {
+    /// Executes calls and answers.
     Up,
-    /// Neither does anything nor answers.
-    Away,
-    /// Does what it is asked and loses the answers of writes.
+    /// Neither executes calls nor answers.
+    Unavailable,
+    /// Executes calls, but the answers to writes are lost.
     LosesAnswers,
-    /// Takes sixty times as long as usual for everything, and does the transactions of a part one after another.
+    /// Is 60 times slower, and executes the transactions of a partition one after another.
     Slow,
-    /// Refuses reads, since there are too many of them.
+    /// Refuses reads with a rate-limit error.
     RefusesReads,
 }
 
-/// What a worker does with orders to start.
+/// How a worker responds to start orders.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum WorkerMood {
-    /// Carries them out and answers.
+pub(crate) enum WorkerBehaviour {
+    /// Executes them and answers.
     Prompt,
-    /// Leaves them unanswered and carries them out after this time.
+    /// Leaves them unanswered and executes them after this time.
     Late(Duration),
 }
 
@@ -93,14 +90,14 @@
     rows: IndexMap<(String, String, String), (bytes::Bytes, u64)>,
     version: u64,
     objects: IndexMap<String, bytes::Bytes>,
-    /// Until when a part of a slow store has transactions to do.
+    /// When each partition of a slow store has executed its queued transactions.
     busy_until: IndexMap<String, Instant>,
-    /// Transactions that took effect.
+    /// Number of committed transactions.
     commits: u64,
 }
 
 struct Running {
-    began_at: Instant,
+    started_at: Instant,
     done_at: Instant,
     stop_at: Option<Instant>,
     size: Size,
@@ -108,68 +105,70 @@
 }
 
 struct Worker {
-    born: u64,
-    born_at: Instant,
+    /// Incarnation number, reported as its start time.
+    incarnation: u64,
+    started_at: Instant,
     capacity: Size,
     running: IndexMap<RunId, Running>,
     ended: Vec<ListedEnd>,
-    /// When each of them was.
+    /// Times of the ends, by number.
     ended_at: IndexMap<u64, Instant>,
-    /// When its lease ran out last.
+    /// Time at which its lease last ended.
     lapsed_at: Option<Instant>,
-    over: IndexMap<TaskId, RunNumber>,
+    /// The last run of each task that ended or was stopped here.
+    last_ended: IndexMap<TaskId, RunNumber>,
     next_end: u64,
     token: u64,
     lease_until: Instant,
-    /// Whether nothing reaches it; it runs on.
+    /// Whether it is unreachable; its tasks keep running.
     is_cut: bool,
-    /// Whether it is dead; nothing runs there.
+    /// Whether it has crashed.
     is_dead: bool,
     is_listed: bool,
     data_centre: String,
     leaving_in: Option<Duration>,
-    mood: WorkerMood,
+    behaviour: WorkerBehaviour,
     is_stalled: bool,
 }
 
-/// Where daemons and workers are, unless a test says otherwise.
+/// Default data centre of daemons and workers.
 const DATA_CENTRE: &str = "karen";
 
-/// Everything around the daemons.
+/// The simulated environment of the daemons.
 pub(crate) struct World {
     rows: RefCell<Rows>,
-    moods: RefCell<IndexMap<String, StoreMood>>,
-    /// How long a slow store works on a transaction, and how much later its answer comes.
+    behaviours: RefCell<IndexMap<String, StoreBehaviour>>,
+    /// Time that a transaction occupies its partition of a slow store, and additional latency of its answer.
     slow_txn: Cell<(Duration, Duration)>,
     workers: RefCell<IndexMap<String, Worker>>,
-    /// Since when data centres are evacuated, by the store's acknowledgement.
+    /// Evacuated data centres, and when the evacuation was acknowledged.
     evacuated: RefCell<IndexMap<String, Instant>>,
-    /// Run time of tasks of each step, by job.
+    /// Steps of submitted jobs; tasks take the estimated time of their step.
     jobs: RefCell<IndexMap<JobId, Vec<Step>>>,
-    /// Tasks of which an end as done was acknowledged.
-    taken: RefCell<IndexSet<TaskId>>,
+    /// Tasks whose successful end was acknowledged.
+    acknowledged: RefCell<IndexSet<TaskId>>,
     done: RefCell<IndexSet<TaskId>>,
-    /// Steps that fail wherever they run.
+    /// Jobs whose tasks fail on every worker.
     failing: RefCell<IndexSet<JobId>>,
-    /// Whether orders that are carried out late outlive their worker's crash, as packets on the way may;
-    /// by default they are lost with it.
+    /// Whether delayed orders outlive a crash of their worker, as packets in flight may; by default they are lost.
     pub(crate) orders_outlive_crashes: Cell<bool>,
-    /// Workers that one daemon can't reach.
+    /// Pairs of a daemon and a worker that it cannot reach.
     paths_cut: RefCell<IndexSet<(String, String)>>,
-    /// Reads of leases and of what operators ask for, answered or refused.
+    /// Number of reads of leases, answered or refused.
     pub(crate) lease_reads: Cell<usize>,
+    /// Number of reads of the operators' state, answered or refused.
     pub(crate) operator_reads: Cell<usize>,
-    /// Whether nobody can read what operators ask for.
+    /// Whether reads of the operators' state get no answer.
     pub(crate) operators_are_silent: Cell<bool>,
-    /// Most workers of a shard, for daemons made from now on; all in one at first.
+    /// Target number of workers per shard, for daemons created from now on; unlimited by default.
     pub(crate) workers_per_shard: Cell<usize>,
-    /// Starts that were carried out.
+    /// Executed start orders: when, which run, on which worker.
     pub(crate) starts: RefCell<Vec<(Instant, RunId, String)>>,
-    /// What must not happen and did.
-    pub(crate) breaches: RefCell<Vec<String>>,
+    /// Violated invariants.
+    pub(crate) violations: RefCell<Vec<String>>,
 }
 
-/// A listener at a free port, and its address.
+/// Opens a listener on a free port.
 fn listen() -> (TcpListener, SocketAddr) {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a free port");
     listener.set_nonblocking(true).expect("a socket");
@@ -178,7 +177,7 @@
     (listener, address)
 }
 
-/// The queue that all jobs of these tests go to.
+/// Settings of the queue of all jobs.
 pub(crate) fn terms() -> QueueConfig {
     QueueConfig {
         queue: "maps".to_owned(),
@@ -198,10 +197,10 @@
         steps: vec![step(1, 100, &[])],
         schedule: None,
     };
-    JobSpec::try_from(raw).expect("a good job")
+    JobSpec::try_from(raw).expect("a valid job")
 }
 
-/// A step of so many tasks that take so long, on one core and a gigabyte each.
+/// A step of tasks that take `estimate_ms`, one core and 1 GB each.
 pub(crate) fn step(count: u32, estimate_ms: u64, after: &[u16]) -> Step {
     Step {
         count,
@@ -217,16 +216,16 @@
 }
 
 impl World {
-    /// A world with workers of four cores each, one a rack, named `w0`, `w1` and so on.
+    /// Creates workers of four cores named `w0`, `w1` and so on, each in a rack of its own.
     pub(crate) fn new(workers: usize) -> Rc<Self> {
         let world = Rc::new(Self {
             rows: RefCell::default(),
-            moods: RefCell::default(),
-            slow_txn: Cell::new((SLOW_TXN, Duration::ZERO)),
+            behaviours: RefCell::default(),
+            slow_txn: Cell::new((SLOW_TXN_TIME, Duration::ZERO)),
             workers: RefCell::default(),
             evacuated: RefCell::default(),
             jobs: RefCell::default(),
-            taken: RefCell::default(),
+            acknowledged: RefCell::default(),
             done: RefCell::default(),
             failing: RefCell::default(),
             orders_outlive_crashes: Cell::new(false),
@@ -236,7 +235,7 @@
             operators_are_silent: Cell::new(false),
             workers_per_shard: Cell::new(usize::MAX),
             starts: RefCell::default(),
-            breaches: RefCell::default(),
+            violations: RefCell::default(),
         });
         for at in 0..workers {
             world.add_worker(&format!("w{at}"));
@@ -244,7 +243,6 @@
         world
     }
 
-    /// Adds a worker.
     pub(crate) fn add_worker(&self, id: &str) {
         let capacity = Size {
             millicores: 4_000,
@@ -253,14 +251,14 @@
         };
         let now = Instant::now();
         let worker = Worker {
-            born: 1,
-            born_at: now,
+            incarnation: 1,
+            started_at: now,
             capacity,
             running: IndexMap::new(),
             ended: Vec::new(),
             ended_at: IndexMap::new(),
             lapsed_at: None,
-            over: IndexMap::new(),
+            last_ended: IndexMap::new(),
             next_end: 1,
             token: 0,
             lease_until: now,
@@ -269,18 +267,18 @@
             is_listed: true,
             data_centre: DATA_CENTRE.to_owned(),
             leaving_in: None,
-            mood: WorkerMood::Prompt,
+            behaviour: WorkerBehaviour::Prompt,
             is_stalled: false,
         };
         self.workers.borrow_mut().insert(id.to_owned(), worker);
     }
 
-    /// A daemon in this world that watches the lease, and answers whoever asks for it.
+    /// Starts a daemon that polls leases and answers requests of other daemons.
     pub(crate) fn daemon(self: &Rc<Self>, name: &str) -> Cx {
         self.daemon_in(name, DATA_CENTRE)
     }
 
-    /// A daemon in another data centre.
+    /// Like [`Self::daemon`], in another data centre.
     pub(crate) fn daemon_in(self: &Rc<Self>, name: &str, data_centre: &str) -> Cx {
         let (listener, address) = listen();
         let cx = self.make_daemon(name, data_centre, address);
@@ -288,7 +286,7 @@
         cx
     }
 
-    /// The same, where other daemons reach it through a relay.
+    /// Like [`Self::daemon_in`], where other daemons reach it through a relay.
     pub(crate) fn daemon_behind_relay(
         self: &Rc<Self>,
         name: &str,
@@ -300,12 +298,12 @@
         (cx, Relay::start(relayed, target))
     }
 
-    /// A daemon that watches the lease and is said to be at an address where nobody answers for it.
+    /// Starts a daemon that polls leases, but does not serve the address under which other daemons know it.
     pub(crate) fn daemon_at(self: &Rc<Self>, name: &str, address: SocketAddr) -> Cx {
         self.make_daemon(name, DATA_CENTRE, address)
     }
 
-    /// A daemon that does nothing by itself.
+    /// Creates a daemon without background tasks.
     pub(crate) fn idle_daemon(self: &Rc<Self>, name: &str) -> Cx {
         self.node(name, DATA_CENTRE, listen().1)
     }
@@ -326,7 +324,7 @@
             workers_per_shard: self.workers_per_shard.get(),
             leases: limits(),
             work: work_timings(),
-            evacuated_within: EVACUATED_WITHIN,
+            evacuated_within: EVACUATION_DEADLINE,
             cpu_share: 0.25,
             retention: Duration::from_secs(120),
             drain: Duration::from_secs(5),
@@ -342,7 +340,7 @@
         Node::new(cfg, store, Rc::clone(&edges) as Rc<dyn Workers>, edges)
     }
 
-    /// The fence row of a part and its version.
+    /// The key of the fence row of a partition, and its version.
     pub(crate) fn fence(&self, partition: &str) -> (RowKey, u64) {
         let fence = RowKey {
             table: "owners",
@@ -359,37 +357,43 @@
         (fence, version)
     }
 
-    /// How long a slow store works on a transaction, and how much later its answer comes.
+    /// Sets the time that a transaction occupies its partition of a slow store, and the additional latency of its
+    /// answer.
     pub(crate) fn set_slow_txn(&self, work: Duration, answer: Duration) {
         self.slow_txn.set((work, answer));
     }
 
-    /// What the store does with a daemon's calls from now on.
-    pub(crate) fn set_store(&self, daemon: &str, mood: StoreMood) {
-        self.moods.borrow_mut().insert(daemon.to_owned(), mood);
+    /// Sets how the store responds to a daemon's calls from now on.
+    pub(crate) fn set_store(&self, daemon: &str, behaviour: StoreBehaviour) {
+        self.behaviours
+            .borrow_mut()
+            .insert(daemon.to_owned(), behaviour);
     }
 
-    fn mood_of(&self, daemon: &str) -> StoreMood {
-        let moods = self.moods.borrow();
-        moods.get(daemon).copied().unwrap_or(StoreMood::Up)
+    fn store_behaviour(&self, daemon: &str) -> StoreBehaviour {
+        let behaviours = self.behaviours.borrow();
+        behaviours
+            .get(daemon)
+            .copied()
+            .unwrap_or(StoreBehaviour::Up)
     }
 
     fn change(&self, worker: &str, change: impl FnOnce(&mut Worker)) {
         change(self.workers.borrow_mut().get_mut(worker).expect("a worker"));
     }
 
-    /// Cuts a worker off, or joins it again.
+    /// Makes a worker unreachable for all daemons, or reachable again.
     pub(crate) fn cut(&self, worker: &str, is_cut: bool) {
         self.change(worker, |w| w.is_cut = is_cut);
     }
 
-    /// Cuts a worker off from one daemon.
+    /// Makes a worker unreachable for one daemon.
     pub(crate) fn cut_from(&self, daemon: &str, worker: &str) {
         let path = (daemon.to_owned(), worker.to_owned());
         self.paths_cut.borrow_mut().insert(path);
     }
 
-    /// Kills a worker and its tasks.
+    /// Crashes a worker with its tasks.
     pub(crate) fn crash(&self, worker: &str) {
         self.change(worker, |w| {
             w.is_dead = true;
@@ -398,29 +402,29 @@
         });
     }
 
-    /// Starts a killed worker again under its id.
-    pub(crate) fn revive(&self, worker: &str) {
+    /// Restarts a crashed worker under its id.
+    pub(crate) fn restart(&self, worker: &str) {
         self.change(worker, |w| {
             w.is_dead = false;
-            w.born += 1;
-            w.born_at = Instant::now();
-            w.over.clear();
+            w.incarnation += 1;
+            w.started_at = Instant::now();
+            w.last_ended.clear();
             w.next_end = 1;
             w.token = 0;
         });
     }
 
-    /// Says that a worker is leaving.
-    pub(crate) fn leave(&self, worker: &str) {
+    /// Makes a worker report that it is leaving in 2 s.
+    pub(crate) fn announce_leaving(&self, worker: &str) {
         self.change(worker, |w| w.leaving_in = Some(Duration::from_secs(2)));
     }
 
-    /// Puts a worker into another data centre.
-    pub(crate) fn put_in(&self, worker: &str, data_centre: &str) {
+    /// Moves a worker to a data centre.
+    pub(crate) fn set_data_centre(&self, worker: &str, data_centre: &str) {
         self.change(worker, |w| w.data_centre = data_centre.to_owned());
     }
 
-    /// Has a data centre evacuated, as its operator is told by the store.
+    /// Marks a data centre as evacuated, acknowledged by the store now.
     pub(crate) fn evacuate(&self, data_centre: &str) {
         let mut evacuated = self.evacuated.borrow_mut();
         evacuated
@@ -428,54 +432,54 @@
             .or_insert_with(Instant::now);
     }
 
-    /// Takes a data centre back.
+    /// Ends the evacuation of a data centre.
     pub(crate) fn restore(&self, data_centre: &str) {
         self.evacuated.borrow_mut().swap_remove(data_centre);
     }
 
-    /// Notes a start that arrives in a data centre that was evacuated too long ago.
+    /// Records a violation if a start order arrives in a data centre after its evacuation deadline.
     fn check_evacuation(&self, id: &str, run: &RunId) {
         let data_centre = self.workers.borrow()[id].data_centre.clone();
         let since = self.evacuated.borrow().get(&data_centre).copied();
         let ago = since.map(|since| since.elapsed());
-        if ago.is_some_and(|ago| ago > EVACUATED_WITHIN) {
-            self.breach(format!(
+        if ago.is_some_and(|ago| ago > EVACUATION_DEADLINE) {
+            self.record_violation(format!(
                 "{run:?} is sent to {data_centre} {ago:?} after it was evacuated"
             ));
         }
     }
 
-    /// What a worker does with orders to start from now on.
-    pub(crate) fn set_mood(&self, worker: &str, mood: WorkerMood) {
-        self.change(worker, |w| w.mood = mood);
+    /// Sets how a worker responds to start orders from now on.
+    pub(crate) fn set_worker(&self, worker: &str, behaviour: WorkerBehaviour) {
+        self.change(worker, |w| w.behaviour = behaviour);
     }
 
-    /// Has everything that a worker starts from now on stand still.
+    /// Makes tasks that a worker starts from now on make no progress.
     pub(crate) fn stall(&self, worker: &str) {
         self.change(worker, |w| w.is_stalled = true);
     }
 
-    /// Has every task of a job fail.
-    pub(crate) fn let_fail(&self, job: JobId) {
+    /// Makes every task of a job fail.
+    pub(crate) fn fail_job(&self, job: JobId) {
         self.failing.borrow_mut().insert(job);
     }
 
-    /// The runs that a worker has now.
+    /// Runs on a worker, after ending those that are due.
     pub(crate) fn running_on(&self, worker: &str) -> Vec<RunId> {
-        self.settle_all();
+        self.end_all_due_runs();
         let workers = self.workers.borrow();
         workers[worker].running.keys().copied().collect()
     }
 
-    /// Every run anywhere.
+    /// Runs on all workers, after ending those that are due.
     pub(crate) fn running(&self) -> Vec<RunId> {
-        self.settle_all();
+        self.end_all_due_runs();
         let workers = self.workers.borrow();
         let running = workers.values().flat_map(|w| w.running.keys().copied());
         running.collect()
     }
 
-    /// How many starts of a task were carried out.
+    /// Number of executed start orders of a task.
     pub(crate) fn starts_of(&self, task: &TaskId) -> usize {
         let starts = self.starts.borrow();
         starts
@@ -494,39 +498,39 @@
         assert!(matches!(end, TxnOutcome::Committed(_)), "{end:?}");
     }
 
-    /// Transactions that took effect.
+    /// Number of committed transactions.
     pub(crate) fn commits(&self) -> u64 {
         self.rows.borrow().commits
     }
 
-    /// Fails the test when something happened that must not.
+    /// Panics if an invariant was violated.
     pub(crate) fn check(&self) {
-        let breaches = self.breaches.borrow();
-        assert!(breaches.is_empty(), "{}", breaches.join("\n"));
+        let violations = self.violations.borrow();
+        assert!(violations.is_empty(), "{}", violations.join("\n"));
     }
 
-    fn breach(&self, what: String) {
-        self.breaches.borrow_mut().push(what);
+    fn record_violation(&self, what: String) {
+        self.violations.borrow_mut().push(what);
     }
 
-    fn settle_all(&self) {
+    fn end_all_due_runs(&self) {
         let now = Instant::now();
         let mut workers = self.workers.borrow_mut();
         for worker in workers.values_mut() {
-            for task in worker.settle(now) {
+            for task in worker.end_due_runs(now) {
                 self.done.borrow_mut().insert(task);
             }
         }
     }
 
-    /// Carries an order to start out.
-    fn carry_out(&self, id: &str, order: &StartOrder) -> OrderOutcome<WorkerMillis> {
-        self.settle_all();
+    /// Executes a start order on a worker and checks the invariants.
+    fn execute_start(&self, id: &str, order: &StartOrder) -> OrderOutcome<WorkerMillis> {
+        self.end_all_due_runs();
         let now = Instant::now();
         let fails = self.failing.borrow().contains(&order.run.task.job);
         let spec = self.jobs.borrow().get(&order.run.task.job).cloned();
         let Some(steps) = spec else {
-            self.breach(format!("{} was never submitted", order.run.task));
+            self.record_violation(format!("{} was never submitted", order.run.task));
             return OrderOutcome::Refused(Refusal::Malformed);
         };
         let step = steps[usize::from(order.run.task.step)].clone();
@@ -546,7 +550,7 @@
         worker.running.insert(
             order.run,
             Running {
-                began_at: now,
+                started_at: now,
                 done_at: match worker.is_stalled {
                     true => now + Duration::from_secs(1_000),
                     false => now + Duration::from_millis(step.estimate_ms),
@@ -562,7 +566,7 @@
             .map(|r| r.size.millicores)
             .sum::<u64>();
         if used > worker.capacity.millicores {
-            self.breach(format!("{id} is over its capacity: {used} millicores"));
+            self.record_violation(format!("{id} is over its capacity: {used} millicores"));
         }
         let started = (now, order.run, id.to_owned());
         self.starts.borrow_mut().push(started);
@@ -571,18 +575,21 @@
 
     fn check_start(&self, run: &RunId, steps: &[Step], step: &Step, id: &str) {
         let workers = self.workers.borrow();
-        let doubled = |(_, worker): &(&String, &Worker)| {
+        let has_run = |(_, worker): &(&String, &Worker)| {
             worker.running.keys().any(|other| other.task == run.task)
         };
         let alive = workers.iter().filter(|(_, worker)| !worker.is_dead);
-        if let Some((other, _)) = alive.into_iter().find(doubled) {
-            self.breach(format!(
+        if let Some((other, _)) = alive.into_iter().find(has_run) {
+            self.record_violation(format!(
                 "{} runs on {other} and is started on {id}",
                 run.task
             ));
         }
-        if self.taken.borrow().contains(&run.task) {
-            self.breach(format!("{} is started after its end was taken", run.task));
+        if self.acknowledged.borrow().contains(&run.task) {
+            self.record_violation(format!(
+                "{} is started after its end was acknowledged",
+                run.task
+            ));
         }
         for before in &step.after {
             for index in 0..steps[usize::from(*before)].count {
@@ -592,14 +599,14 @@
                     ..run.task
                 };
                 if !self.done.borrow().contains(&task) {
-                    self.breach(format!("{} is started before {task} is done", run.task));
+                    self.record_violation(format!("{} is started before {task} is done", run.task));
                 }
             }
         }
     }
 }
 
-/// What this world promises of stops, restores and tails.
+/// Timings that the simulated workers keep.
 fn work_timings() -> Timings {
     Timings {
         stop_takes: Duration::from_millis(900),
@@ -608,10 +615,10 @@
     }
 }
 
-/// The bounds that the workers of this world keep.
+/// Lease limits that the simulated workers keep.
 pub(crate) fn limits() -> LeaseLimits {
     LeaseLimits {
-        longest: LONGEST_LEASE,
+        longest: MAX_WORKER_LEASE,
         drift_parts: 45,
         latest_effect: Duration::from_millis(12_500),
         transit: Duration::from_millis(750),
@@ -621,24 +628,24 @@
 
 impl Worker {
     fn clock(&self, now: Instant) -> WorkerMillis {
-        WorkerMillis((now - self.born_at).as_millis() as u64 + 1_000)
+        WorkerMillis((now - self.started_at).as_millis() as u64 + 1_000)
     }
 
-    /// Ends what is over by now; the tasks that are done.
-    fn settle(&mut self, now: Instant) -> Vec<TaskId> {
+    /// Ends the runs that are due by now; returns the tasks that were completed.
+    fn end_due_runs(&mut self, now: Instant) -> Vec<TaskId> {
         let mut done = Vec::new();
         let lease_until = self.lease_until;
         if lease_until <= now {
             self.lapsed_at = Some(lease_until);
         }
-        let over: Vec<(RunId, RunEnd)> = self
+        let due: Vec<(RunId, RunEnd)> = self
             .running
             .iter()
             .filter_map(|(run, r)| Some((*run, r.end_at(now, lease_until)?)))
             .collect();
-        for (run, how) in over {
+        for (run, how) in due {
             self.running.swap_remove(&run);
-            self.over.insert(run.task, run.run);
+            self.last_ended.insert(run.task, run.run);
             if how == RunEnd::Done {
                 done.push(run.task);
             }
@@ -655,7 +662,7 @@
         done
     }
 
-    fn see_token(&mut self, token: u64) -> Result<(), Refusal> {
+    fn check_token(&mut self, token: u64) -> Result<(), Refusal> {
         if token < self.token {
             return Err(Refusal::NewerOwner);
         }
@@ -663,19 +670,19 @@
         Ok(())
     }
 
-    fn take_lease(&mut self, until: WorkerMillis, now: Instant) -> Result<(), Refusal> {
+    fn extend_lease(&mut self, until: WorkerMillis, now: Instant) -> Result<(), Refusal> {
         let Some(left) = until.0.checked_sub(self.clock(now).0) else {
             return Err(Refusal::LeaseOver);
         };
-        let left = Duration::from_millis(left).min(LONGEST_LEASE);
+        let left = Duration::from_millis(left).min(MAX_WORKER_LEASE);
         self.lease_until = self.lease_until.max(now + left);
         Ok(())
     }
 
     fn admit(&mut self, order: &StartOrder, now: Instant) -> Result<(), Refusal> {
-        self.see_token(order.token)?;
-        let last = self.over.get(&order.run.task).copied();
-        self.take_lease(order.lease_until, now)?;
+        self.check_token(order.token)?;
+        let last = self.last_ended.get(&order.run.task).copied();
+        self.extend_lease(order.lease_until, now)?;
         if last.is_some_and(|last| order.run.run <= last) {
             return Err(Refusal::OldRun);
         }
@@ -684,10 +691,10 @@
 }
 
 impl Running {
-    /// How much of the work is done, in hundredths.
+    /// Progress of the run, in percent.
     fn percent(&self, now: Instant) -> u32 {
-        let (whole, done) = (self.done_at - self.began_at, now - self.began_at);
-        (done.as_secs_f64() / whole.as_secs_f64() * 100.0) as u32
+        let (total, elapsed) = (self.done_at - self.started_at, now - self.started_at);
+        (elapsed.as_secs_f64() / total.as_secs_f64() * 100.0) as u32
     }
 
     fn end_at(&self, now: Instant, lease_until: Instant) -> Option<RunEnd> {
@@ -709,7 +716,7 @@
     CallError::rate_limited("too many reads")
 }
 
-fn silence() -> CallError {
+fn no_answer() -> CallError {
     CallError::new("no answer")
 }
 
@@ -719,9 +726,9 @@
 }
 
 impl Edges {
-    /// Lets an order's time pass; false when the worker does not hear it.
+    /// Waits for the latency of an order, or its timeout; returns whether the worker is reachable.
     async fn reach(&self, worker: &str) -> bool {
-        sleep(ORDER).await;
+        sleep(ORDER_LATENCY).await;
         let is_reached = {
             let path = (self.daemon.clone(), worker.to_owned());
             let is_path_cut = self.world.paths_cut.borrow().contains(&path);
@@ -730,7 +737,7 @@
             !worker.is_cut && !worker.is_dead && !is_path_cut
         };
         if !is_reached {
-            sleep(SILENCE).await;
+            sleep(CALL_TIMEOUT).await;
         }
         is_reached
     }
@@ -745,30 +752,30 @@
     ) -> LocalBoxFuture<'a, OrderOutcome<WorkerMillis>> {
         async move {
             if !self.reach(id).await {
-                return OrderOutcome::Silent(silence());
+                return OrderOutcome::Silent(no_answer());
             }
             self.world.check_evacuation(id, &order.run);
-            let (mood, born) = {
+            let (behaviour, incarnation) = {
                 let workers = self.world.workers.borrow();
-                (workers[id].mood, workers[id].born)
+                (workers[id].behaviour, workers[id].incarnation)
             };
-            let WorkerMood::Late(after) = mood else {
-                return self.world.carry_out(id, order);
+            let WorkerBehaviour::Late(after) = behaviour else {
+                return self.world.execute_start(id, order);
             };
             let (world, id, order) = (Rc::clone(&self.world), id.to_owned(), order.clone());
             actix_rt::spawn(async move {
                 sleep(after).await;
-                let (is_dead, born_now) = {
+                let (is_dead, current) = {
                     let workers = world.workers.borrow();
-                    (workers[&id].is_dead, workers[&id].born)
+                    (workers[&id].is_dead, workers[&id].incarnation)
                 };
-                let is_alive = born_now == born || world.orders_outlive_crashes.get();
+                let is_alive = current == incarnation || world.orders_outlive_crashes.get();
                 if is_alive && !is_dead {
-                    world.carry_out(&id, &order);
+                    world.execute_start(&id, &order);
                 }
             });
-            sleep(SILENCE).await;
-            OrderOutcome::Silent(silence())
+            sleep(CALL_TIMEOUT).await;
+            OrderOutcome::Silent(no_answer())
         }
         .boxed_local()
     }
@@ -782,19 +789,19 @@
     ) -> LocalBoxFuture<'a, OrderOutcome<WorkerMillis>> {
         async move {
             if !self.reach(id).await {
-                return OrderOutcome::Silent(silence());
+                return OrderOutcome::Silent(no_answer());
             }
-            self.world.settle_all();
+            self.world.end_all_due_runs();
             let now = Instant::now();
             let mut workers = self.world.workers.borrow_mut();
             let worker = workers.get_mut(id).expect("a worker");
-            if let Err(why) = worker.see_token(token) {
+            if let Err(why) = worker.check_token(token) {
                 return OrderOutcome::Refused(why);
             }
             match worker.running.get_mut(&run) {
-                Some(running) => running.stop_at = Some(now + STOP),
+                Some(running) => running.stop_at = Some(now + STOP_TIME),
                 None => {
-                    let last = worker.over.entry(run.task).or_default();
+                    let last = worker.last_ended.entry(run.task).or_default();
                     *last = (*last).max(run.run);
                 }
             }
@@ -811,11 +818,11 @@
     ) -> LocalBoxFuture<'a, OrderOutcome<PollResponse>> {
         async move {
             if !self.reach(id).await {
-                return OrderOutcome::Silent(silence());
+                return OrderOutcome::Silent(no_answer());
             }
-            let began = Instant::now();
+            let started_at = Instant::now();
             loop {
-                self.world.settle_all();
+                self.world.end_all_due_runs();
                 let now = Instant::now();
                 {
                     let mut workers = self.world.workers.borrow_mut();
@@ -823,33 +830,33 @@
                     if worker.is_cut || worker.is_dead {
                         break;
                     }
-                    if let Err(why) = worker.see_token(order.token) {
+                    if let Err(why) = worker.check_token(order.token) {
                         return OrderOutcome::Refused(why);
                     }
                     if let Some(until) = order.lease_until {
-                        // One that has passed extends nothing.
-                        let _ = worker.take_lease(until, now);
+                        // A lease that has already ended extends nothing.
+                        let _ = worker.extend_lease(until, now);
                     }
                     let acked = worker.ended.iter().filter(|e| e.number <= order.acked_upto);
-                    // One whose worker's lease ran out before it was taken may have been done again.
-                    let stands = |end: &&ListedEnd| {
+                    // If the lease ended between the end and its acknowledgement, the task may have been run again.
+                    let is_final = |end: &&ListedEnd| {
                         let at = worker.ended_at.get(&end.number).copied();
                         worker.lapsed_at.is_none_or(|lapsed| Some(lapsed) <= at)
                     };
-                    let done = acked.filter(stands).filter(|end| end.how == RunEnd::Done);
+                    let done = acked.filter(is_final).filter(|end| end.how == RunEnd::Done);
                     self.world
-                        .taken
+                        .acknowledged
                         .borrow_mut()
                         .extend(done.map(|end| end.run.task));
                     worker.ended.retain(|end| end.number > order.acked_upto);
-                    if !worker.ended.is_empty() || now - began >= order.wait {
-                        return OrderOutcome::Done(worker.lists(now));
+                    if !worker.ended.is_empty() || now - started_at >= order.wait {
+                        return OrderOutcome::Done(worker.poll_response(now));
                     }
                 }
-                sleep(WAIT_STEP).await;
+                sleep(CHECK_INTERVAL).await;
             }
-            sleep(SILENCE).await;
-            OrderOutcome::Silent(silence())
+            sleep(CALL_TIMEOUT).await;
+            OrderOutcome::Silent(no_answer())
         }
         .boxed_local()
     }
@@ -865,7 +872,7 @@
         async move {
             match self.reach(id).await {
                 true => OrderOutcome::Done(self.world.workers.borrow()[id].clock(Instant::now())),
-                false => OrderOutcome::Silent(silence()),
+                false => OrderOutcome::Silent(no_answer()),
             }
         }
         .boxed_local()
@@ -873,7 +880,7 @@
 }
 
 impl Worker {
-    fn lists(&self, now: Instant) -> PollResponse {
+    fn poll_response(&self, now: Instant) -> PollResponse {
         let running = self.running.iter().map(|(run, running)| ListedRun {
             run: *run,
             checkpoint: None,
@@ -881,7 +888,7 @@
             gauge: 0,
         });
         PollResponse {
-            started_unix_ms: Some(self.born),
+            started_unix_ms: Some(self.incarnation),
             clock: self.clock(now),
             running: running.collect(),
             ended: self.ended.clone(),
@@ -892,13 +899,13 @@
 impl Directory for Edges {
     fn workers(&self) -> LocalBoxFuture<'_, Result<Vec<WorkerReport>, CallError>> {
         async move {
-            sleep(STORE_CALL).await;
+            sleep(STORE_LATENCY).await;
             let workers = self.world.workers.borrow();
             let listed = workers.iter().filter(|(_, w)| w.is_listed && !w.is_dead);
             let report = |(id, worker): (&String, &Worker)| WorkerReport {
                 incarnation: WorkerIncarnation {
                     worker: id.clone(),
-                    started_unix_ms: worker.born,
+                    started_unix_ms: worker.incarnation,
                 },
                 pool: "pool".to_owned(),
                 address: format!("{id}:1"),
@@ -915,15 +922,15 @@
 
     fn operator_state(&self) -> LocalBoxFuture<'_, Result<OperatorState, CallError>> {
         async move {
-            sleep(STORE_CALL).await;
-            let mood = self.world.mood_of(&self.daemon);
-            if mood == StoreMood::Away || self.world.operators_are_silent.get() {
-                sleep(SILENCE).await;
-                return Err(silence());
+            sleep(STORE_LATENCY).await;
+            let behaviour = self.world.store_behaviour(&self.daemon);
+            if behaviour == StoreBehaviour::Unavailable || self.world.operators_are_silent.get() {
+                sleep(CALL_TIMEOUT).await;
+                return Err(no_answer());
             }
             let reads = &self.world.operator_reads;
             reads.set(reads.get() + 1);
-            if mood == StoreMood::RefusesReads {
+            if behaviour == StoreBehaviour::RefusesReads {
                 return Err(too_many_reads());
             }
             let queue = Queue {
@@ -946,14 +953,14 @@
     }
 }
 
-/// The owner's side as a caller reaches it.
+/// Requests to the owner, as a caller makes them.
 impl World {
-    /// Lets workers know the steps of a job that is submitted by other ways than [`World::submit`].
-    pub(crate) fn expect(&self, id: u64, steps: Vec<Step>) {
+    /// Registers the steps of a job that is not submitted with [`World::submit`].
+    pub(crate) fn register_steps(&self, id: u64, steps: Vec<Step>) {
         self.jobs.borrow_mut().insert(JobId(id), steps);
     }
 
-    /// Hands a job in at the owner.
+    /// Submits a job to the owner, and repeats the request while the owner reports it as in progress.
     pub(crate) async fn submit(&self, cx: &Cx, id: u64, steps: Vec<Step>) -> SubmitReply {
         let job = JobId(id);
         self.jobs.borrow_mut().insert(job, steps.clone());
@@ -962,26 +969,26 @@
             steps,
             schedule: None,
         };
-        let spec = JobSpec::try_from(raw).expect("a good job");
-        let ask = OwnerRequest::Submit {
+        let spec = JobSpec::try_from(raw).expect("a valid job");
+        let request = OwnerRequest::Submit {
             job,
             spec,
             terms: terms(),
             is_sent: false,
         };
-        let began = Instant::now();
+        let started_at = Instant::now();
         loop {
-            match peer::answer(cx, home(cx, id), ask.clone()).await {
-                // Asked again as the front does.
+            match peer::answer(cx, home(cx, id), request.clone()).await {
+                // The front end repeats the request in the same way.
                 OwnerReply::Submitted(SubmitReply::UnderWay)
-                    if began.elapsed() < Duration::from_millis(1_500) => {}
+                    if started_at.elapsed() < Duration::from_millis(1_500) => {}
                 OwnerReply::Submitted(reply) => return reply,
                 other => panic!("{other:?}"),
             }
         }
     }
 
-    /// Cancels a job at the owner.
+    /// Asks the owner to cancel a job.
     pub(crate) async fn cancel(&self, cx: &Cx, id: u64) -> CancelReply {
         match peer::answer(cx, home(cx, id), OwnerRequest::Cancel(JobId(id))).await {
             OwnerReply::Cancelled(reply) => reply,
@@ -989,7 +996,7 @@
         }
     }
 
-    /// A job's state as the owner shows it.
+    /// State of a job as reported by the owner; none if it reports none.
     pub(crate) async fn state(&self, cx: &Cx, id: u64) -> Option<JobState> {
         match peer::answer(cx, home(cx, id), OwnerRequest::Show(JobId(id))).await {
             OwnerReply::Shown(ShowReply::State(state)) => Some(state),
@@ -998,30 +1005,30 @@
     }
 }
 
-/// The shard that is a job's home.
+/// The home shard of a job, by its id.
 pub(crate) fn home(cx: &Cx, id: u64) -> ShardId {
     let layout = cx.layout.borrow();
     let layout = layout.as_ref().expect("the layout is known");
     layout.home_by_id(JobId(id))
 }
 
-/// Whether a daemon owns a shard and knows its jobs.
+/// Whether a daemon owns a shard and has recovered its jobs.
 pub(crate) fn owns(cx: &Cx, shard: ShardId) -> bool {
     let handle = cx.handle(shard);
     let owner = handle.owner.borrow();
     owner.as_ref().is_some_and(|owner| owner.is_recovered())
 }
 
-/// Waits until a daemon owns the first shard and knows its jobs.
+/// Waits until a daemon owns the first shard and has recovered its jobs.
 pub(crate) async fn owned(cx: &Cx, limit: Duration) {
     until("the shard is owned", limit, async || owns(cx, ShardId(0))).await;
 }
 
-/// Waits until a condition holds.
+/// Waits until a condition holds; panics after `limit`.
 pub(crate) async fn until(what: &str, limit: Duration, mut holds: impl AsyncFnMut() -> bool) {
-    let began = Instant::now();
+    let started_at = Instant::now();
     while !holds().await {
-        assert!(began.elapsed() < limit, "not within {limit:?}: {what}");
+        assert!(started_at.elapsed() < limit, "not within {limit:?}: {what}");
         sleep(Duration::from_millis(20)).await;
     }
 }
