--- a/tests/testsuite/attribution.rs
+++ b/tests/testsuite/attribution.rs
@@ -1,4 +1,4 @@
-//! Where jobs' time went, told from log lines: what a person on call reads after a complaint.
+//! Latency attribution: where jobs spent their time, reconstructed from log lines.
 
 use assert_matches::assert_matches;
 use lapisdrum::{
@@ -16,7 +16,7 @@
 
 const JOB: &str = "00000000000000aa";
 
-/// A line as a daemon writes it, with what a collector puts before it.
+/// A log line as a daemon writes it, with the prefix that a log collector adds.
 fn line_at(ms: u64, message: &str, kvs: &str) -> String {
     let (s, ms) = (ms / 1_000, ms % 1_000);
     format!(
@@ -28,8 +28,8 @@
     format!("\"task\":\"{JOB}.0.{task}\",\"run\":{run}")
 }
 
-/// A job of two steps. Its caller is refused for a second; the first step waits for a place, its only run is
-/// stopped and goes on; then its owner is killed, and the second step waits for the next one.
+/// A job of two steps. Its caller is refused for a second; the first step waits for placement, and its only run is
+/// stopped and resumed; then its owner is killed, and the second step waits for the next owner.
 fn lines() -> Vec<String> {
     let handed = |outcome: &str| {
         format!(
@@ -112,7 +112,7 @@
     on.map(|span| span.to_ms - span.from_ms).sum()
 }
 
-/// Each moment between the first try and the end is told once, and by its cause.
+/// The time between the first attempt and the end must be attributed without gaps, each part to its cause.
 #[test]
 fn a_late_job_is_explained() {
     let traces = traces();
@@ -136,7 +136,7 @@
     assert!(shown.contains("waiting for placement: Pressure"), "{shown}");
 }
 
-/// Sums count the job once, as late, under its entry, its data centre and its second.
+/// The totals must count the job once, as late, under its entry, its data centre and its second.
 #[test]
 fn sums_tell_entry_data_centre_and_second() {
     for (by, group) in [
@@ -159,8 +159,8 @@
     }
 }
 
-/// A file without a line of ours, one that isn't there, an id that is none or unknown, an acceptance that is
-/// missing: each is told, and nothing is guessed.
+/// A file without our log lines, a missing file, an invalid or unknown id and a missing acceptance must each be
+/// reported, and nothing is guessed.
 #[test]
 fn what_cannot_be_explained_is_said() {
     let missing = explain(&[PathBuf::from("no-such.log")], &Question::Sums(By::Entry));
@@ -190,7 +190,7 @@
     );
 }
 
-/// A worker is lost with a lasting task: for how long it was away, and what it waited for, is told.
+/// A worker with a long-running task is lost: how long the task was unavailable, and why, must be reported.
 #[test]
 fn lasting_tasks_are_told_by_their_time_away() {
     let mut raw = lines();
@@ -223,14 +223,14 @@
 }
 
 proptest! {
-    /// What a line says of a job's steps is read back as it was.
+    /// The steps of a job, written to a log line and parsed again, must be unchanged.
     #[test]
     fn a_shape_is_read_back(steps in prop::collection::vec(any_step(), 0..8)) {
         let shape = Shape(steps);
         prop_assert_eq!(shape.to_string().parse::<Shape>(), Ok(shape));
     }
 
-    /// Whatever a file holds, reading it does not panic.
+    /// Parsing any file must not panic.
     #[test]
     fn any_line_is_read_or_passed_over(raw in ".{0,200}") {
         let _ = log_line::read(&raw);
--- a/tests/testsuite/bad_input.rs
+++ b/tests/testsuite/bad_input.rs
@@ -1,4 +1,4 @@
-//! Bad input: a status, one line of JSON that says what to do, and nothing changed.
+//! Bad input: an error status, one line of JSON that says how to fix it, and no change.
 
 use crate::support::{http, process::Site};
 use actix_http::{Method, StatusCode};
@@ -13,8 +13,8 @@
     serde_json::from_value(entry(name, class)).expect("a raw entry")
 }
 
-/// Each call is wrong in its own way. The caller sees a status of its own and one line that names
-/// the fault and the mend; afterwards the catalogue stands as it stood and no job exists.
+/// Each call is wrong in its own way and must get its own status and one line that names the fault and
+/// the fix; afterwards the catalogue is unchanged and no job exists.
 #[actix_rt::test]
 async fn wrong_calls_are_answered_and_change_nothing() {
     let site = Site::start(1, 1).await;
--- a/tests/testsuite/cli/catalogue.rs
+++ b/tests/testsuite/cli/catalogue.rs
@@ -1,4 +1,4 @@
-//! Changes of the catalogue: shown first, made once, told how far they have come.
+//! Catalogue changes: dry run, application, and progress over the daemons.
 
 use super::{all_seen, done, done_json, fails};
 use crate::support::{
@@ -21,8 +21,8 @@
     path.to_str().expect("a path in text").to_owned()
 }
 
-/// An operator looks before he changes, changes, waits until all daemons have it, looks back, and
-/// retires the entry. Each step says what it did, in text and in JSON.
+/// An operator runs a dry run, applies the change, waits until all daemons have it, reads the history
+/// and retires the entry. Each step must report what it did, in text and in JSON.
 #[actix_rt::test]
 async fn an_entry_is_shown_applied_and_retired() {
     let site = Site::start(2, 1).await;
@@ -60,9 +60,9 @@
     fails(daemon, 2, &["jobs", "submit", "nothing"]);
 }
 
-/// The change takes effect and the connection breaks before the answer. The command line sends it
-/// again under the same change id and reports the revision that the first one made: one change, not
-/// two, and not a conflict with itself.
+/// Guards against a change made twice: it takes effect, and the connection breaks before the response.
+/// The command line must retry under the same change id and report the first revision, not a second
+/// change and not a conflict with itself.
 #[actix_rt::test]
 async fn a_lost_answer_is_repeated_and_changes_nothing_twice() {
     let site = Site::start(1, 1).await;
@@ -85,8 +85,8 @@
     assert!(applied.is_ok_and(|output| output.status.success()));
 }
 
-/// Two operators change one entry at a time. The second to arrive is told of the conflict and of the
-/// revision that holds; the first one's change stands.
+/// Two operators change one entry concurrently. The second must be refused with the current revision,
+/// and the first one's change stays in force.
 #[actix_rt::test]
 async fn the_loser_of_a_race_is_refused_with_the_revision_that_holds() {
     let site = Site::start(1, 1).await;
--- a/tests/testsuite/cli/definitions.rs
+++ b/tests/testsuite/cli/definitions.rs
@@ -1,4 +1,4 @@
-//! What is made from the command line's definition, and what needs no daemon.
+//! Help, completions and man pages generated from the command line's definition; needs no daemon.
 
 use super::{done, fails};
 use lapisdrum_standins::site;
@@ -16,7 +16,7 @@
     "man",
 ];
 
-/// Each subcommand's help shows an example, so that an operator under stress can copy one.
+/// Each subcommand's help must show an example that an operator can copy.
 #[test]
 fn every_help_has_examples() {
     let nobody = site::free_address();
@@ -43,7 +43,7 @@
     }
 }
 
-/// Completions and man pages come from the same definition, so they name every subcommand.
+/// Completions and man pages are generated from the same definition and must name every subcommand.
 #[test]
 fn completions_and_man_pages_name_every_subcommand() {
     let nobody = site::free_address();
@@ -64,7 +64,7 @@
     }
 }
 
-/// Scripts go by the exit status: 2 for wrong arguments, 1 where nobody answers.
+/// Scripts depend on the exit status: 2 for wrong arguments, 1 if no daemon answers.
 #[test]
 fn wrong_arguments_and_silence_have_their_statuses() {
     let nobody = site::free_address();
--- a/tests/testsuite/cli/logs.rs
+++ b/tests/testsuite/cli/logs.rs
@@ -1,4 +1,4 @@
-//! What a daemon logs: a line for each change of state, in the form that the settings name.
+//! Log lines of a daemon: one for each change of state, in the configured format.
 
 use super::LIMIT;
 use crate::support::{
@@ -26,9 +26,9 @@
     }
 }
 
-/// The platform goes away for a dozen of the daemon's tries to reach it and comes back. Whoever reads
-/// the log sees one line for each of the two changes and not one for each try, and a program that
-/// reads it finds JSON on every line.
+/// Guards against a flooded log: the platform is unavailable for a dozen of the daemon's attempts to
+/// reach it. The log must hold one line for each of the two changes, not one for each attempt, and
+/// every line must be JSON.
 #[actix_rt::test]
 async fn an_outage_is_two_lines_of_json() {
     let platform = Standin::platform();
@@ -59,7 +59,7 @@
     platform.switch_platform(&PlatformSwitches::default()).await;
     wait::until("the platform is back", LIMIT, async || up(true).await).await;
 
-    // A thread of its own writes the lines, so that logging blocks nothing; the last one may come after the status.
+    // A separate thread writes the lines, so that logging blocks nothing; the last one may come after the status.
     let read = || fs::read_to_string(&log).expect("the log is there");
     wait::until("the log says so", LIMIT, async || {
         let text = read();
--- a/tests/testsuite/cli/mod.rs
+++ b/tests/testsuite/cli/mod.rs
@@ -1,4 +1,4 @@
-//! The command line through the real binary: what it prints, and its exit statuses.
+//! The command line, run as the real binary: its output and its exit statuses.
 
 mod catalogue;
 mod definitions;
@@ -13,7 +13,7 @@
     time::Duration,
 };
 
-/// Greatest time for what takes a second or two on an idle machine.
+/// Upper bound of each wait; takes a second or two on an idle machine.
 const LIMIT: Duration = Duration::from_secs(20);
 
 /// Runs the binary against a daemon.
@@ -23,7 +23,7 @@
     command.args(args).output().expect("the binary runs")
 }
 
-/// Standard output of a run that must end with status 0.
+/// The standard output of a run that must exit with status 0.
 fn done(daemon: SocketAddr, args: &[&str]) -> String {
     let output = lapisdrum(daemon, args);
     let errors = String::from_utf8_lossy(&output.stderr);
@@ -31,14 +31,14 @@
     String::from_utf8_lossy(&output.stdout).into_owned()
 }
 
-/// The same as JSON.
+/// Like [`done`], parsed from one line of JSON.
 fn done_json(daemon: SocketAddr, args: &[&str]) -> serde_json::Value {
     let text = done(daemon, &[&["--output", "json"], args].concat());
     assert_eq!(text.lines().count(), 1, "one line: {text}");
     serde_json::from_str(&text).unwrap_or_else(|e| panic!("{args:?}: {e}: {text}"))
 }
 
-/// Standard error of a run that must end with `status`.
+/// The standard error of a run that must exit with `status`.
 fn fails(daemon: SocketAddr, status: i32, args: &[&str]) -> String {
     let output = lapisdrum(daemon, args);
     let errors = String::from_utf8_lossy(&output.stderr).into_owned();
@@ -46,8 +46,8 @@
     errors
 }
 
-/// Waits until the daemon has seen `count` daemons and all of them answer: a daemon learns of the
-/// others from their rows, some time after it is ready itself.
+/// Waits until the daemon has found `count` daemons and all of them answer: it finds the others by
+/// their table rows, some time after it is ready itself.
 async fn all_seen(daemon: SocketAddr, count: usize) {
     wait::until("all daemons are seen and answer", LIMIT, async || {
         let report = done_json(daemon, &["status"]);
--- a/tests/testsuite/cli/pages.rs
+++ b/tests/testsuite/cli/pages.rs
@@ -1,4 +1,4 @@
-//! The commands of the pages, run as printed.
+//! The commands in the documentation, run as printed.
 
 use crate::support::process::{Site, examples_folder, lapisdrum_binary};
 use lapisdrum_standins::site::{self, DaemonPlan};
@@ -14,7 +14,7 @@
     fs::read_to_string(path).unwrap_or_else(|e| panic!("{name}: {e}"))
 }
 
-/// The commands of a page's `console` blocks, one a line, in the page's order.
+/// The commands of a page's `console` blocks, one per line, in the page's order.
 fn commands(page: &str) -> String {
     let mut inside = false;
     let mut commands = String::new();
@@ -29,7 +29,7 @@
     commands
 }
 
-/// Runs a script in which the first failing command ends it, and ends what it left running.
+/// Runs a script that stops at its first failing command, and ends the processes it left running.
 fn run(script: &str, dir: &Path, variables: &[(&str, String)]) -> String {
     let bin = lapisdrum_binary();
     let bin = bin.parent().expect("a folder").display();
@@ -50,8 +50,8 @@
     out
 }
 
-/// A newcomer follows the README word for word and gets an answer to a first request. Only the
-/// build is left out, which `cargo test` has done, and the ports, which others may use now.
+/// The README's commands, run word for word, must lead to an answered request. Only the build, which
+/// `cargo test` has done, is left out, and the ports, which may be in use, are replaced.
 #[test]
 fn the_readme_leads_to_an_answered_request() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
@@ -77,8 +77,8 @@
     assert!(shown.contains("job-accepted"), "{shown}");
 }
 
-/// The person on call copies commands from the page; each must do what the page says, on a site of
-/// two daemons of which one is restarted on the way.
+/// The commands of the operations page must do what the page says, on a site of two daemons of which
+/// one is restarted on the way.
 #[actix_rt::test]
 async fn the_commands_of_the_operations_page_run() {
     let site = Site::start(1, 2).await;
--- a/tests/testsuite/cli/site.rs
+++ b/tests/testsuite/cli/site.rs
@@ -1,4 +1,4 @@
-//! Status, jobs and time line of a site, also with a daemon gone.
+//! Status, jobs and timeline of a site, also while a daemon is down.
 
 use super::{LIMIT, all_seen, done, done_json};
 use crate::support::{process::Site, wait};
@@ -38,8 +38,8 @@
     .await
 }
 
-/// A job is handed in twice under one key, runs, is listed by both daemons and cancelled. The time
-/// line tells its story in order, by job, by worker and by entry.
+/// A job is submitted twice under one key, runs, is listed by both daemons and cancelled. The timeline
+/// must show its events in order, filtered by job, by worker and by entry.
 #[actix_rt::test]
 async fn a_job_is_followed_from_submit_to_cancel() {
     let site = Site::start(2, 1).await;
@@ -71,7 +71,7 @@
         let kind = |event: &Value| event["what"]["event"].as_str().map(str::to_owned);
         events.iter().filter_map(kind).collect()
     };
-    // The end is in the time line a moment after it is in the ledger.
+    // The end reaches the timeline shortly after the ledger.
     wait::until("the end is in the time line", LIMIT, async || {
         kinds(&["--job", &job]).contains(&"job-ended".to_owned())
     })
@@ -92,8 +92,8 @@
     assert!(kinds(&["--since", "2100-01-01T00:00:00Z"]).is_empty());
 }
 
-/// One of two daemons is killed. Status and time line come all the same, say which daemon did not
-/// answer, and show who took its shard.
+/// One of two daemons is killed. Status and timeline must still be shown, name the daemon that didn't
+/// answer, and show which daemon took over its shard.
 #[actix_rt::test]
 async fn a_daemon_that_is_gone_is_named() {
     let mut site = Site::start(2, 1).await;
@@ -119,7 +119,7 @@
     assert_eq!(report["workers"][0]["capacity"]["millicores"], 16_000);
     let text = done(asked, &["status"]);
     assert!(text.contains("no answer, its row is silent"), "{text}");
-    // The time line notes the silence at the daemon's next look.
+    // The daemon records the silence in the timeline at its next check.
     let line = wait::until_some("the silence is in the time line", LIMIT, async || {
         let line = done(asked, &["timeline"]);
         line.contains("daemon-silent").then_some(line)
--- a/tests/testsuite/metrics/mod.rs
+++ b/tests/testsuite/metrics/mod.rs
@@ -1,4 +1,4 @@
-//! `/metrics`: valid OpenMetrics text, the ecosystem's names, the users' three measures.
+//! `/metrics`: valid OpenMetrics text, conventional names, and the users' three measures.
 
 use indexmap::IndexMap;
 use lapisdrum::{
@@ -7,7 +7,7 @@
 };
 use std::{fs, path::Path};
 
-/// One family as its comment lines declare it, with its samples' names and labels.
+/// One metric family as its comment lines declare it, with its samples' names and labels.
 #[derive(Debug, Default)]
 struct Declared {
     kind: String,
@@ -16,8 +16,8 @@
     samples: Vec<String>,
 }
 
-/// Reads OpenMetrics text as strictly as the rules that we rely on: comment lines before samples,
-/// each sample under the family declared last, the end marked.
+/// Parses OpenMetrics text and checks the rules that we rely on: comment lines come before samples, each
+/// sample belongs to the family declared last, and the end is marked.
 fn parse(text: &str) -> IndexMap<String, Declared> {
     let mut families: IndexMap<String, Declared> = IndexMap::new();
     let body = text.strip_suffix("# EOF\n").expect("the end is marked");
@@ -45,7 +45,7 @@
     families
 }
 
-/// Metrics with a sample in every family: one without is left out of the text.
+/// Metrics with a sample in every family: a family without one is left out of the text.
 fn sample_metrics() -> Metrics {
     let m = Metrics::new();
     let entry = || "route-map".to_owned();
@@ -73,7 +73,7 @@
 }
 
 /// A scraper that follows the standard must accept the text: a counter's samples end in `_total`, a
-/// unit is the end of the family's name, every family has a type and a help line.
+/// family's name ends in its unit, and every family has a type and a help line.
 #[test]
 fn the_text_follows_the_ecosystem_s_conventions() {
     let families = parse(&sample_metrics().text());
@@ -105,8 +105,8 @@
     }
 }
 
-/// The users judge by tail latency by entry, batch throughput and evictions; each must be there
-/// under the name that the pages give.
+/// Users judge by tail latency per entry, batch throughput and evictions; each must be exported under
+/// its documented name.
 #[test]
 fn the_three_measures_are_there() {
     let text = sample_metrics().text();
@@ -133,8 +133,8 @@
     metrics
 }
 
-/// An alarm on a metric that is not there never rings: every name on the page for operators is one
-/// that a daemon writes.
+/// An alert on a missing metric never fires: every name on the operations page must be one that a daemon
+/// exports.
 #[test]
 fn the_operations_page_names_metrics_that_exist() {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("docs/OPERATIONS.md");
--- a/tests/testsuite/process/changes.rs
+++ b/tests/testsuite/process/changes.rs
@@ -1,4 +1,4 @@
-//! Operators' changes: races, daemons that come back, retirement, hosts that leave.
+//! Catalogue changes, retirement, draining hosts and cancellation, tested on real processes.
 
 use super::runs::{self, LIMIT};
 use crate::support::{process::Site, wait};
@@ -7,9 +7,9 @@
 use lapisdrum::api::client::ClientError;
 use lapisdrum_standins::platform::server::PlatformSwitches;
 
-/// Two operators change one entry at the same moment through two daemons, both from the revision
-/// that they saw. One change is in; the other operator gets a conflict that names the revision now
-/// in force, and every daemon ends with the winner's figures.
+/// Guards against lost updates when two operators change one entry concurrently through two daemons,
+/// both from the same revision: one change is accepted, the other gets a conflict that names the
+/// current revision, and every daemon ends with the accepted values.
 #[actix_rt::test]
 async fn of_two_racing_operators_one_gets_a_named_conflict() {
     let site = Site::start(2, 1).await;
@@ -47,9 +47,8 @@
     }
 }
 
-/// The platform goes away. A daemon is killed and comes back: it serves nobody until a peer has
-/// given it the revision in force, and never an older one. Its callers see no rule that had been
-/// replaced.
+/// Guards against stale catalogues: a daemon restarted during a platform outage must not become ready
+/// until a peer has sent it the current revision, and must never apply an older one.
 #[actix_rt::test]
 async fn a_daemon_that_comes_back_applies_no_older_revision() {
     let mut site = Site::start(2, 1).await;
@@ -79,8 +78,8 @@
     assert_eq!(back.expect("a catalogue").revision, revision);
 }
 
-/// Operators retire a service and a kind of batch work. New streams and renders are refused at once
-/// as retired; the running stream is stopped; renders that were accepted are all done.
+/// Retires a long-running and a batch entry. New jobs of both are refused at once with 410 Gone; the
+/// running stream is stopped, and renders that were already accepted are completed.
 #[actix_rt::test]
 async fn a_retired_entry_drains_as_its_class_demands() {
     let site = Site::start(1, 1).await;
@@ -112,9 +111,9 @@
     .await;
 }
 
-/// A host begins to leave while it runs a render and a stream. The render is checkpointed and goes
-/// on elsewhere from there at once; the stream is given time first. Neither runs twice at a time,
-/// and the leaving host is given nothing new.
+/// Drains a host that runs a render and a stream. The render is checkpointed and resumed on the other
+/// host at once; the stream first gets time. Neither may run twice at the same time, and the draining
+/// host must get no new task.
 #[actix_rt::test]
 async fn work_moves_off_a_leaving_host() {
     let mut site = Site::start(1, 2).await;
@@ -150,8 +149,8 @@
     runs::assert_never_doubled(&runs::all(&site).await);
 }
 
-/// Renders fill two hosts and a queue behind them; most are cancelled in one burst. Every cancelled
-/// caller is told so, the others' renders are done, and no host was ever overfull.
+/// Cancels most of the renders that fill two hosts and their queue in one burst. Only the cancelled
+/// jobs may end early; all others are completed, and no host is ever overcommitted.
 #[actix_rt::test]
 async fn a_burst_of_cancels_ends_only_what_was_cancelled() {
     let site = Site::start(1, 2).await;
--- a/tests/testsuite/process/faults.rs
+++ b/tests/testsuite/process/faults.rs
@@ -1,4 +1,4 @@
-//! Kills, freezes, outages and graceful ends of real processes.
+//! Killed and frozen processes, platform outages and graceful shutdown.
 
 use crate::support::{http, process::Site, wait};
 use actix_http::Method;
@@ -17,7 +17,7 @@
     serde_json::from_value(entry).expect("a raw entry")
 }
 
-/// Adds a latency-critical `map` and a long-running `stream`, and waits until maps are answered.
+/// Adds a latency-critical `map` and a long-running `stream`, and waits until `map` requests succeed.
 async fn prepare(site: &Site) {
     let client = site.daemons[0].client();
     client
@@ -46,7 +46,7 @@
     }
 }
 
-/// The daemon that owns the only shard, by its own time line.
+/// The index of the daemon that owns the only shard, according to its own timeline.
 async fn owner(site: &Site) -> usize {
     for (i, daemon) in site.daemons.iter().enumerate() {
         let line = daemon.client().timeline().await.expect("a time line");
@@ -58,9 +58,9 @@
     panic!("no daemon serves the shard");
 }
 
-/// A livestream runs. Its owner dies; the other daemon waits for the lease to lapse, recovers the
-/// ledger, claims the workers and goes on renewing. The viewers never see a second stream, and the
-/// first is not interrupted, since the takeover is shorter than the task's lease.
+/// Guards against an interrupted or duplicated livestream when its owner is killed. The other daemon
+/// waits for the lease to expire, recovers the ledger, claims the workers and continues to renew; the
+/// takeover is shorter than the task's lease, so the stream keeps running.
 #[actix_rt::test]
 async fn a_livestream_outlives_its_owner_and_is_never_doubled() {
     let mut site = Site::start(2, 2).await;
@@ -95,8 +95,8 @@
     assert_eq!(runs[0].to_ms, None, "it still runs");
 }
 
-/// The platform stops answering. Callers are still served within the floors; a job, which would have
-/// to be made durable, is refused with a time to come back; once the platform is back it is taken.
+/// During a platform outage requests are still served within the floors. A job, which would have to be
+/// made durable, is refused with a `Retry-After`; it is accepted once the platform is available.
 #[actix_rt::test]
 async fn a_platform_outage_refuses_jobs_and_serves_requests() {
     let site = Site::start(2, 2).await;
@@ -138,9 +138,9 @@
     .await;
 }
 
-/// A caller's request is in flight when its daemon is told to end. The daemon answers it whole,
-/// takes nothing new, gives its shard up and ends with status 0; the other daemon takes over without
-/// waiting for a lapse.
+/// Guards against requests lost on shutdown: a daemon is stopped while a request is in flight. It must
+/// answer the request in full, accept nothing new, release its shard and exit with status 0; the other
+/// daemon takes over without waiting for the lease to expire.
 #[actix_rt::test]
 async fn a_graceful_end_cuts_off_no_request() {
     let mut site = Site::start(2, 2).await;
@@ -176,9 +176,9 @@
     .await;
 }
 
-/// A render runs on a worker that dies, and the platform's list stops naming its host. The render is
-/// placed on the other worker and goes on from the last checkpoint that the ledger names; it ends
-/// once.
+/// Guards against lost progress: a worker dies during a render, and the platform no longer lists its
+/// host. The other worker must resume the render from the last checkpoint in the ledger, and the
+/// render ends once.
 #[actix_rt::test]
 async fn a_render_resumes_from_its_checkpoint_when_its_host_is_gone() {
     let mut site = Site::start(1, 2).await;
--- a/tests/testsuite/process/outages.rs
+++ b/tests/testsuite/process/outages.rs
@@ -1,4 +1,4 @@
-//! A platform that is slow, silent, or loses the answers to writes that took effect.
+//! A platform that is slow or unavailable, or whose responses to successful writes are lost.
 
 use super::runs::{self, LIMIT};
 use crate::support::{http, process::Site, wait};
@@ -7,7 +7,7 @@
 use lapisdrum_standins::platform::server::PlatformSwitches;
 use std::time::Duration;
 
-/// Hands a render in under a key until it is accepted; its id.
+/// Submits a render under an idempotency key until it is accepted; returns the job's id.
 async fn submit_keyed(site: &Site, daemon: usize, key: &str) -> String {
     let callers = site.daemons[daemon].plan.callers;
     wait::until_some("a keyed render is accepted", LIMIT, async || {
@@ -21,9 +21,9 @@
     .await
 }
 
-/// Callers hand renders in while the platform loses the answer to every write, then while it is
-/// slow, then while it comes and goes. They repeat under the same key until they are told of a job,
-/// at whichever daemon. Every key has one job, every job is done, and none is run twice.
+/// Guards against lost and duplicate jobs while the platform loses every write's response, is slow, or
+/// is intermittently unavailable. Callers retry under the same key at either daemon: each key must
+/// name one job, and each job must run exactly once.
 #[actix_rt::test]
 async fn lost_answers_and_outages_neither_lose_nor_double_a_render() {
     let site = Site::start(2, 2).await;
@@ -74,9 +74,9 @@
     }
 }
 
-/// An archive watcher and a render share a worker when the table goes away. The render ends, which
-/// can't be recorded, and that must not keep the owner from renewing the watcher: it runs on through
-/// two task leases, and once the table is back the render is done, from its one run.
+/// Guards against an outage that stops lease renewals: a render ends while the table is unavailable, so
+/// its end can't be recorded. The archive task on the same worker must keep running through two task
+/// leases, and the render must be done from its one run once the table is available.
 #[actix_rt::test]
 async fn an_outage_stops_no_running_task_and_loses_no_end() {
     let site = Site::start(1, 1).await;
@@ -110,8 +110,8 @@
     assert_eq!(renders.count(), 1, "{all:?}");
 }
 
-/// A caller hands a render in under a key through one data centre, gets no answer it can use, and
-/// repeats it through another. Both daemons bring it to the key's home, so there is one job.
+/// Guards against duplicate jobs when a caller repeats a submission under the same key through another
+/// data centre. Both daemons forward it to the key's home data centre, so there is one job.
 #[actix_rt::test]
 async fn a_key_names_one_job_through_every_data_centre() {
     let site = Site::start_with(2, 1, |plan| {
--- a/tests/testsuite/process/ownership.rs
+++ b/tests/testsuite/process/ownership.rs
@@ -1,16 +1,16 @@
-//! Owners that die, freeze or are cut off while their tasks run.
+//! Shard owners that are killed, frozen or partitioned while their tasks run.
 
 use super::runs::{self, LIMIT};
 use crate::support::{process::Site, wait};
 use lapisdrum_standins::{platform::server::PlatformSwitches, worker::server::WorkerSwitches};
 use std::time::Duration;
 
-/// Longer than the entries' hold.
+/// Longer than the entries' hold time.
 const PAST_HOLD: Duration = Duration::from_secs(8);
 
-/// Twenty renders are accepted and their owner dies in the middle of placing them. The other daemon
-/// recovers the ledger, claims the workers, keeps what runs and places what waits. Every caller's
-/// render is done, none ran twice at once, and no host was ever overfull.
+/// Guards against lost or repeated jobs when the owner is killed while it places twenty renders. The
+/// other daemon recovers the ledger, claims the workers, keeps the running tasks and places the queued
+/// ones: each render runs exactly once, and no host is ever overcommitted.
 #[actix_rt::test]
 async fn renders_outlive_their_owner_and_each_is_done_once() {
     let mut site = Site::start(2, 2).await;
@@ -30,9 +30,9 @@
     runs::assert_sizes_held(&site).await;
 }
 
-/// A stream and renders run. Their owner is frozen for longer than its lease and the hold, then goes
-/// on. Meanwhile the other daemon has taken over. The frozen one finds its lease gone: it starts and
-/// renews nothing, the workers refuse its epoch, and callers see one stream and every render once.
+/// Guards against two owners: the owner is frozen for longer than its lease and the hold, and resumes
+/// after the other daemon has taken over. It must find its lease lost and start or renew nothing; the
+/// workers refuse its epoch. The stream runs once, and each render is completed once.
 #[actix_rt::test]
 async fn a_frozen_owner_finds_its_lease_gone_and_doubles_nothing() {
     let site = Site::start(2, 2).await;
@@ -64,10 +64,9 @@
     .await;
 }
 
-/// The owner and one worker, which runs a stream, are cut off together: the platform does not answer
-/// the owner, the worker does not answer the other daemon. The other takes the shard, but silence is
-/// no proof that the stream has ended, so it waits out the hold that the owner promised. Viewers
-/// have at most one stream at any time, and one again after the hold.
+/// Cuts off the owner from the platform, and one worker with a stream from the other daemon. The new
+/// owner can't tell whether the stream still runs, so it must wait out the hold of the previous owner
+/// before it starts the stream elsewhere; at most one stream runs at any time.
 #[actix_rt::test]
 async fn an_owner_cut_off_with_a_worker_does_not_double_its_stream() {
     let site = Site::start(2, 2).await;
@@ -100,8 +99,8 @@
     assert!(ran_ms > 4_000, "renewed beyond a lease of 3 s: {all:?}");
 }
 
-/// One daemon owns both shards of its data centre. A second daemon comes; the first, above its even
-/// part, releases one shard gracefully. A stream in either shard is not interrupted.
+/// Guards against interrupted tasks during rebalancing: a second daemon joins, and the first releases
+/// one of its two shards. The streams of both shards must keep running.
 #[actix_rt::test]
 async fn shards_are_balanced_over_the_data_centre_without_a_break() {
     let two = |plan: &mut lapisdrum_standins::site::DaemonPlan| {
@@ -132,9 +131,8 @@
     assert!(all.iter().all(|run| run.to_ms.is_none()), "{all:?}");
 }
 
-/// A worker hangs while it runs a stream: it answers nobody, and the platform goes on naming it. Its
-/// owner stops renewing, waits until the last lease is certainly over, and starts the stream on the
-/// other worker; viewers never have two.
+/// A worker that runs a stream hangs, though the platform still lists it. The owner must stop renewing,
+/// wait until the last task lease has expired, and only then start the stream on the other worker.
 #[actix_rt::test]
 async fn a_hung_worker_s_stream_moves_when_its_lease_is_over() {
     let site = Site::start(1, 2).await;
--- a/tests/testsuite/process/pressure.rs
+++ b/tests/testsuite/process/pressure.rs
@@ -1,4 +1,4 @@
-//! What the shard's owner does about workers that fail and hosts that suffer.
+//! How the shard's owner handles failing workers and interference between tasks.
 
 use super::runs;
 use crate::support::{process::Site, wait};
@@ -13,9 +13,8 @@
     line.is_ok_and(|line| line.events.iter().any(|record| is_it(&record.what)))
 }
 
-/// One of four workers fails every task that it starts, so it is always free and would draw every
-/// waiting render. Each render is failed there at most once, the worker is set aside after a few of
-/// them, and every caller's render is done.
+/// Guards against a worker that fails every task and, being always free, attracts all queued renders.
+/// It must be ejected, each render may fail there at most once, and every render is completed.
 #[actix_rt::test]
 async fn a_worker_that_fails_every_task_is_set_aside() {
     let site = Site::start(1, 4).await;
@@ -46,9 +45,9 @@
     }
 }
 
-/// A render runs beside a service whose requests are measured to take three times as long. Two such
-/// reports and the render is slowed down; no other render is put on that host while it suffers, and
-/// none is lost.
+/// A render runs beside a service whose requests are reported to take three times as long. After two
+/// such reports the render must be throttled, and no other render may be placed on that host
+/// meanwhile; no render is lost.
 #[actix_rt::test]
 async fn a_render_beside_a_suffering_service_is_throttled() {
     let site = Site::start(1, 2).await;
--- a/tests/testsuite/process/runs.rs
+++ b/tests/testsuite/process/runs.rs
@@ -1,4 +1,4 @@
-//! What the workers' logs must show after any failure.
+//! Invariants of the workers' run logs that must hold after any failure.
 
 use crate::support::{http, process::Site, wait};
 use actix_http::Method;
@@ -7,7 +7,7 @@
 use serde_json::json;
 use std::time::Duration;
 
-/// An entry of one core and half a gigabyte, whose tasks an owner that is cut off renews for 6 s.
+/// An entry of one core and half a gigabyte, whose tasks an owner without the platform renews for 6 s.
 pub(crate) fn raw(name: &str, class: &str) -> RawEntry {
     let entry = json!({
         "name": name, "owner": "trail", "class": class, "millicores": 1000, "memory_mb": 512,
@@ -16,8 +16,8 @@
     serde_json::from_value(entry).expect("a raw entry")
 }
 
-/// Adds a batch `render` that takes `task_ms` and a long-running `stream`; an `archive`, which a test
-/// may add, has no end either.
+/// Adds a batch entry `render` whose tasks take `task_ms`, and a long-running entry `stream`. Tasks of
+/// `archive`, an entry that a test may add, don't end by themselves either.
 pub(crate) async fn prepare(site: &Site, task_ms: u64) {
     for worker in &site.workers {
         let switches = WorkerSwitches {
@@ -34,7 +34,7 @@
     }
 }
 
-/// Every run on every worker.
+/// The runs in the logs of all workers.
 pub(crate) async fn all(site: &Site) -> Vec<TaskRun> {
     let mut runs = Vec::new();
     for worker in &site.workers {
@@ -43,7 +43,7 @@
     runs
 }
 
-/// No task ran in two places at once, and no attempt was started twice.
+/// Asserts that no task ran in two places at once and no attempt was started twice.
 pub(crate) fn assert_never_doubled(runs: &[TaskRun]) {
     for (i, a) in runs.iter().enumerate() {
         for b in runs[i + 1..].iter().filter(|b| b.task == a.task) {
@@ -55,7 +55,7 @@
     }
 }
 
-/// No worker ever ran more than it has.
+/// Asserts that no worker ever ran more than its capacity.
 pub(crate) async fn assert_sizes_held(site: &Site) {
     for (worker, host) in site.workers.iter().zip(&site.hosts) {
         let has = Size {
@@ -73,7 +73,7 @@
     }
 }
 
-/// The index of the daemon whose own time line says that it serves a shard now.
+/// The index of the daemon whose own timeline says that it serves a shard now.
 pub(crate) async fn owner(site: &Site) -> usize {
     for (i, daemon) in site.daemons.iter().enumerate() {
         if owned(site, i).await > 0 && daemon.client().is_ready().await {
@@ -83,7 +83,7 @@
     panic!("no daemon owns the shard");
 }
 
-/// How many shards a daemon owns, by its own metrics.
+/// The number of shards that a daemon owns, according to its metrics.
 pub(crate) async fn owned(site: &Site, daemon: usize) -> u32 {
     let callers = site.daemons[daemon].plan.callers;
     let answer = http::send(Method::GET, callers, "/metrics", &[], "").await;
@@ -95,7 +95,7 @@
     line.and_then(|n| n.trim().parse().ok()).unwrap_or(0)
 }
 
-/// Hands in a job, trying until it is accepted.
+/// Submits a job, and retries until it is accepted.
 pub(crate) async fn submit(site: &Site, daemon: usize, entry: &str) -> String {
     let client = site.daemons[daemon].client();
     wait::until_some("a job is accepted", LIMIT, async || {
@@ -105,7 +105,7 @@
     .await
 }
 
-/// Waits until a job is in a state.
+/// Waits until a job is in the given state.
 pub(crate) async fn reaches(site: &Site, daemon: usize, job: &str, state: &str) {
     let client = site.daemons[daemon].client();
     let what = format!("{job} is {state}");
@@ -118,7 +118,7 @@
     .await;
 }
 
-/// Waits until a worker runs a task; the worker's index.
+/// Waits until a worker runs the task; returns the worker's index.
 pub(crate) async fn worker_of(site: &Site, task: &str) -> usize {
     wait::until_some("a worker runs the task", LIMIT, async || {
         for (i, worker) in site.workers.iter().enumerate() {
@@ -132,5 +132,5 @@
     .await
 }
 
-/// A generous bound for anything that is waited for.
+/// Upper bound of each wait.
 pub(crate) const LIMIT: Duration = Duration::from_secs(30);
--- a/tests/testsuite/process/thin_path.rs
+++ b/tests/testsuite/process/thin_path.rs
@@ -1,4 +1,4 @@
-//! The whole path: an operator's change, a caller's request, a batch job, a long-running task.
+//! End to end: a catalogue change, a request, a batch job and a long-running task.
 
 use crate::support::{
     http,
@@ -22,9 +22,9 @@
     assert!(applied.status.success(), "catalogue apply: {text}");
 }
 
-/// An operator applies the catalogue at one daemon. A caller asks the *other* daemon for a route map
-/// and gets its own body back; a render handed in at either is durable, runs once and finishes; a
-/// livestream starts on one worker only and is still running there a lease later.
+/// Applies the catalogue at one daemon and sends a request to the other, which must return the caller's
+/// own body. Renders submitted at either daemon run once and finish; a livestream starts on one worker
+/// only and still runs there after its first lease would have expired.
 #[actix_rt::test]
 async fn request_batch_job_and_long_running_task_are_served() {
     let site = Site::start(2, 2).await;
@@ -74,7 +74,7 @@
             .is_ok_and(|job| job.state == "running")
     })
     .await;
-    // Longer than a task's lease, so that only renewals can have kept it.
+    // Longer than a task's lease: the stream runs on only if its lease was renewed.
     tokio::time::sleep(Duration::from_secs(4)).await;
 
     let mut runs = Vec::new();
--- a/tests/testsuite/process/users_platform.rs
+++ b/tests/testsuite/process/users_platform.rs
@@ -1,5 +1,5 @@
-//! The real binary on the users' platform: daemons as processes, settings filled into the template as the
-//! platform does it, the store and workers as stand-ins that speak its wire.
+//! The binary on the users' platform: daemons as processes with settings from the deployment's template,
+//! the store and the workers as stand-ins that speak its wire format.
 
 use crate::support::{
     http,
@@ -27,7 +27,7 @@
 const LIMIT: Duration = Duration::from_secs(20);
 const HOST: (&str, &str) = ("host", "trail.example");
 
-/// The template's section of a bound that may be missing, filled in.
+/// The template's section for an optional bound, filled in.
 fn with_bound(settings: &str, name: &str, value: &str) -> String {
     settings
         .replace(&format!("{{{{#bounds.{name}}}}}"), "")
@@ -45,7 +45,7 @@
 }
 
 impl Site {
-    /// A site with three workers and so many daemons, which all know the first catalogue.
+    /// A site with three workers and the given number of daemons, which all have the first catalogue.
     async fn start(daemons: usize) -> Self {
         let (stop, stopped) = watch::channel(false);
         let store = Rc::new(RowStore::default());
@@ -136,7 +136,7 @@
         }
     }
 
-    /// Hands a job in, again until it is accepted, as callers do.
+    /// Submits a job, and retries until it is accepted, as callers do.
     async fn submit(&self, daemon: usize, id: &str, job: &Value) {
         let path = format!("/maps/{id}");
         wait::until("the job is accepted", LIMIT, async || {
@@ -199,8 +199,8 @@
     })
 }
 
-/// A caller hands in a graph at one daemon and reads its state at another; a second job that lasts is
-/// cancelled. An unknown job and an unknown path are told apart.
+/// Submits a graph at one daemon and reads its state at another, then cancels a second, long-running
+/// job. An unknown job and an unknown path must get different statuses.
 #[actix_rt::test]
 async fn a_job_is_handed_in_run_shown_and_cancelled() {
     let site = Site::start(2).await;
@@ -238,8 +238,8 @@
     assert_eq!(malformed.0, 400);
 }
 
-/// An operator adds a path and takes it away again: both are in force within two seconds, and an older
-/// catalogue that turns up changes nothing.
+/// An operator adds a path and removes it again. Both changes must be in force within two seconds, and
+/// an older catalogue that appears later must change nothing.
 #[actix_rt::test]
 async fn a_new_catalogue_is_in_force_within_two_seconds() {
     let site = Site::start(1).await;
@@ -256,9 +256,9 @@
     wait::until("the path is gone", limit, async || status().await == 404).await;
 }
 
-/// The platform tells a daemon that its settings file has changed, and then stops it. It goes on serving
-/// after the first, and after the second says at once that it isn't ready, answers who still comes, and ends
-/// by itself within its grace.
+/// The platform signals a changed settings file, and then stops the daemon. After the first signal the
+/// daemon must keep serving; after the second it reports at once that it isn't ready, still answers
+/// callers, and exits within its grace period.
 #[actix_rt::test]
 async fn a_hangup_ends_nothing_and_a_stop_ends_gracefully() {
     let mut site = Site::start(1).await;
@@ -281,7 +281,7 @@
     .await;
 }
 
-/// A worker says that it drains: two seconds later it gets no task any more.
+/// A worker that reports that it drains must get no task from two seconds later on.
 #[actix_rt::test]
 async fn a_draining_worker_gets_no_task() {
     let site = Site::start(1).await;
@@ -300,7 +300,7 @@
     assert_eq!(leaving.started.borrow().len(), before);
 }
 
-/// Guards against evacuations that don't reach a daemon over the platform's wire, and against ones that never end.
+/// Guards against evacuations that don't reach a daemon over the platform's wire format, or never end.
 #[actix_rt::test]
 async fn an_evacuated_data_centre_gets_no_task_until_it_is_taken_back() {
     let site = Site::start(1).await;
@@ -323,8 +323,8 @@
     site.until_state(0, "0000000000000fff", "completed").await;
 }
 
-/// The owner is killed while tasks run. The other daemon takes over: the tasks run on, nothing starts
-/// twice, and the job is completed.
+/// Guards against lost or repeated tasks when the owner is killed: the other daemon takes over, the tasks
+/// keep running, nothing starts twice, and the job is completed.
 #[actix_rt::test]
 async fn a_killed_owner_is_replaced() {
     let mut site = Site::start(2).await;
@@ -338,7 +338,7 @@
     assert_eq!(site.started(), 5);
 }
 
-/// Which daemon owns the shard: the one whose lease row the store has.
+/// The daemon that owns the shard, according to the lease row in the store.
 async fn owner_of(site: &Site) -> usize {
     let (status, _) = site.call(0, Method::GET, "/maps/", &Value::Null).await;
     assert_eq!(status, 200);
@@ -353,8 +353,8 @@
     usize::from(holder == "edge-1")
 }
 
-/// The store refuses every call for some seconds. A caller is refused at once with the time to come back,
-/// the running task runs on, and afterwards jobs are taken again.
+/// While the store refuses every call for some seconds, a caller is refused at once with a `Retry-After`
+/// and running tasks keep running; afterwards jobs are accepted again.
 #[actix_rt::test]
 async fn an_outage_of_the_store_is_lived_through() {
     let site = Site::start(1).await;
@@ -362,7 +362,7 @@
     wait::until("it runs", LIMIT, async || site.running() == 2).await;
     site.store.is_down.set(true);
     tokio::time::sleep(Duration::from_secs(1)).await;
-    // The first one finds the store away and isn't told more than is known.
+    // The first submission discovers the outage; its response isn't checked.
     site.call(0, Method::POST, "/maps/00000000000000d1", &two_steps("50"))
         .await;
     let front = site.daemons[0].1;
--- a/tests/testsuite/settings/examples.rs
+++ b/tests/testsuite/settings/examples.rs
@@ -1,4 +1,4 @@
-//! The shipped examples are good as they stand.
+//! The shipped examples are valid without changes.
 
 use crate::support::process::lapisdrum_binary;
 use lapisdrum::{core::catalogue::Class, settings::entries};
@@ -16,7 +16,7 @@
     "examples/indus-catalogue.toml",
 ];
 
-/// Whoever copies an example begins from a file that the binary takes.
+/// Each example of a settings file must be accepted by the binary, since users start from a copy.
 #[test]
 fn every_example_passes_the_check() {
     for file in SETTINGS.iter().chain(&CATALOGUES) {
@@ -30,7 +30,7 @@
     }
 }
 
-/// Each catalogue shows all three classes, the kinds of work that its deployment handles.
+/// Each catalogue must show all three classes of work that its deployment handles.
 #[test]
 fn every_example_catalogue_has_the_three_classes() {
     for file in CATALOGUES {
--- a/tests/testsuite/settings/faults.rs
+++ b/tests/testsuite/settings/faults.rs
@@ -1,4 +1,4 @@
-//! Every wrong key, address, duration and limit is named with line, key and what is allowed.
+//! Every wrong key, address, duration and limit is reported with its line, key and allowed values.
 
 use crate::support::process::lapisdrum_binary;
 use lapisdrum::settings::{
@@ -73,8 +73,8 @@
     );
 }
 
-/// An operator mends a file in one go: all faults come at once, in the order of the lines, and the
-/// exit status tells a script that the input was wrong.
+/// All faults must be reported at once, in the order of the lines, so that an operator can fix a file in
+/// one go; the exit status tells a script that the input was wrong.
 #[test]
 fn all_faults_of_settings_are_named_at_once() {
     let (status, shown) = check(WRONG_SETTINGS);
@@ -97,7 +97,7 @@
     );
 }
 
-/// Each value is good by itself and the daemon would not work: nobody could reach it, or it would
+/// Values that are valid one by one but don't work together: the daemon would be unreachable, or would
 /// lose its lease at the first call that hangs.
 #[test]
 fn settings_that_do_not_go_together_are_named() {
@@ -118,8 +118,8 @@
     );
 }
 
-/// The same for a catalogue: wrong types, unknown and missing keys, values out of range and a name
-/// that stands twice.
+/// The same for a catalogue: wrong types, unknown and missing keys, values out of range and a duplicate
+/// name.
 #[test]
 fn all_faults_of_a_catalogue_are_named_at_once() {
     let (status, shown) = check(WRONG_CATALOGUE);
@@ -142,8 +142,8 @@
     );
 }
 
-/// A file that is no TOML is named with the line where it ends to be one; a file that is not there
-/// is wrong input too.
+/// A file that isn't TOML must be reported with the line of the syntax error; a missing file is wrong
+/// input too.
 #[test]
 fn what_is_no_toml_is_named_with_its_line() {
     let (status, shown) = check("[daemon]\nname = \"a\"\ncallers = = 1\n");
@@ -175,8 +175,8 @@
 }
 
 proptest! {
-    /// Whatever number an operator writes for any setting, it is taken within the range that the
-    /// page gives and named with that range outside of it.
+    /// Each numeric setting must be accepted within the documented range and refused, with that range,
+    /// outside of it.
     #[test]
     fn numbers_are_held_to_the_page_s_range(
         which in any::<prop::sample::Index>(),
@@ -193,7 +193,7 @@
         prop_assert_eq!(named.contains(&range), !(min..=max).contains(&value), "{}", named);
     }
 
-    /// No text makes the readers panic, and what they refuse they name.
+    /// No text may make the parsers panic, and a refusal must name the file.
     #[test]
     fn any_text_is_read_or_refused(text in "(\\[+[a-z]{0,6}\\]+\n|[a-z_]{1,8} ?= ?[0-9\"a-z\\[\\]{}.]{0,8}\n){0,8}") {
         for shown in [
--- a/tests/testsuite/settings/mod.rs
+++ b/tests/testsuite/settings/mod.rs
@@ -1,4 +1,4 @@
-//! Settings and catalogue files: page and code agree, every fault is named, the examples are good.
+//! Settings and catalogue files: documentation matches code, every fault is reported, examples are valid.
 
 mod examples;
 mod faults;
--- a/tests/testsuite/settings/page.rs
+++ b/tests/testsuite/settings/page.rs
@@ -1,4 +1,4 @@
-//! docs/SETTINGS.md against the code.
+//! Compares docs/SETTINGS.md with the code.
 
 use lapisdrum::{core::catalogue::RawEntry, settings::table};
 use serde_json::json;
@@ -9,7 +9,7 @@
     fs::read_to_string(path).expect("the page is there")
 }
 
-/// An operator trusts the page's ranges and defaults; they are the reader's own.
+/// The ranges and defaults on the page must be those of the parser.
 #[test]
 fn the_page_holds_the_reader_s_table() {
     let table = table::markdown();
@@ -19,7 +19,7 @@
     );
 }
 
-/// A key that the page leaves out can't be found by an operator.
+/// The page must name every key of a catalogue entry.
 #[test]
 fn the_page_names_every_key_of_an_entry() {
     let raw = json!({
--- a/tests/testsuite/settings/platform.rs
+++ b/tests/testsuite/settings/platform.rs
@@ -1,4 +1,4 @@
-//! The settings on the users' platform: what a deployment says of stops, restores and tails reaches the policies.
+//! Settings on the users' platform: a deployment's bounds for stops, restores and overload reach the policies.
 
 use lapisdrum::platform::settings::PlatformSettings;
 use std::time::Duration;
@@ -27,8 +27,8 @@
     )
 }
 
-/// A deployment whose tails must be down within 5 s, and one that says nothing of it. The first is kept to what it
-/// says; the second gets the shortest of what is usual, so that no promise is broken that it may have made.
+/// A deployment that tolerates overload for 5 s, and one that sets no bound. The first keeps its own values; the
+/// second gets the shortest usual bound, so that no promise to its users can be broken.
 #[test]
 fn what_a_deployment_bears_is_read() {
     let said = "stop_takes_ms = 200\nrestore_takes_ms = 250\noverload_borne_ms = 5000";
@@ -41,7 +41,8 @@
     assert_eq!(usual.overload_borne, Duration::from_secs(4));
 }
 
-/// A bound in another unit: with hours of overload borne nothing would ever give way, and tails stay up unseen.
+/// Guards against a limit in the wrong unit: with hours of overload allowed, best-effort tasks would never be
+/// throttled or stopped, and long tails would go unnoticed.
 #[test]
 fn a_bound_in_another_unit_is_refused() {
     let refused = PlatformSettings::try_from(settings("overload_borne_ms = 4000000").as_str());
--- a/tests/testsuite/support/http.rs
+++ b/tests/testsuite/support/http.rs
@@ -1,13 +1,13 @@
-//! Raw HTTP calls, for what the typed client can't or won't send.
+//! Raw HTTP calls, for requests that the typed client can't send.
 
 use actix_http::{Method, StatusCode, header::HeaderMap};
 use bytes::Bytes;
 use std::{net::SocketAddr, time::Duration};
 
-/// Time for one call.
+/// Timeout of one call.
 const TIMEOUT: Duration = Duration::from_secs(10);
 
-/// An answer as it came.
+/// An HTTP response, unparsed.
 #[derive(Debug)]
 pub(crate) struct Raw {
     pub(crate) status: StatusCode,
@@ -30,7 +30,7 @@
     }
 }
 
-/// Sends one request and reads the whole answer.
+/// Sends one request and reads the whole response.
 pub(crate) async fn send(
     method: Method,
     address: SocketAddr,
@@ -62,7 +62,7 @@
     })
 }
 
-/// Sends one JSON value and expects success.
+/// Sends one JSON value and asserts success.
 pub(crate) async fn put_json(address: SocketAddr, path: &str, value: &impl serde::Serialize) {
     let body = serde_json::to_vec(value).expect("test data serialises");
     let answer = send(Method::PUT, address, path, &[], body).await;
--- a/tests/testsuite/support/mod.rs
+++ b/tests/testsuite/support/mod.rs
@@ -1,4 +1,4 @@
-//! What several subjects need: processes, waiting, raw HTTP.
+//! Shared by several test modules: processes, waiting, raw HTTP.
 
 pub(crate) mod http;
 pub(crate) mod process;
--- a/tests/testsuite/support/process.rs
+++ b/tests/testsuite/support/process.rs
@@ -1,4 +1,4 @@
-//! Daemons and stand-ins as processes of their own, ended by id when a test is over.
+//! Daemons and stand-ins as separate processes, killed by id at the end of a test.
 
 use super::{http, wait};
 use actix_http::Method;
@@ -18,9 +18,9 @@
 };
 use tempfile::TempDir;
 
-/// Time for a process to serve.
+/// Time limit for a process to start serving.
 const START_LIMIT: Duration = Duration::from_secs(20);
-/// Time for one call to a daemon.
+/// Timeout of one call to a daemon.
 const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// The binary under test.
@@ -45,7 +45,7 @@
     path
 }
 
-/// A process that ends with its handle.
+/// A child process that is killed when this is dropped.
 pub(crate) struct Process {
     child: Child,
 }
@@ -71,13 +71,13 @@
         );
     }
 
-    /// Ends it without warning.
+    /// Kills it without a graceful shutdown.
     pub(crate) fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
-    /// Whether it has ended, and with which status.
+    /// The exit status (-1 after a signal), or `None` while it runs.
     pub(crate) fn ended(&mut self) -> Option<i32> {
         self.child
             .try_wait()
@@ -93,7 +93,7 @@
     }
 }
 
-/// A stand-in process and where it listens.
+/// A stand-in process and the address on which it listens.
 pub(crate) struct Standin {
     pub(crate) process: Process,
     pub(crate) address: SocketAddr,
@@ -203,7 +203,7 @@
         Self::start_with(daemons, workers, |_| {}).await
     }
 
-    /// Like [`Site::start`], with a last word on each daemon's settings.
+    /// Like [`Site::start`], with `adjust` applied to the settings of each daemon.
     pub(crate) async fn start_with(
         daemons: usize,
         workers: usize,
@@ -252,7 +252,7 @@
         self.daemons.push(daemon);
     }
 
-    /// Starts a daemon that has ended once more, at its addresses, and waits until it is ready.
+    /// Restarts a daemon at its previous addresses, and waits until it is ready.
     pub(crate) async fn restart_daemon(&mut self, daemon: usize, adjust: impl Fn(&mut DaemonPlan)) {
         let mut plan = self.daemons[daemon].plan.clone();
         adjust(&mut plan);
--- a/tests/testsuite/support/relay.rs
+++ b/tests/testsuite/support/relay.rs
@@ -1,4 +1,4 @@
-//! A connection between the command line and a daemon that goes wrong once.
+//! A TCP relay between the command line and a daemon that injects one fault.
 
 use lapisdrum_standins::site;
 use std::{
@@ -11,17 +11,17 @@
     thread,
 };
 
-/// What goes wrong with the first change that passes.
+/// The fault injected into the first change that passes.
 pub(crate) enum Fault {
-    /// The daemon makes the change, and the connection breaks before its answer arrives.
+    /// The daemon makes the change, and the connection breaks before its response arrives.
     LoseAnswer,
-    /// Somebody else's change overtakes it.
+    /// Another operator's change is made first.
     Overtaken(Box<dyn FnOnce() + Send>),
 }
 
 type Pending = Arc<Mutex<Option<Fault>>>;
 
-/// Listens on an address of its own and passes everything on to `daemon`.
+/// Listens on a free local address and relays each connection to `daemon`.
 pub(crate) fn start(daemon: SocketAddr, fault: Fault) -> SocketAddr {
     let listener = TcpListener::bind(site::free_address()).expect("a free port");
     let address = listener.local_addr().expect("an address");
@@ -60,7 +60,7 @@
     });
 }
 
-/// Copies until an end, or until `goes_on` says no to a chunk; then both ends are closed.
+/// Copies until end of file, or until `accepts` returns false for a chunk; then closes both connections.
 fn pass(from: &mut TcpStream, to: &mut TcpStream, mut goes_on: impl FnMut(&[u8]) -> bool) {
     let mut buf = [0; 64 * 1024];
     while let Ok(read) = from.read(&mut buf) {
--- a/tests/testsuite/support/wait.rs
+++ b/tests/testsuite/support/wait.rs
@@ -1,12 +1,12 @@
-//! Waiting for something to hold, with a bound.
+//! Waits for a condition, up to a limit.
 
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Time between two looks.
+/// Time between two checks.
 const POLL: Duration = Duration::from_millis(25);
 
-/// Waits until `holds`, or fails the test after `limit`.
+/// Waits until `holds` returns true, or fails the test after `limit`.
 pub(crate) async fn until(what: &str, limit: Duration, mut holds: impl AsyncFnMut() -> bool) {
     let end = Instant::now() + limit;
     loop {
@@ -18,7 +18,7 @@
     }
 }
 
-/// Waits until `get` gives something, or fails the test after `limit`.
+/// Waits until `get` returns a value, or fails the test after `limit`.
 pub(crate) async fn until_some<T>(
     what: &str,
     limit: Duration,
--- a/tests/testsuite/timeline/daemons.rs
+++ b/tests/testsuite/timeline/daemons.rs
@@ -1,4 +1,4 @@
-//! Stamps on the calls and rows between two daemons whose clocks are minutes apart.
+//! Timestamps on calls and table rows between two daemons whose clocks are minutes apart.
 
 use crate::support::wait;
 use actix_rt::net::TcpListener;
@@ -28,7 +28,7 @@
 use tokio::sync::watch;
 use uhlc::NTP64;
 
-/// Greatest time for what takes milliseconds on an idle machine.
+/// Upper bound of each wait; takes milliseconds on an idle machine.
 const LIMIT: Duration = Duration::from_secs(20);
 
 const SKEW: Duration = Duration::from_secs(300);
@@ -41,7 +41,7 @@
     uhlc::system_time_clock() - NTP64::from(SKEW)
 }
 
-/// A daemon of which only the peer server runs; it does nothing of itself.
+/// A daemon that runs only the peer server and does nothing by itself.
 async fn idle_daemon(name: &str, clock: fn() -> NTP64) -> Cx {
     daemon_of(site::free_address(), name, clock).await
 }
@@ -60,9 +60,9 @@
     cx.timeline.record(Happening::RevisionApplied { revision })
 }
 
-/// One daemon's clock is ten minutes ahead of the other's. It sees an event and then calls the
-/// other, which sees an event because of the call: by the hosts' clocks the second stands ten
-/// minutes before the first. The stamp on the request has to put it after.
+/// Guards against an effect sorted before its cause. One daemon's clock is ten minutes ahead of the
+/// other's; it records an event, then calls the other, which records an event because of the call. By
+/// wall clock the second is ten minutes earlier; the timestamp on the request must put it after.
 #[actix_rt::test]
 async fn an_effect_of_a_request_sorts_after_its_cause() {
     let (early, late) = (
@@ -78,8 +78,8 @@
     assert!(cause < effect, "{cause:?} {effect:?}");
 }
 
-/// The daemon that is behind asks the one that is ahead and acts on the reply. What the reply tells
-/// of happened before, so the stamp on the reply has to put the action after it.
+/// The same for replies: the daemon that is behind calls the one that is ahead and acts on the reply.
+/// The timestamp on the reply must put that action after the events that the reply reports.
 #[actix_rt::test]
 async fn an_effect_of_a_reply_sorts_after_its_cause() {
     let (early, late) = (
@@ -114,9 +114,9 @@
     found.map(|record| record.stamp)
 }
 
-/// An operator changes an entry at a daemon whose clock is ahead. The other daemon, which no peer
-/// call reaches, finds the revision in the table. The row is then the only message between them, and
-/// its stamp has to put the revision's coming into force after the change.
+/// The same for table rows: an operator changes an entry at a daemon whose clock is ahead, and the other
+/// daemon, which no peer call reaches, reads the revision from the table. The row's timestamp must put
+/// the application of the revision after the change.
 #[actix_rt::test]
 async fn an_effect_of_a_row_sorts_after_its_cause() {
     let platform = platform().await;
--- a/tests/testsuite/timeline/merged.rs
+++ b/tests/testsuite/timeline/merged.rs
@@ -1,4 +1,4 @@
-//! What a person reads: one order over all daemons, and what is missing from it.
+//! The merged timeline: one order over all daemons, and a report of what is missing.
 
 use super::daemons::daemon_of;
 use actix_rt::net::TcpListener;
@@ -15,7 +15,7 @@
 use lapisdrum_standins::site;
 use std::rc::Rc;
 
-/// The capacity of a time line whose settings say nothing.
+/// The default capacity of a timeline.
 const CAPACITY: u64 = 10_000;
 
 async fn serving(name: &str) -> Cx {
@@ -31,9 +31,9 @@
     cx.timeline.record(Happening::RevisionApplied { revision });
 }
 
-/// Two daemons record in turns, one of them more than its ring holds, and a third does not answer.
-/// The merged view is in the order of the recording and says both what fell out and who is silent,
-/// so that nobody takes a gap for quiet.
+/// Two daemons record events in turns, one of them more than its ring holds, and a third doesn't answer.
+/// The merged timeline must be in the order of recording, and must report the dropped events and the
+/// missing daemon, so that a gap isn't taken for a quiet time.
 #[actix_rt::test]
 async fn the_merged_view_is_ordered_and_names_what_is_missing() {
     let (first, second) = (serving("first").await, serving("second").await);
--- a/tests/testsuite/timeline/mod.rs
+++ b/tests/testsuite/timeline/mod.rs
@@ -1,4 +1,4 @@
-//! The time line: causal order under skewed clocks, and the bounded ring.
+//! The timeline: causal order under skewed clocks, and the bounded ring.
 
 mod daemons;
 mod merged;
--- a/tests/testsuite/timeline/order.rs
+++ b/tests/testsuite/timeline/order.rs
@@ -1,4 +1,4 @@
-//! The order of stamps over random exchanges between daemons whose clocks disagree by minutes.
+//! The order of timestamps over random exchanges between daemons whose clocks differ by minutes.
 
 use lapisdrum::{
     core::id::{DaemonId, Incarnation, Revision},
@@ -15,7 +15,7 @@
 const BASE: Duration = Duration::from_secs(1_700_000_000);
 
 thread_local! {
-    /// What the clock of the daemon whose turn it is shows.
+    /// The clock of the daemon that acts in this step.
     static SHOWN: Cell<Duration> = const { Cell::new(BASE) };
 }
 
@@ -33,9 +33,9 @@
 enum Step {
     /// A daemon records an event.
     Record(usize),
-    /// A daemon sends a message; it arrives at another later or never.
+    /// A daemon sends a message, which arrives at another one later or never.
     Send(usize),
-    /// A daemon receives one of the messages under way, which may be an old one or a repeat.
+    /// A daemon receives one of the messages in flight, which may be old or a duplicate.
     Receive(usize, prop::sample::Index),
     /// Real time passes.
     Pass(u64),
@@ -52,14 +52,14 @@
     ]
 }
 
-/// A vector clock: of each daemon, how many of its events came before.
+/// A vector clock: for each daemon, the number of its events that came before.
 type Causes = [u64; DAEMONS];
 
 fn precedes(a: &Causes, b: &Causes) -> bool {
     a != b && a.iter().zip(b).all(|(a, b)| a <= b)
 }
 
-/// What the proof needs besides the code under test.
+/// The state that the property needs besides the code under test.
 struct Run {
     lines: Vec<Timeline>,
     skews: [i64; DAEMONS],
@@ -81,7 +81,7 @@
         }
     }
 
-    /// The daemon's line, with its clock showing its own idea of now.
+    /// The daemon's timeline, with the clock set to the daemon's own time.
     fn turn(&self, daemon: usize) -> &Timeline {
         let skew = Duration::from_millis(self.skews[daemon].unsigned_abs());
         SHOWN.set(match self.skews[daemon] < 0 {
@@ -120,9 +120,9 @@
 const HALF_AN_HOUR_MS: i64 = 30 * 60 * 1_000;
 
 proptest! {
-    /// Three daemons whose clocks disagree by up to an hour record events and pass messages that
-    /// arrive late, out of order, twice or never. An operator who sorts all events by their stamps
-    /// must never read an effect above its cause, or the story of an outage is told backwards.
+    /// Three daemons whose clocks differ by up to an hour record events and exchange messages that
+    /// arrive late, out of order, twice or never. Sorted by timestamp, no effect may come before its
+    /// cause.
     #[test]
     fn an_effect_never_sorts_before_its_cause(
         skews in prop::array::uniform3(-HALF_AN_HOUR_MS..HALF_AN_HOUR_MS),
@@ -141,7 +141,7 @@
         }
     }
 
-    /// However many events come, the ring keeps the last ones, in order, and counts the rest.
+    /// For any number of events the ring keeps the last ones, in order, and counts the dropped ones.
     #[test]
     fn the_ring_keeps_the_newest_and_counts_the_rest(capacity in 1_usize..50, count in 0_u64..120) {
         let line = timeline(0, capacity);
@@ -157,7 +157,7 @@
     }
 }
 
-/// An operator filters by job, worker and time; what does not match is left out.
+/// Filters by job, worker and time leave out the events that don't match.
 #[test]
 fn filters_keep_what_matches() {
     let line = timeline(0, 10);
