--- a/tests/testsuite/attribution.rs
+++ b/tests/testsuite/attribution.rs
@@ -138,7 +138,7 @@
 
 /// The totals must count the job once, as late, under its entry, its data centre and its second.
 #[test]
-fn sums_tell_entry_data_centre_and_second() {
+fn sums_are_grouped_by_entry_data_centre_and_second() {
     for (by, group) in [
         (By::Entry, "renders"),
         (By::DataCentre, "karen"),
@@ -162,7 +162,7 @@
 /// A file without our log lines, a missing file, an invalid or unknown id and a missing acceptance must each be
 /// reported, and nothing is guessed.
 #[test]
-fn what_cannot_be_explained_is_said() {
+fn what_cannot_be_explained_is_reported() {
     let missing = explain(&[PathBuf::from("no-such.log")], &Question::Sums(By::Entry));
     assert!(
         missing
@@ -171,12 +171,12 @@
             .contains("no-such.log")
     );
     let traces = traces();
-    for (id, says) in [
+    for (id, phrase) in [
         ("xyz", "16 hexadecimal digits"),
         ("00000000000000bb", "no line tells"),
     ] {
         let refused = explain_traces(&traces, &Question::Job(id.to_owned())).expect_err("no job");
-        assert!(refused.message.contains(says), "{refused}");
+        assert!(refused.message.contains(phrase), "{refused}");
     }
     let without = lines()
         .into_iter()
@@ -192,7 +192,7 @@
 
 /// A worker with a long-running task is lost: how long the task was unavailable, and why, must be reported.
 #[test]
-fn lasting_tasks_are_told_by_their_time_away() {
+fn long_running_tasks_are_reported_by_their_unavailability() {
     let mut raw = lines();
     raw.retain(|raw| !raw.contains("job over"));
     let raw: Vec<String> = raw
@@ -232,7 +232,7 @@
 
     /// Parsing any file must not panic.
     #[test]
-    fn any_line_is_read_or_passed_over(raw in ".{0,200}") {
+    fn any_line_is_read_or_ignored(raw in ".{0,200}") {
         let _ = log_line::read(&raw);
         let _ = raw.parse::<Shape>();
     }
--- a/tests/testsuite/cli/catalogue.rs
+++ b/tests/testsuite/cli/catalogue.rs
@@ -64,11 +64,11 @@
 /// The command line must retry under the same change id and report the first revision, not a second
 /// change and not a conflict with itself.
 #[actix_rt::test]
-async fn a_lost_answer_is_repeated_and_changes_nothing_twice() {
+async fn a_lost_response_is_retried_and_changes_nothing_twice() {
     let site = Site::start(1, 1).await;
     let daemon = site.daemons[0].plan.callers;
     let dir = TempDir::new().expect("a temporary folder");
-    let relayed = relay::start(daemon, Fault::LoseAnswer);
+    let relayed = relay::start(daemon, Fault::LoseResponse);
     let first = file(&dir, "first.toml", &entry(512));
     let applied = done(relayed, &["catalogue", "apply", &first]);
     assert!(applied.contains("render: revision 1"), "{applied}");
@@ -88,7 +88,7 @@
 /// Two operators change one entry concurrently. The second must be refused with the current revision,
 /// and the first one's change stays in force.
 #[actix_rt::test]
-async fn the_loser_of_a_race_is_refused_with_the_revision_that_holds() {
+async fn the_loser_of_a_race_is_refused_with_the_current_revision() {
     let site = Site::start(1, 1).await;
     let daemon = site.daemons[0].plan.callers;
     let dir = TempDir::new().expect("a temporary folder");
--- a/tests/testsuite/cli/definitions.rs
+++ b/tests/testsuite/cli/definitions.rs
@@ -66,15 +66,15 @@
 
 /// Scripts depend on the exit status: 2 for wrong arguments, 1 if no daemon answers.
 #[test]
-fn wrong_arguments_and_silence_have_their_statuses() {
+fn wrong_arguments_and_an_unreachable_daemon_have_their_statuses() {
     let nobody = site::free_address();
     fails(nobody, 2, &["status", "--daemon", "entry-host:7000"]);
     fails(nobody, 2, &["jobs", "launch"]);
     fails(nobody, 2, &["--output", "xml", "status"]);
     fails(nobody, 2, &["timeline", "--since", "yesterday"]);
     fails(nobody, 2, &["catalogue", "apply", "not-there.toml"]);
-    let silent = fails(nobody, 1, &["status"]);
-    assert!(silent.contains("did not answer"), "{silent}");
+    let unreachable = fails(nobody, 1, &["status"]);
+    assert!(unreachable.contains("did not answer"), "{unreachable}");
     let json = fails(nobody, 1, &["--output", "json", "status"]);
     let json: serde_json::Value = serde_json::from_str(&json).expect("JSON");
     assert_eq!(json["exit_status"], 1);
--- a/tests/testsuite/cli/logs.rs
+++ b/tests/testsuite/cli/logs.rs
@@ -54,14 +54,17 @@
         ..PlatformSwitches::default()
     };
     platform.switch_platform(&down).await;
-    wait::until("the platform is away", LIMIT, async || up(false).await).await;
+    wait::until("the platform is unavailable", LIMIT, async || {
+        up(false).await
+    })
+    .await;
     tokio::time::sleep(Duration::from_secs(3)).await;
     platform.switch_platform(&PlatformSwitches::default()).await;
     wait::until("the platform is back", LIMIT, async || up(true).await).await;
 
     // A separate thread writes the lines, so that logging blocks nothing; the last one may come after the status.
     let read = || fs::read_to_string(&log).expect("the log is there");
-    wait::until("the log says so", LIMIT, async || {
+    wait::until("the log has the recovery", LIMIT, async || {
         let text = read();
         text.contains("platform answers again") && text.ends_with('\n')
     })
--- a/tests/testsuite/cli/site.rs
+++ b/tests/testsuite/cli/site.rs
@@ -95,7 +95,7 @@
 /// One of two daemons is killed. Status and timeline must still be shown, name the daemon that didn't
 /// answer, and show which daemon took over its shard.
 #[actix_rt::test]
-async fn a_daemon_that_is_gone_is_named() {
+async fn a_killed_daemon_is_named() {
     let mut site = Site::start(2, 1).await;
     prepare(&site).await;
     let asked = site.daemons[0].plan.callers;
--- a/tests/testsuite/process/faults.rs
+++ b/tests/testsuite/process/faults.rs
@@ -163,10 +163,10 @@
     let answer = in_flight.await.expect("the call ends").expect("an answer");
     assert_eq!(answer.body, "studio 9");
     wait::until_some("the daemon ends", LIMIT, async || {
-        site.daemons[ending].process.ended()
+        site.daemons[ending].process.exit_status()
     })
     .await;
-    assert_eq!(site.daemons[ending].process.ended(), Some(0));
+    assert_eq!(site.daemons[ending].process.exit_status(), Some(0));
     let other = site.daemons[1 - ending].client();
     wait::until(
         "the shard is taken at once",
@@ -180,7 +180,7 @@
 /// host. The other worker must resume the render from the last checkpoint in the ledger, and the
 /// render ends once.
 #[actix_rt::test]
-async fn a_render_resumes_from_its_checkpoint_when_its_host_is_gone() {
+async fn a_render_resumes_from_its_checkpoint_when_its_host_is_lost() {
     let mut site = Site::start(1, 2).await;
     let client = site.daemons[0].client();
     client
@@ -206,13 +206,13 @@
             .flatten()
     })
     .await;
-    let gone = site
+    let killed = site
         .hosts
         .iter()
         .position(|host| host.host == worker)
         .expect("a known worker");
-    site.workers[gone].process.kill();
-    site.hosts.remove(gone);
+    site.workers[killed].process.kill();
+    site.hosts.remove(killed);
     site.platform.set_hosts(&site.hosts).await;
     wait::until("the render is done", LIMIT, async || {
         client
@@ -221,7 +221,7 @@
             .is_ok_and(|shown| shown.state == "done")
     })
     .await;
-    let runs = site.workers[1 - gone].log().await.tasks;
+    let runs = site.workers[1 - killed].log().await.tasks;
     assert_eq!(runs.len(), 1, "resumed once: {runs:?}");
     assert!(
         runs[0].first_permille > 100,
--- a/tests/testsuite/process/ownership.rs
+++ b/tests/testsuite/process/ownership.rs
@@ -34,7 +34,7 @@
 /// after the other daemon has taken over. It must find its lease lost and start or renew nothing; the
 /// workers refuse its epoch. The stream runs once, and each render is completed once.
 #[actix_rt::test]
-async fn a_frozen_owner_finds_its_lease_gone_and_doubles_nothing() {
+async fn a_frozen_owner_finds_its_lease_lost_and_doubles_nothing() {
     let site = Site::start(2, 2).await;
     runs::prepare(&site, 1500).await;
     let stream = runs::submit(&site, 0, "stream").await;
@@ -56,7 +56,7 @@
     let all = runs::all(&site).await;
     runs::assert_never_doubled(&all);
     let streams: Vec<_> = all.iter().filter(|r| r.task.as_str() == stream).collect();
-    assert_eq!(streams.len(), 1, "the stream went on: {streams:?}");
+    assert_eq!(streams.len(), 1, "the stream kept running: {streams:?}");
     assert_eq!(streams[0].to_ms, None, "it still runs: {streams:?}");
     wait::until("the frozen owner gave the shard up", LIMIT, async || {
         runs::owned(&site, frozen).await == 0
@@ -102,7 +102,7 @@
 /// Guards against interrupted tasks during rebalancing: a second daemon joins, and the first releases
 /// one of its two shards. The streams of both shards must keep running.
 #[actix_rt::test]
-async fn shards_are_balanced_over_the_data_centre_without_a_break() {
+async fn shards_are_balanced_over_the_data_centre_without_interruption() {
     let two = |plan: &mut lapisdrum_standins::site::DaemonPlan| {
         plan.more = plan.more.replace("[shards]", "[shards]\ncount = 2");
     };
@@ -134,7 +134,7 @@
 /// A worker that runs a stream hangs, though the platform still lists it. The owner must stop renewing,
 /// wait until the last task lease has expired, and only then start the stream on the other worker.
 #[actix_rt::test]
-async fn a_hung_worker_s_stream_moves_when_its_lease_is_over() {
+async fn a_hung_worker_s_stream_moves_when_its_lease_has_expired() {
     let site = Site::start(1, 2).await;
     runs::prepare(&site, 500).await;
     let stream = runs::submit(&site, 0, "stream").await;
--- a/tests/testsuite/process/pressure.rs
+++ b/tests/testsuite/process/pressure.rs
@@ -8,7 +8,7 @@
 
 const LIMIT: Duration = Duration::from_secs(30);
 
-async fn happened(site: &Site, is_it: impl Fn(&Happening) -> bool) -> bool {
+async fn has_event(site: &Site, is_it: impl Fn(&Happening) -> bool) -> bool {
     let line = site.daemons[0].client().timeline().await;
     line.is_ok_and(|line| line.events.iter().any(|record| is_it(&record.what)))
 }
@@ -16,7 +16,7 @@
 /// Guards against a worker that fails every task and, being always free, attracts all queued renders.
 /// It must be ejected, each render may fail there at most once, and every render is completed.
 #[actix_rt::test]
-async fn a_worker_that_fails_every_task_is_set_aside() {
+async fn a_worker_that_fails_every_task_is_ejected() {
     let site = Site::start(1, 4).await;
     runs::prepare(&site, 300).await;
     let failing = WorkerSwitches {
@@ -31,8 +31,8 @@
     for render in &renders {
         runs::reaches(&site, 0, render, "done").await;
     }
-    let is_aside = |what: &Happening| matches!(what, Happening::WorkerSetAside { .. });
-    assert!(happened(&site, is_aside).await, "the worker is set aside");
+    let is_ejection = |what: &Happening| matches!(what, Happening::WorkerSetAside { .. });
+    assert!(has_event(&site, is_ejection).await, "the worker is ejected");
     let failed_there = site.workers[0].log().await.tasks;
     for render in &renders {
         let tries = failed_there
@@ -49,7 +49,7 @@
 /// such reports the render must be throttled, and no other render may be placed on that host
 /// meanwhile; no render is lost.
 #[actix_rt::test]
-async fn a_render_beside_a_suffering_service_is_throttled() {
+async fn a_render_beside_a_slowed_service_is_throttled() {
     let site = Site::start(1, 2).await;
     runs::prepare(&site, 8_000).await;
     let first = runs::submit(&site, 0, "render").await;
@@ -65,19 +65,19 @@
         .iter()
         .position(|host| Some(&host.host) == worker.as_ref());
     let at = at.expect("a known worker");
-    let suffering = WorkerSwitches {
+    let slowed = WorkerSwitches {
         task_ms: 8_000,
         usage_age_ms: 0,
         slowdowns: [("map".to_owned(), 3_000)].into_iter().collect(),
         ..WorkerSwitches::default()
     };
-    site.workers[at].switch_worker(&suffering).await;
+    site.workers[at].switch_worker(&slowed).await;
     let throttled = |what: &Happening| {
         matches!(what, Happening::TaskThrottled { job, permille, .. }
             if job.as_str() == first && *permille < 1_000)
     };
     wait::until("the render is throttled", LIMIT, async || {
-        happened(&site, throttled).await
+        has_event(&site, throttled).await
     })
     .await;
     for _ in 0..4 {
--- a/tests/testsuite/process/runs.rs
+++ b/tests/testsuite/process/runs.rs
@@ -47,9 +47,12 @@
 pub(crate) fn assert_never_doubled(runs: &[TaskRun]) {
     for (i, a) in runs.iter().enumerate() {
         for b in runs[i + 1..].iter().filter(|b| b.task == a.task) {
-            let over =
+            let ends_before =
                 |first: &TaskRun, next: &TaskRun| first.to_ms.is_some_and(|to| to <= next.from_ms);
-            assert!(over(a, b) || over(b, a), "two runs at once: {a:?} {b:?}");
+            assert!(
+                ends_before(a, b) || ends_before(b, a),
+                "two runs at once: {a:?} {b:?}"
+            );
             assert_ne!(a.attempt, b.attempt, "one attempt twice: {a:?} {b:?}");
         }
     }
--- a/tests/testsuite/process/users_platform.rs
+++ b/tests/testsuite/process/users_platform.rs
@@ -192,7 +192,7 @@
     })
 }
 
-fn lasting() -> Value {
+fn long_running_job() -> Value {
     json!({
         "spec": "until stopped",
         "steps": [{ "count": 2, "cpu": 1000, "memMb": 500, "longRunning": true, "maxPerServer": 1 }],
@@ -202,13 +202,14 @@
 /// Submits a graph at one daemon and reads its state at another, then cancels a second, long-running
 /// job. An unknown job and an unknown path must get different statuses.
 #[actix_rt::test]
-async fn a_job_is_handed_in_run_shown_and_cancelled() {
+async fn a_job_is_submitted_run_shown_and_cancelled() {
     let site = Site::start(2).await;
     site.submit(0, "00000000000000a1", &two_steps("200")).await;
     site.until_state(1, "00000000000000a1", "completed").await;
     assert_eq!(site.started(), 5);
     site.submit(1, "00000000000000a1", &two_steps("200")).await;
-    site.submit(0, "00000000000000b2", &lasting()).await;
+    site.submit(0, "00000000000000b2", &long_running_job())
+        .await;
     wait::until("it runs", LIMIT, async || site.running() == 2).await;
     let (status, waiting) = site.call(1, Method::GET, "/maps/", &Value::Null).await;
     assert_eq!((status, &waiting["pending"]), (200, &json!(0)));
@@ -216,7 +217,7 @@
         .call(1, Method::DELETE, "/maps/00000000000000b2", &Value::Null)
         .await;
     assert_eq!(cancelled.0, 200);
-    wait::until("its tasks are gone", LIMIT, async || site.running() == 0).await;
+    wait::until("its tasks have ended", LIMIT, async || site.running() == 0).await;
     site.until_state(0, "00000000000000b2", "cancelled").await;
     assert_eq!(site.started(), 7, "a repeat of an id starts nothing");
     let unknown = site
@@ -253,7 +254,7 @@
     tokio::time::sleep(Duration::from_millis(1_500)).await;
     assert_eq!(status().await, 200, "a catalogue never goes back");
     site.store.put("op", "config", &catalogue(9, &["/maps/"]));
-    wait::until("the path is gone", limit, async || status().await == 404).await;
+    wait::until("the path is removed", limit, async || status().await == 404).await;
 }
 
 /// The platform signals a changed settings file, and then stops the daemon. After the first signal the
@@ -276,7 +277,7 @@
     assert_eq!(status, 404, "callers are still answered");
     let process = &mut site.daemons[0].0;
     wait::until("it has ended", Duration::from_secs(6), async || {
-        process.ended() == Some(0)
+        process.exit_status() == Some(0)
     })
     .await;
 }
@@ -356,9 +357,10 @@
 /// While the store refuses every call for some seconds, a caller is refused at once with a `Retry-After`
 /// and running tasks keep running; afterwards jobs are accepted again.
 #[actix_rt::test]
-async fn an_outage_of_the_store_is_lived_through() {
+async fn a_store_outage_refuses_jobs_and_ends_no_task() {
     let site = Site::start(1).await;
-    site.submit(0, "00000000000000b2", &lasting()).await;
+    site.submit(0, "00000000000000b2", &long_running_job())
+        .await;
     wait::until("it runs", LIMIT, async || site.running() == 2).await;
     site.store.is_down.set(true);
     tokio::time::sleep(Duration::from_secs(1)).await;
--- a/tests/testsuite/settings/faults.rs
+++ b/tests/testsuite/settings/faults.rs
@@ -100,7 +100,7 @@
 /// Values that are valid one by one but don't work together: the daemon would be unreachable, or would
 /// lose its lease at the first call that hangs.
 #[test]
-fn settings_that_do_not_go_together_are_named() {
+fn inconsistent_settings_are_named() {
     let text = "[daemon]\nname = \"a\"\ndata_centre = \"a\"\ncallers = \"0.0.0.0:7000\"\n\
                 peers = \"0.0.0.0:7000\"\n[platform]\naddress = \"127.0.0.1:7900\"\n\
                 timeout_ms = 4000\n[shards]\ntask_lease_ms = 100\n";
@@ -145,7 +145,7 @@
 /// A file that isn't TOML must be reported with the line of the syntax error; a missing file is wrong
 /// input too.
 #[test]
-fn what_is_no_toml_is_named_with_its_line() {
+fn invalid_toml_is_named_with_its_line() {
     let (status, shown) = check("[daemon]\nname = \"a\"\ncallers = = 1\n");
     assert_eq!(status, Some(2), "{shown}");
     assert!(shown.contains("wrong.toml:3: not TOML"), "{shown}");
--- a/tests/testsuite/settings/platform.rs
+++ b/tests/testsuite/settings/platform.rs
@@ -30,7 +30,7 @@
 /// A deployment that tolerates overload for 5 s, and one that sets no bound. The first keeps its own values; the
 /// second gets the shortest usual bound, so that no promise to its users can be broken.
 #[test]
-fn what_a_deployment_bears_is_read() {
+fn the_bounds_of_a_deployment_are_read() {
     let said = "stop_takes_ms = 200\nrestore_takes_ms = 250\noverload_borne_ms = 5000";
     let read = |bounds| PlatformSettings::try_from(settings(bounds).as_str());
     let timings = read(said).expect("settings").node.work;
--- a/tests/testsuite/support/process.rs
+++ b/tests/testsuite/support/process.rs
@@ -78,7 +78,7 @@
     }
 
     /// The exit status (-1 after a signal), or `None` while it runs.
-    pub(crate) fn ended(&mut self) -> Option<i32> {
+    pub(crate) fn exit_status(&mut self) -> Option<i32> {
         self.child
             .try_wait()
             .ok()
--- a/tests/testsuite/support/relay.rs
+++ b/tests/testsuite/support/relay.rs
@@ -14,7 +14,7 @@
 /// The fault injected into the first change that passes.
 pub(crate) enum Fault {
     /// The daemon makes the change, and the connection breaks before its response arrives.
-    LoseAnswer,
+    LoseResponse,
     /// Another operator's change is made first.
     Overtaken(Box<dyn FnOnce() + Send>),
 }
@@ -29,29 +29,29 @@
     thread::spawn(move || {
         for client in listener.incoming().flatten() {
             let pending = Arc::clone(&pending);
-            thread::spawn(move || carry(client, daemon, &pending));
+            thread::spawn(move || relay(client, daemon, &pending));
         }
     });
     address
 }
 
-fn carry(mut client: TcpStream, daemon: SocketAddr, pending: &Pending) {
+fn relay(mut client: TcpStream, daemon: SocketAddr, pending: &Pending) {
     let Ok(mut upstream) = TcpStream::connect(daemon) else {
         return;
     };
     let losing = Arc::new(AtomicBool::new(false));
-    let (Ok(mut answers), Ok(mut back)) = (upstream.try_clone(), client.try_clone()) else {
+    let (Ok(mut responses), Ok(mut back)) = (upstream.try_clone(), client.try_clone()) else {
         return;
     };
     let lost = Arc::clone(&losing);
     thread::spawn(move || {
-        pass(&mut answers, &mut back, |_| !lost.load(Ordering::SeqCst));
+        pass(&mut responses, &mut back, |_| !lost.load(Ordering::SeqCst));
     });
     pass(&mut client, &mut upstream, |chunk| {
         if chunk.starts_with(b"PUT ") {
             let fault = pending.lock().expect("no panic under the lock").take();
             match fault {
-                Some(Fault::LoseAnswer) => losing.store(true, Ordering::SeqCst),
+                Some(Fault::LoseResponse) => losing.store(true, Ordering::SeqCst),
                 Some(Fault::Overtaken(other)) => other(),
                 None => {}
             }
@@ -61,10 +61,10 @@
 }
 
 /// Copies until end of file, or until `accepts` returns false for a chunk; then closes both connections.
-fn pass(from: &mut TcpStream, to: &mut TcpStream, mut goes_on: impl FnMut(&[u8]) -> bool) {
+fn pass(from: &mut TcpStream, to: &mut TcpStream, mut accepts: impl FnMut(&[u8]) -> bool) {
     let mut buf = [0; 64 * 1024];
     while let Ok(read) = from.read(&mut buf) {
-        if read == 0 || !goes_on(&buf[..read]) || to.write_all(&buf[..read]).is_err() {
+        if read == 0 || !accepts(&buf[..read]) || to.write_all(&buf[..read]).is_err() {
             break;
         }
     }
--- a/tests/testsuite/timeline/order.rs
+++ b/tests/testsuite/timeline/order.rs
@@ -16,11 +16,11 @@
 
 thread_local! {
     /// The clock of the daemon that acts in this step.
-    static SHOWN: Cell<Duration> = const { Cell::new(BASE) };
+    static CLOCK: Cell<Duration> = const { Cell::new(BASE) };
 }
 
 fn shown() -> NTP64 {
-    NTP64::from(SHOWN.get())
+    NTP64::from(CLOCK.get())
 }
 
 fn timeline(index: usize, capacity: usize) -> Timeline {
@@ -65,7 +65,7 @@
     skews: [i64; DAEMONS],
     now: Duration,
     causes: [Causes; DAEMONS],
-    under_way: Vec<(Stamp, Causes)>,
+    in_flight: Vec<(Stamp, Causes)>,
     events: Vec<(Stamp, Causes)>,
 }
 
@@ -76,15 +76,15 @@
             skews,
             now: BASE,
             causes: [[0; DAEMONS]; DAEMONS],
-            under_way: Vec::new(),
+            in_flight: Vec::new(),
             events: Vec::new(),
         }
     }
 
     /// The daemon's timeline, with the clock set to the daemon's own time.
-    fn turn(&self, daemon: usize) -> &Timeline {
+    fn act_as(&self, daemon: usize) -> &Timeline {
         let skew = Duration::from_millis(self.skews[daemon].unsigned_abs());
-        SHOWN.set(match self.skews[daemon] < 0 {
+        CLOCK.set(match self.skews[daemon] < 0 {
             true => self.now - skew,
             false => self.now + skew,
         });
@@ -95,21 +95,21 @@
         match step {
             Step::Record(at) => {
                 self.causes[*at][*at] += 1;
-                let stamp = self.turn(*at).record(Happening::DaemonReady {});
+                let stamp = self.act_as(*at).record(Happening::DaemonReady {});
                 self.events.push((stamp, self.causes[*at]));
             }
             Step::Send(at) => {
-                let stamp = self.turn(*at).stamp();
-                self.under_way.push((stamp, self.causes[*at]));
+                let stamp = self.act_as(*at).stamp();
+                self.in_flight.push((stamp, self.causes[*at]));
             }
             Step::Receive(at, which) => {
-                if self.under_way.is_empty() {
+                if self.in_flight.is_empty() {
                     return;
                 }
-                let (stamp, causes) = self.under_way[which.index(self.under_way.len())];
-                self.turn(*at).observe(stamp);
-                for (own, heard) in self.causes[*at].iter_mut().zip(causes) {
-                    *own = (*own).max(heard);
+                let (stamp, causes) = self.in_flight[which.index(self.in_flight.len())];
+                self.act_as(*at).observe(stamp);
+                for (own, received) in self.causes[*at].iter_mut().zip(causes) {
+                    *own = (*own).max(received);
                 }
             }
             Step::Pass(ms) => self.now += Duration::from_millis(*ms),
