--- a/tests/testsuite/cli/definitions.rs
+++ b/tests/testsuite/cli/definitions.rs
@@ -1,4 +1,4 @@
-//! Help, completions and man pages generated from the command line's definition; needs no daemon.
+//! Help, completions, man pages and exit statuses that need no daemon.
 
 use super::{done, fails};
 use lapisdrum_standins::site;
--- a/tests/testsuite/cli/mod.rs
+++ b/tests/testsuite/cli/mod.rs
@@ -13,7 +13,7 @@
     time::Duration,
 };
 
-/// Upper bound of each wait; takes a second or two on an idle machine.
+/// Upper bound of each wait, which takes a second or two on an idle machine.
 const LIMIT: Duration = Duration::from_secs(20);
 
 /// Runs the binary against a daemon.
--- a/tests/testsuite/process/runs.rs
+++ b/tests/testsuite/process/runs.rs
@@ -7,7 +7,7 @@
 use serde_json::json;
 use std::time::Duration;
 
-/// An entry of one core and half a gigabyte, whose tasks an owner without the platform renews for 6 s.
+/// An entry of one core and half a gigabyte, whose tasks an owner that is cut off renews for 6 s.
 pub(crate) fn raw(name: &str, class: &str) -> RawEntry {
     let entry = json!({
         "name": name, "owner": "trail", "class": class, "millicores": 1000, "memory_mb": 512,
--- a/tests/testsuite/process/users_platform.rs
+++ b/tests/testsuite/process/users_platform.rs
@@ -364,7 +364,7 @@
     wait::until("it runs", LIMIT, async || site.running() == 2).await;
     site.store.is_down.set(true);
     tokio::time::sleep(Duration::from_secs(1)).await;
-    // The first submission discovers the outage; its response isn't checked.
+    // The first submission discovers the outage; its outcome is unknown, so the response isn't checked.
     site.call(0, Method::POST, "/maps/00000000000000d1", &two_steps("50"))
         .await;
     let front = site.daemons[0].1;
--- a/tests/testsuite/timeline/daemons.rs
+++ b/tests/testsuite/timeline/daemons.rs
@@ -28,7 +28,7 @@
 use tokio::sync::watch;
 use uhlc::NTP64;
 
-/// Upper bound of each wait; takes milliseconds on an idle machine.
+/// Upper bound of each wait, which takes milliseconds on an idle machine.
 const LIMIT: Duration = Duration::from_secs(20);
 
 const SKEW: Duration = Duration::from_secs(300);
