--- a/tests/testsuite/cli/site.rs
+++ b/tests/testsuite/cli/site.rs
@@ -72,13 +72,13 @@
         events.iter().filter_map(kind).collect()
     };
     // The end reaches the timeline shortly after the ledger.
-    wait::until("the end is in the time line", LIMIT, async || {
+    wait::until("the end is in the timeline", LIMIT, async || {
         kinds(&["--job", &job]).contains(&"job-ended".to_owned())
     })
     .await;
-    let story = ["job-accepted", "task-placed", "task-started", "job-ended"];
-    assert_eq!(kinds(&["--job", &job]), story);
-    assert!(kinds(&["--entry", "stream"]).ends_with(&story.map(str::to_owned)));
+    let expected = ["job-accepted", "task-placed", "task-started", "job-ended"];
+    assert_eq!(kinds(&["--job", &job]), expected);
+    assert!(kinds(&["--entry", "stream"]).ends_with(&expected.map(str::to_owned)));
     let on_worker = kinds(&["--worker", "worker-0"]);
     assert!(
         on_worker.contains(&"worker-claimed".to_owned()),
@@ -88,7 +88,7 @@
         !on_worker.contains(&"revision-applied".to_owned()),
         "{on_worker:?}"
     );
-    assert!(kinds(&["--since", "1h"]).len() > story.len());
+    assert!(kinds(&["--since", "1h"]).len() > expected.len());
     assert!(kinds(&["--since", "2100-01-01T00:00:00Z"]).is_empty());
 }
 
@@ -120,7 +120,7 @@
     let text = done(asked, &["status"]);
     assert!(text.contains("no answer, its row is silent"), "{text}");
     // The daemon records the silence in the timeline at its next check.
-    let line = wait::until_some("the silence is in the time line", LIMIT, async || {
+    let line = wait::until_some("the silence is in the timeline", LIMIT, async || {
         let line = done(asked, &["timeline"]);
         line.contains("daemon-silent").then_some(line)
     })
--- a/tests/testsuite/process/changes.rs
+++ b/tests/testsuite/process/changes.rs
@@ -50,7 +50,7 @@
 /// Guards against stale catalogues: a daemon restarted during a platform outage must not become ready
 /// until a peer has sent it the current revision, and must never apply an older one.
 #[actix_rt::test]
-async fn a_daemon_that_comes_back_applies_no_older_revision() {
+async fn a_restarted_daemon_applies_no_older_revision() {
     let mut site = Site::start(2, 1).await;
     runs::prepare(&site, 500).await;
     let client = site.daemons[0].client();
@@ -157,15 +157,15 @@
     runs::prepare(&site, 1500).await;
     runs::submit(&site, 0, "render").await;
     let client = site.daemons[0].client();
-    let handed_in = futures::future::join_all((0..40).map(|_| client.submit_job("render"))).await;
-    let jobs: Vec<String> = handed_in
+    let submitted = futures::future::join_all((0..40).map(|_| client.submit_job("render"))).await;
+    let jobs: Vec<String> = submitted
         .into_iter()
         .map(|job| job.expect("accepted").job.to_string())
         .collect();
     let (cancelled, kept) = jobs.split_at(30);
     let calls = cancelled.iter().map(|job| client.cancel_job(job));
     for answer in futures::future::join_all(calls).await {
-        answer.expect("the cancel is taken");
+        answer.expect("the cancellation is accepted");
     }
     for job in cancelled {
         runs::reaches(&site, 0, job, "cancelled").await;
--- a/tests/testsuite/process/faults.rs
+++ b/tests/testsuite/process/faults.rs
@@ -49,8 +49,8 @@
 /// The index of the daemon that owns the only shard, according to its own timeline.
 async fn owner(site: &Site) -> usize {
     for (i, daemon) in site.daemons.iter().enumerate() {
-        let line = daemon.client().timeline().await.expect("a time line");
-        let text = serde_json::to_string(&line).expect("a time line");
+        let line = daemon.client().timeline().await.expect("a timeline");
+        let text = serde_json::to_string(&line).expect("a timeline");
         if text.contains("shard-serving") {
             return i;
         }
@@ -132,7 +132,7 @@
     site.platform
         .switch_platform(&PlatformSwitches::default())
         .await;
-    wait::until("jobs are taken again", LIMIT, async || {
+    wait::until("jobs are accepted again", LIMIT, async || {
         site.daemons[1].client().submit_job("stream").await.is_ok()
     })
     .await;
--- a/tests/testsuite/process/outages.rs
+++ b/tests/testsuite/process/outages.rs
@@ -25,7 +25,7 @@
 /// is intermittently unavailable. Callers retry under the same key at either daemon: each key must
 /// name one job, and each job must run exactly once.
 #[actix_rt::test]
-async fn lost_answers_and_outages_neither_lose_nor_double_a_render() {
+async fn lost_responses_and_outages_neither_lose_nor_double_a_render() {
     let site = Site::start(2, 2).await;
     runs::prepare(&site, 300).await;
     runs::submit(&site, 0, "render").await;
