--- a/src/lapisdrum/daemon/claims.rs
+++ b/src/lapisdrum/daemon/claims.rs
@@ -13,7 +13,7 @@
 
 use super::{
     Cx,
-    journal::{Urgency, WriteEnd},
+    journal::{Urgency, WriteOutcome},
     peers,
     shard::Shard,
     supervisor,
@@ -254,10 +254,10 @@
         ended_since: None,
     };
     cx.claims.notes.borrow_mut().insert(call.request, note);
-    match ticket.end().await {
-        WriteEnd::Committed => PeerReply::Claimed,
-        WriteEnd::NotWritten => PeerReply::Refused(home_unavailable()),
-        WriteEnd::Unknown => PeerReply::Unknown,
+    match ticket.outcome().await {
+        WriteOutcome::Committed => PeerReply::Claimed,
+        WriteOutcome::NotWritten => PeerReply::Refused(home_unavailable()),
+        WriteOutcome::Unknown => PeerReply::Unknown,
     }
 }
 
@@ -278,10 +278,10 @@
         Ok(ticket) => ticket,
         Err(e) => return PeerReply::Refused(e.refusal()),
     };
-    match ticket.end().await {
-        WriteEnd::Committed => PeerReply::Ok,
-        WriteEnd::NotWritten => PeerReply::Refused(home_unavailable()),
-        WriteEnd::Unknown => PeerReply::Unknown,
+    match ticket.outcome().await {
+        WriteOutcome::Committed => PeerReply::Ok,
+        WriteOutcome::NotWritten => PeerReply::Refused(home_unavailable()),
+        WriteOutcome::Unknown => PeerReply::Unknown,
     }
 }
 
--- a/src/lapisdrum/daemon/evictions.rs
+++ b/src/lapisdrum/daemon/evictions.rs
@@ -4,7 +4,7 @@
 
 use super::{
     Cx,
-    journal::{Urgency, WriteEnd},
+    journal::{Urgency, WriteOutcome},
     listing::JobState,
     metrics::EndLabels,
     sessions,
@@ -148,7 +148,7 @@
     let (placement, reason) = (placement.clone(), reason.to_owned());
     let is_cancelled = current.cancelling;
     supervisor::spawn("unplaced", async move {
-        if ticket.end().await == WriteEnd::Committed {
+        if ticket.outcome().await == WriteOutcome::Committed {
             let worker = &placement.worker;
             shard.session(worker, |session| session.forget(&job, placement.attempt));
             match is_cancelled {
--- a/src/lapisdrum/daemon/grants.rs
+++ b/src/lapisdrum/daemon/grants.rs
@@ -8,7 +8,7 @@
 
 use super::{
     Cx,
-    journal::{Urgency, WriteEnd},
+    journal::{Urgency, WriteOutcome},
     peers,
     router::LATE_MARGIN,
     shard::Shard,
@@ -139,7 +139,7 @@
         if let Some(own) = own {
             let voided = Event::GrantsVoided { of: cx.me.clone() };
             if let Ok(ticket) = own.propose(cx, vec![voided], Urgency::Urgent) {
-                ticket.end().await;
+                ticket.outcome().await;
             }
             continue;
         }
@@ -215,7 +215,7 @@
         Ok(ticket) => ticket,
         Err(e) => return PeerReply::Refused(e.refusal()),
     };
-    if ticket.end().await != WriteEnd::Committed {
+    if ticket.outcome().await != WriteOutcome::Committed {
         return PeerReply::Unknown;
     }
     let floors = shard.state().grants.get(&holder).cloned();
--- a/src/lapisdrum/daemon/jobs.rs
+++ b/src/lapisdrum/daemon/jobs.rs
@@ -2,7 +2,7 @@
 
 use super::{
     Cx, claims, grants,
-    journal::{Urgency, WriteEnd},
+    journal::{Urgency, WriteOutcome},
     limits,
     shard::Shard,
     upkeep, visits,
@@ -208,7 +208,7 @@
         Ok(ticket) => ticket,
         Err(e) => return PeerReply::Refused(e.refusal()),
     };
-    reply_for(shard, job, ticket.end_within(write_timeout(cx)).await)
+    reply_for(shard, job, ticket.outcome_within(write_timeout(cx)).await)
 }
 
 /// Replies to a repeated submission or cancellation. Unless the first one is durable, the reply
@@ -216,22 +216,22 @@
 /// reply.
 async fn reply_when_durable(cx: &Cx, shard: &Shard, job: &JobId, is_durable: bool) -> PeerReply {
     if is_durable {
-        return reply_for(shard, job, WriteEnd::Committed);
+        return reply_for(shard, job, WriteOutcome::Committed);
     }
     let end = match shard.propose(cx, Vec::new(), Urgency::Urgent) {
-        Ok(barrier) => barrier.end_within(write_timeout(cx)).await,
-        Err(_) => WriteEnd::Unknown,
+        Ok(barrier) => barrier.outcome_within(write_timeout(cx)).await,
+        Err(_) => WriteOutcome::Unknown,
     };
     reply_for(shard, job, end)
 }
 
-fn reply_for(shard: &Shard, job: &JobId, end: WriteEnd) -> PeerReply {
+fn reply_for(shard: &Shard, job: &JobId, end: WriteOutcome) -> PeerReply {
     match end {
-        WriteEnd::Committed => shard.job(job).map_or(PeerReply::Unknown, PeerReply::Job),
-        WriteEnd::NotWritten => PeerReply::Refused(Refusal::NoOwner {
+        WriteOutcome::Committed => shard.job(job).map_or(PeerReply::Unknown, PeerReply::Job),
+        WriteOutcome::NotWritten => PeerReply::Refused(Refusal::NoOwner {
             retry_after: NO_OWNER_RETRY,
         }),
-        WriteEnd::Unknown => PeerReply::Unknown,
+        WriteOutcome::Unknown => PeerReply::Unknown,
     }
 }
 
--- a/src/lapisdrum/daemon/journal.rs
+++ b/src/lapisdrum/daemon/journal.rs
@@ -36,7 +36,7 @@
 };
 use tokio::sync::{Notify, oneshot};
 
-pub use super::proposals::{ProposeError, Ticket, Urgency, WriteEnd};
+pub use super::proposals::{ProposeError, Ticket, Urgency, WriteOutcome};
 
 /// First wait before a batch that is not known to be written is tried again.
 const FIRST_RETRY: Duration = Duration::from_millis(50);
@@ -55,7 +55,7 @@
     index: Index,
     queued: VecDeque<Proposal>,
     /// Waiters for the row whose write is in flight.
-    in_flight: Vec<oneshot::Sender<WriteEnd>>,
+    in_flight: Vec<oneshot::Sender<WriteOutcome>>,
     pending: Pending,
     due: Option<Millis>,
     last_write_at: Option<Millis>,
@@ -202,9 +202,9 @@
         let inner = &mut *self.inner.borrow_mut();
         inner.status = WriterStatus::Lost;
         for proposal in inner.queued.drain(..) {
-            let _ = proposal.waiter.send(WriteEnd::NotWritten);
+            let _ = proposal.waiter.send(WriteOutcome::NotWritten);
         }
-        answer(&mut inner.in_flight, WriteEnd::Unknown);
+        answer(&mut inner.in_flight, WriteOutcome::Unknown);
         self.wakeup.notify_one();
     }
 
@@ -252,12 +252,12 @@
             };
             let outcome = self.append_until_known(cx, &batch, &may_act).await;
             let end = match outcome {
-                AppendOutcome::Committed => WriteEnd::Committed,
-                AppendOutcome::Refused => WriteEnd::NotWritten,
-                AppendOutcome::Lost => WriteEnd::Unknown,
+                AppendOutcome::Committed => WriteOutcome::Committed,
+                AppendOutcome::Refused => WriteOutcome::NotWritten,
+                AppendOutcome::Lost => WriteOutcome::Unknown,
             };
             self.end_batch(&batch, end);
-            if end != WriteEnd::Committed {
+            if end != WriteOutcome::Committed {
                 self.lose();
                 return;
             }
@@ -270,7 +270,7 @@
         }
     }
 
-    fn end_batch(&self, batch: &Batch, end: WriteEnd) {
+    fn end_batch(&self, batch: &Batch, end: WriteOutcome) {
         let inner = &mut *self.inner.borrow_mut();
         for event in &batch.events {
             inner.pending.remove(event);
@@ -317,7 +317,7 @@
         inner.due = (!inner.queued.is_empty()).then(|| cx.clock.now());
         if events.is_empty() {
             // There is one write at a time, so everything proposed before is durable.
-            answer(&mut inner.in_flight, WriteEnd::Committed);
+            answer(&mut inner.in_flight, WriteOutcome::Committed);
             return None;
         }
         let batch = Batch {
--- a/src/lapisdrum/daemon/proposals.rs
+++ b/src/lapisdrum/daemon/proposals.rs
@@ -23,7 +23,7 @@
 
 /// Outcome of the write of an event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum WriteEnd {
+pub enum WriteOutcome {
     /// It is durable.
     Committed,
     /// It was certainly not written.
@@ -59,25 +59,25 @@
 
 /// Completes when the outcome of an event's write is known.
 #[must_use = "effects must wait for the outcome of the write"]
-pub struct Ticket(oneshot::Receiver<WriteEnd>);
+pub struct Ticket(oneshot::Receiver<WriteOutcome>);
 
 impl Ticket {
     /// Creates a ticket and the sender that completes it.
-    pub(super) fn new() -> (oneshot::Sender<WriteEnd>, Self) {
+    pub(super) fn new() -> (oneshot::Sender<WriteOutcome>, Self) {
         let (tx, rx) = oneshot::channel();
         (tx, Self(rx))
     }
 
     /// Waits for the outcome of the write.
-    pub async fn end(self) -> WriteEnd {
-        self.0.await.unwrap_or(WriteEnd::Unknown)
+    pub async fn outcome(self) -> WriteOutcome {
+        self.0.await.unwrap_or(WriteOutcome::Unknown)
     }
 
     /// Waits for the outcome of the write at most for `limit`, then returns `Unknown`: the caller
     /// gets a reply even while the table is unavailable.
-    pub async fn end_within(self, limit: Duration) -> WriteEnd {
-        let end = tokio::time::timeout(limit, self.end()).await;
-        end.unwrap_or(WriteEnd::Unknown)
+    pub async fn outcome_within(self, limit: Duration) -> WriteOutcome {
+        let end = tokio::time::timeout(limit, self.outcome()).await;
+        end.unwrap_or(WriteOutcome::Unknown)
     }
 }
 
@@ -85,7 +85,7 @@
 pub(super) struct Proposal {
     pub(super) events: Vec<Event>,
     /// Receives the outcome of the row's write.
-    pub(super) waiter: oneshot::Sender<WriteEnd>,
+    pub(super) waiter: oneshot::Sender<WriteOutcome>,
 }
 
 /// Jobs with proposed events that are not yet durable.
@@ -135,7 +135,7 @@
 }
 
 /// Sends the outcome of a row to all its waiters.
-pub(super) fn answer(waiters: &mut Vec<oneshot::Sender<WriteEnd>>, end: WriteEnd) {
+pub(super) fn answer(waiters: &mut Vec<oneshot::Sender<WriteOutcome>>, end: WriteOutcome) {
     for waiter in waiters.drain(..) {
         let _ = waiter.send(end);
     }
--- a/src/lapisdrum/daemon/shard.rs
+++ b/src/lapisdrum/daemon/shard.rs
@@ -2,7 +2,7 @@
 
 use super::{
     Cx,
-    journal::{Journal, ProposeError, Ticket, Urgency, WriteEnd},
+    journal::{Journal, ProposeError, Ticket, Urgency, WriteOutcome},
     pressure::{self, Pressure},
     registrar,
     sessions::Session,
@@ -166,7 +166,7 @@
         }
         let ended = Event::OwnerEnded { epoch: self.epoch };
         if let Ok(ticket) = self.journal.propose(cx, vec![ended], Urgency::Urgent) {
-            ticket.end().await;
+            ticket.outcome().await;
         }
     }
 
@@ -241,7 +241,7 @@
     let Ok(ticket) = shard.journal.propose(cx, vec![started], Urgency::Urgent) else {
         return;
     };
-    if ticket.end().await != WriteEnd::Committed {
+    if ticket.outcome().await != WriteOutcome::Committed {
         return;
     }
     shard.serving.set(true);
--- a/src/lapisdrum/daemon/starts.rs
+++ b/src/lapisdrum/daemon/starts.rs
@@ -9,7 +9,7 @@
     Cx,
     evictions::unplace,
     grants,
-    journal::{Urgency, WriteEnd},
+    journal::{Urgency, WriteOutcome},
     limits, pressure, sessions,
     shard::Shard,
     supervisor,
@@ -212,7 +212,7 @@
     };
     let (cx, shard, job) = (Rc::clone(cx), Rc::clone(shard), job.clone());
     supervisor::spawn("task-start", async move {
-        if ticket.end().await == WriteEnd::Committed {
+        if ticket.outcome().await == WriteOutcome::Committed {
             start_task(&cx, &shard, &job, &placement).await;
         }
     });
--- a/src/lapisdrum/daemon/visits.rs
+++ b/src/lapisdrum/daemon/visits.rs
@@ -8,7 +8,7 @@
 use super::{
     Cx,
     evictions::{self, note_end, note_eviction},
-    journal::{Urgency, WriteEnd},
+    journal::{Urgency, WriteOutcome},
     pressure, sessions,
     shard::Shard,
     supervisor,
@@ -218,7 +218,7 @@
     let (cx, shard, status) = (Rc::clone(cx), Rc::clone(shard), status.clone());
     let (worker, address) = (worker.clone(), address.to_owned());
     supervisor::spawn("task-status", async move {
-        if ticket.end().await == WriteEnd::Committed {
+        if ticket.outcome().await == WriteOutcome::Committed {
             on_status_durable(&cx, &shard, &worker, &address, &status, &events);
         }
     });
--- a/tests/testsuite/daemon/journal.rs
+++ b/tests/testsuite/daemon/journal.rs
@@ -9,7 +9,7 @@
     },
     daemon::{
         Cx, Daemon,
-        journal::{Journal, Urgency, WriteEnd},
+        journal::{Journal, Urgency, WriteOutcome},
         registrar::{EpochRow, epoch_key},
         snapshots::{self, pointer_key},
     },
@@ -125,7 +125,7 @@
     .await;
     // What the owner finds now that it may look again is another's epoch.
     may_act.set(true);
-    assert_ne!(ticket.end().await, WriteEnd::NotWritten);
+    assert_ne!(ticket.outcome().await, WriteOutcome::NotWritten);
 }
 
 /// An owner that was never able to send a row says that it was not written, once another came.
@@ -138,7 +138,10 @@
     let ticket = journal.propose(&bench.cx, vec![bench.accepted(1)], Urgency::Urgent);
     let next = bench.take(2).await;
     may_act.set(true);
-    assert_eq!(ticket.expect("taken").end().await, WriteEnd::NotWritten);
+    assert_eq!(
+        ticket.expect("taken").outcome().await,
+        WriteOutcome::NotWritten
+    );
     assert_eq!(next.state().jobs.len(), 0);
 }
 
@@ -159,10 +162,10 @@
         let events = vec![bench.accepted(n)];
         let ticket = journal.propose(&bench.cx, events, Urgency::Urgent);
         let end = match ticket {
-            Ok(ticket) => ticket.end().await,
+            Ok(ticket) => ticket.outcome().await,
             Err(e) => panic!("not taken: {e:?}"),
         };
-        assert_eq!(end, WriteEnd::Committed);
+        assert_eq!(end, WriteOutcome::Committed);
         // Now, and at moments in which a snapshot's steps may be under way.
         for pause_ms in [0, 1, 2, 5] {
             tokio::time::sleep(Duration::from_millis(pause_ms)).await;
