--- a/src/lapisdrum/api/jobs.rs
+++ b/src/lapisdrum/api/jobs.rs
@@ -8,7 +8,7 @@
     core::id::{EntryName, JobId, RequestId},
     daemon::{
         Cx,
-        jobs::{self, JobAnswer},
+        jobs::{self, JobReply},
         listing::{self, JobFilter, JobState},
     },
     util::http::{HttpRequest, HttpResponse},
@@ -72,13 +72,13 @@
     })
 }
 
-fn answer(cx: &Cx, status: StatusCode, end: JobAnswer) -> HttpResponse {
+fn answer(cx: &Cx, status: StatusCode, end: JobReply) -> HttpResponse {
     match end {
-        JobAnswer::Job(id, job) => {
+        JobReply::Job(id, job) => {
             HttpResponse::json(status, &JobBody::from((id, job))).with(OUTCOME_HEADER, "done")
         }
-        JobAnswer::Refused(refusal) => note_refusal(cx, &refusal),
-        JobAnswer::Unknown => {
+        JobReply::Refused(refusal) => note_refusal(cx, &refusal),
+        JobReply::Unknown => {
             let help = "repeat the call with the same `idempotency-key`, or look the job up";
             error(
                 StatusCode::BAD_GATEWAY,
--- a/src/lapisdrum/api/operators.rs
+++ b/src/lapisdrum/api/operators.rs
@@ -11,7 +11,7 @@
     },
     daemon::{
         Cx,
-        catalogue::{self, ChangeEnd},
+        catalogue::{self, ChangeOutcome},
     },
     state::catalogue::ChangeRefusal,
     timeline::event::Filter,
@@ -159,34 +159,34 @@
     change_answer(catalogue::change(cx, raw, if_match, change).await)
 }
 
-fn change_answer(end: ChangeEnd) -> HttpResponse {
+fn change_answer(end: ChangeOutcome) -> HttpResponse {
     match end {
-        ChangeEnd::Accepted(revision) => {
+        ChangeOutcome::Accepted(revision) => {
             HttpResponse::json(StatusCode::OK, &ChangeBody { revision })
                 .with("etag", format!("\"{revision}\""))
         }
-        ChangeEnd::Refused(ChangeRefusal::Conflict { current }) => error(
+        ChangeOutcome::Refused(ChangeRefusal::Conflict { current }) => error(
             StatusCode::PRECONDITION_FAILED,
             format!("conflict: the entry is at revision {current}; nothing was changed"),
             "read the entry, look at the other change, and send yours again",
         ),
-        ChangeEnd::Refused(ChangeRefusal::Unconditional { current }) => error(
+        ChangeOutcome::Refused(ChangeRefusal::Unconditional { current }) => error(
             StatusCode::PRECONDITION_REQUIRED,
             format!("the entry exists at revision {current} and `if-match` is missing"),
             "send `if-match` with the revision that you mean to change",
         ),
-        ChangeEnd::Invalid(faults) => error(
+        ChangeOutcome::Invalid(faults) => error(
             StatusCode::UNPROCESSABLE_ENTITY,
             faults,
             "correct the entry; nothing was changed",
         ),
-        ChangeEnd::StoreAway => error(
+        ChangeOutcome::StoreAway => error(
             StatusCode::SERVICE_UNAVAILABLE,
             "the platform's table can't be reached; nothing was changed",
             "come back after the time in retry-after",
         )
         .with("retry-after", STORE_RETRY_S),
-        ChangeEnd::Unknown => error(
+        ChangeOutcome::Unknown => error(
             StatusCode::BAD_GATEWAY,
             "the change may be in: its answer was lost",
             "repeat it with the same `lapisdrum-change` header; it is made at most once",
--- a/src/lapisdrum/daemon/catalogue.rs
+++ b/src/lapisdrum/daemon/catalogue.rs
@@ -96,7 +96,7 @@
 
 /// Outcome of an operator's change.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum ChangeEnd {
+pub enum ChangeOutcome {
     /// Committed, with the revision that it created.
     Accepted(Revision),
     /// Not committed: the entry was changed since, or no revision was given.
@@ -293,15 +293,15 @@
     raw: RawEntry,
     if_match: Option<Revision>,
     change: ChangeId,
-) -> ChangeEnd {
+) -> ChangeOutcome {
     let entry = match Entry::try_from(raw.clone()) {
         Ok(entry) => entry,
-        Err(faults) => return ChangeEnd::Invalid(faults),
+        Err(faults) => return ChangeOutcome::Invalid(faults),
     };
     for _ in 0..MAX_CHANGE_ATTEMPTS {
         let end = try_change(cx, &entry.name, &raw, if_match, &change).await;
         if let Some(end) = end {
-            if let ChangeEnd::Accepted(revision) = end {
+            if let ChangeOutcome::Accepted(revision) = end {
                 // Needed if an earlier attempt committed the change; on failure the next poll reads
                 // it.
                 let _ = catch_up(cx, revision).await;
@@ -309,7 +309,7 @@
             return end;
         }
     }
-    ChangeEnd::StoreAway
+    ChangeOutcome::StoreAway
 }
 
 /// Applies a committed change on this daemon and sends it to all others. Nothing is read back
@@ -333,24 +333,24 @@
     raw: &RawEntry,
     if_match: Option<Revision>,
     change: &ChangeId,
-) -> Option<ChangeEnd> {
+) -> Option<ChangeOutcome> {
     let entry_key = format!("{ENTRY_PREFIX}{name}");
     let (Ok(revision_row), Ok(entry_row)) = (
         cx.platform.get(REVISION_KEY).await,
         cx.platform.get(&entry_key).await,
     ) else {
-        return Some(ChangeEnd::StoreAway);
+        return Some(ChangeOutcome::StoreAway);
     };
     let current = entry_row.as_ref().and_then(Row::parse::<EntryRow>);
     // The reply to an earlier attempt was lost, and the change is committed.
     if let Some(current) = current.as_ref().filter(|row| row.change == *change) {
-        return Some(ChangeEnd::Accepted(current.revision));
+        return Some(ChangeOutcome::Accepted(current.revision));
     }
     if let Err(refusal) = catalogue::check_change(current.as_ref(), if_match) {
         // An earlier attempt may have committed it, and a later change replaced it since.
         return Some(match revision_of_earlier_attempt(cx, change).await {
-            Some(revision) => ChangeEnd::Accepted(revision),
-            None => ChangeEnd::Refused(refusal),
+            Some(revision) => ChangeOutcome::Accepted(revision),
+            None => ChangeOutcome::Refused(refusal),
         });
     }
     let before = revision_row
@@ -382,12 +382,12 @@
     match cx.platform.txn(&txn).await {
         TxnOutcome::Committed(_) => {
             put_in_force(cx, &change_row, stamp);
-            Some(ChangeEnd::Accepted(revision))
+            Some(ChangeOutcome::Accepted(revision))
         }
         TxnOutcome::Conflict(_) => None,
         TxnOutcome::Unknown(_) => {
             let end = read_back(cx, &entry_key, change).await;
-            if end == ChangeEnd::Accepted(revision) {
+            if end == ChangeOutcome::Accepted(revision) {
                 put_in_force(cx, &change_row, stamp);
             }
             Some(end)
@@ -397,11 +397,11 @@
 
 /// After a lost reply, reads the entry's row to find out whether the change is committed. A row
 /// without it proves nothing, since the transaction may still be in flight.
-async fn read_back(cx: &Cx, entry_key: &str, change: &ChangeId) -> ChangeEnd {
+async fn read_back(cx: &Cx, entry_key: &str, change: &ChangeId) -> ChangeOutcome {
     let row = cx.platform.get(entry_key).await.ok().flatten();
     match row.and_then(|row| row.parse::<EntryRow>()) {
-        Some(row) if row.change == *change => ChangeEnd::Accepted(row.revision),
-        _ => ChangeEnd::Unknown,
+        Some(row) if row.change == *change => ChangeOutcome::Accepted(row.revision),
+        _ => ChangeOutcome::Unknown,
     }
 }
 
--- a/src/lapisdrum/daemon/grants.rs
+++ b/src/lapisdrum/daemon/grants.rs
@@ -19,7 +19,7 @@
         outcome::Refusal,
         size::Size,
     },
-    peer::wire::{GrantAnswer, GrantRound, PeerReply, PeerRequest, WorkerGrant},
+    peer::wire::{GrantReply, GrantRound, PeerReply, PeerRequest, WorkerGrant},
     state::{
         grants::{self, ByWorker},
         ledger::{Event, Grant, State},
@@ -66,7 +66,7 @@
             reply
         }
     };
-    if let PeerReply::Grants(GrantAnswer {
+    if let PeerReply::Grants(GrantReply {
         epoch,
         floors,
         targets,
@@ -219,7 +219,7 @@
         return PeerReply::Unknown;
     }
     let floors = shard.state().grants.get(&holder).cloned();
-    PeerReply::Grants(GrantAnswer {
+    PeerReply::Grants(GrantReply {
         epoch: shard.epoch,
         floors: to_wire(floors.unwrap_or_default()),
         targets: to_wire(targets),
--- a/src/lapisdrum/daemon/jobs.rs
+++ b/src/lapisdrum/daemon/jobs.rs
@@ -27,7 +27,7 @@
 
 /// Outcome of a call about a job.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum JobAnswer {
+pub enum JobReply {
     /// The job in its present state.
     Job(JobId, Job),
     /// Refused; nothing was changed.
@@ -37,17 +37,17 @@
 }
 
 /// Submits a job of `entry`. A repeat with the same `key` returns the job of the first call.
-pub async fn submit(cx: &Cx, entry: &EntryName, key: Option<&RequestId>) -> JobAnswer {
+pub async fn submit(cx: &Cx, entry: &EntryName, key: Option<&RequestId>) -> JobReply {
     if cx.is_draining() {
-        return JobAnswer::Refused(Refusal::Draining {
+        return JobReply::Refused(Refusal::Draining {
             retry_after: NO_OWNER_RETRY,
         });
     }
     if let Err(refusal) = check_entry(cx, entry) {
-        return JobAnswer::Refused(refusal);
+        return JobReply::Refused(refusal);
     }
     let Some((shard, unique)) = assign(cx, key) else {
-        return JobAnswer::Refused(Refusal::NoOwner {
+        return JobReply::Refused(Refusal::NoOwner {
             retry_after: NO_OWNER_RETRY,
         });
     };
@@ -75,29 +75,29 @@
 }
 
 /// Reads a job from the owner of its shard.
-pub async fn show(cx: &Cx, job: JobId) -> JobAnswer {
+pub async fn show(cx: &Cx, job: JobId) -> JobReply {
     let Some(shard) = job.shard() else {
-        return JobAnswer::Refused(Refusal::UnknownJob(job));
+        return JobReply::Refused(Refusal::UnknownJob(job));
     };
     let req = PeerRequest::ShowJob(job.clone());
     call_owner(cx, &shard, job, req).await
 }
 
 /// Cancels a job. One that has ended or is already being cancelled is returned unchanged.
-pub async fn cancel(cx: &Cx, job: JobId) -> JobAnswer {
+pub async fn cancel(cx: &Cx, job: JobId) -> JobReply {
     let Some(shard) = job.shard() else {
-        return JobAnswer::Refused(Refusal::UnknownJob(job));
+        return JobReply::Refused(Refusal::UnknownJob(job));
     };
     let req = PeerRequest::CancelJob(job.clone());
     call_owner(cx, &shard, job, req).await
 }
 
-async fn call_owner(cx: &Cx, shard: &ShardId, job: JobId, req: PeerRequest) -> JobAnswer {
+async fn call_owner(cx: &Cx, shard: &ShardId, job: JobId, req: PeerRequest) -> JobReply {
     let reply = if cx.shards.borrow().contains_key(shard) {
         answer(cx, req).await
     } else {
         let Some(address) = cx.members.borrow().owner_address(shard) else {
-            return JobAnswer::Refused(Refusal::NoOwner {
+            return JobReply::Refused(Refusal::NoOwner {
                 retry_after: NO_OWNER_RETRY,
             });
         };
@@ -111,9 +111,9 @@
         }
     };
     match reply {
-        PeerReply::Job(found) => JobAnswer::Job(job, found),
-        PeerReply::Refused(refusal) => JobAnswer::Refused(refusal),
-        _ => JobAnswer::Unknown,
+        PeerReply::Job(found) => JobReply::Job(job, found),
+        PeerReply::Refused(refusal) => JobReply::Refused(refusal),
+        _ => JobReply::Unknown,
     }
 }
 
--- a/src/lapisdrum/daemon/pressure.rs
+++ b/src/lapisdrum/daemon/pressure.rs
@@ -22,7 +22,7 @@
     },
     timeline::event::Happening,
     worker::{
-        client::CommandEnd,
+        client::CommandOutcome,
         wire::{ThrottleTask, Usage},
     },
 };
@@ -152,7 +152,7 @@
 
 async fn measure(cx: &Cx, shard: &Rc<Shard>, worker: &WorkerId, address: &str) {
     let end = cx.workers.usage(address).await;
-    let CommandEnd::Done(usage, _) = end else {
+    let CommandOutcome::Done(usage, _) = end else {
         return;
     };
     if !shard.is_serving() {
@@ -339,7 +339,7 @@
         permille,
     };
     let end = cx.workers.throttle(address, job, &throttle).await;
-    matches!(end, CommandEnd::Done(..))
+    matches!(end, CommandOutcome::Done(..))
 }
 
 fn note_throttle(cx: &Cx, job: &JobId, worker: &WorkerId, permille: u32) {
--- a/src/lapisdrum/daemon/router.rs
+++ b/src/lapisdrum/daemon/router.rs
@@ -21,7 +21,7 @@
     policy::{retry::Failure, routing::SendOutcome},
     state::{claims::KeptAnswer, ledger::ClaimEnd},
     timeline::event::Happening,
-    worker::client::{Answer, Outgoing, RequestEnd},
+    worker::client::{OutgoingRequest, RequestOutcome, Response},
 };
 use bytes::Bytes;
 use std::{convert::Infallible, rc::Rc, time::Duration};
@@ -64,7 +64,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RunEnd {
     /// The worker's complete answer.
-    Done(RequestId, Answer),
+    Done(RequestId, Response),
     /// An earlier request with the same id ended with this status; its answer was too large to
     /// keep.
     DoneBefore(RequestId, u16),
@@ -153,7 +153,7 @@
     match kept.body {
         None => RunEnd::DoneBefore(key.clone(), status),
         Some(body) => {
-            let answer = Answer {
+            let answer = Response {
                 status,
                 content_type: kept.content_type,
                 body: body.into(),
@@ -289,31 +289,31 @@
 ) -> RunEnd {
     let mut next = Some(first);
     while let Some(reservation) = next {
-        let left = deadline.since(cx.clock.now());
-        if left.is_zero() {
+        let time_left = deadline.since(cx.clock.now());
+        if time_left.is_zero() {
             break;
         }
-        let out = Outgoing {
+        let out = OutgoingRequest {
             request: &id,
             entry: &entry.name,
             epoch: cx.floors.borrow().epoch_on(&reservation.worker),
             content_type: req.content_type.as_deref(),
             body: req.body.clone(),
-            left,
-            answer_limit: MAX_ANSWER_BYTES,
+            time_left,
+            max_response_bytes: MAX_ANSWER_BYTES,
         };
         let end = cx.workers.run(&reservation.address, out).await;
         reservation.note_end(routing_end(&end));
         let failure = match end {
-            RequestEnd::Answered(answer) => {
+            RequestOutcome::Answered(answer) => {
                 cx.line.note_success(&entry.name);
                 return RunEnd::Done(id, answer);
             }
-            RequestEnd::Unsent(_) | RequestEnd::NotRun(_) => {
+            RequestOutcome::Unsent(_) | RequestOutcome::NotRun(_) => {
                 drop(reservation);
                 Failure::NotRun
             }
-            RequestEnd::Unknown(why) => {
+            RequestOutcome::Unknown(why) => {
                 reservation.hold_until(deadline + LATE_MARGIN);
                 unknown_reason = Some(why);
                 Failure::Unknown
@@ -328,15 +328,15 @@
     refused_or_unknown(cx, id, refusal, unknown_reason)
 }
 
-fn routing_end(end: &RequestEnd) -> SendOutcome {
+fn routing_end(end: &RequestOutcome) -> SendOutcome {
     match end {
         // A worker that fails at once would otherwise count as the fastest.
-        RequestEnd::Answered(answer) if answer.status >= MIN_SERVER_ERROR_STATUS => {
+        RequestOutcome::Answered(answer) if answer.status >= MIN_SERVER_ERROR_STATUS => {
             SendOutcome::Failed
         }
-        RequestEnd::Answered(_) => SendOutcome::Answered,
-        RequestEnd::NotRun(_) => SendOutcome::Full,
-        RequestEnd::Unsent(_) | RequestEnd::Unknown(_) => SendOutcome::Failed,
+        RequestOutcome::Answered(_) => SendOutcome::Answered,
+        RequestOutcome::NotRun(_) => SendOutcome::Full,
+        RequestOutcome::Unsent(_) | RequestOutcome::Unknown(_) => SendOutcome::Failed,
     }
 }
 
--- a/src/lapisdrum/daemon/spill.rs
+++ b/src/lapisdrum/daemon/spill.rs
@@ -23,7 +23,7 @@
         time::Millis,
     },
     peer::wire::{PeerReply, PeerRequest, SpilledEnd, SpilledRun},
-    worker::client::Answer,
+    worker::client::Response,
 };
 use indexmap::IndexMap;
 use rand::seq::IndexedRandom;
@@ -104,7 +104,7 @@
             body,
         })) => HopOutcome::Ended(RunEnd::Done(
             id.clone(),
-            Answer {
+            Response {
                 status,
                 content_type,
                 body: body.into(),
--- a/src/lapisdrum/daemon/starts.rs
+++ b/src/lapisdrum/daemon/starts.rs
@@ -29,7 +29,7 @@
     store::wire::Host,
     timeline::event::Happening,
     worker::{
-        client::CommandEnd,
+        client::CommandOutcome,
         wire::{RejectReason, StartTask},
     },
 };
@@ -284,7 +284,7 @@
         attempt: placement.attempt,
     });
     match cx.workers.start(&address, job, &start).await {
-        CommandEnd::Done(..) => {
+        CommandOutcome::Done(..) => {
             shard.session(worker, |session| {
                 session.note_reported(job, placement.attempt);
             });
@@ -296,7 +296,7 @@
             });
         }
         // This attempt did not start. Another attempt that runs there is stopped by the next poll.
-        CommandEnd::Rejected(reason, ..) => {
+        CommandOutcome::Rejected(reason, ..) => {
             if reason == RejectReason::NoRoom {
                 let until = cx.clock.now() + NO_ROOM_BACKOFF;
                 shard.session(worker, |session| session.no_room_until = until);
@@ -305,7 +305,7 @@
             unplace(cx, shard, job, placement, &reason);
         }
         // The task may run. The next polls resolve it, or its lease expires.
-        CommandEnd::Silent(_) => {}
+        CommandOutcome::Unanswered(_) => {}
     }
 }
 
--- a/src/lapisdrum/daemon/visits.rs
+++ b/src/lapisdrum/daemon/visits.rs
@@ -23,7 +23,7 @@
     state::{fencing::ClockReading, ledger::Event},
     timeline::event::Happening,
     worker::{
-        client::CommandEnd,
+        client::CommandOutcome,
         wire::{TaskList, TaskState, TaskStatus},
     },
 };
@@ -85,9 +85,9 @@
         return;
     }
     let now = cx.clock.now();
-    note_answer(cx, shard, worker, end.reading(now), now);
+    note_answer(cx, shard, worker, end.clock_reading(now), now);
     match end {
-        CommandEnd::Done(list, _) => {
+        CommandOutcome::Done(list, _) => {
             if !claimed {
                 note_claimed(cx, shard, worker);
             }
@@ -98,8 +98,8 @@
                 stop_running(cx, shard, worker, address, &task);
             }
         }
-        CommandEnd::Rejected(..) => note_rejected(shard, worker),
-        CommandEnd::Silent(_) => evictions::give_up_silent(cx, shard, worker, &verifiable),
+        CommandOutcome::Rejected(..) => note_rejected(shard, worker),
+        CommandOutcome::Unanswered(_) => evictions::give_up_silent(cx, shard, worker, &verifiable),
     }
     shard.session(worker, |session| session.poll_in_flight = false);
 }
@@ -396,7 +396,7 @@
         let _ = cx.workers.checkpoint(&address, &task, shard.epoch).await;
         let end = cx.workers.stop(&address, &task, shard.epoch).await;
         unmark_stopping(&shard, &worker, &task);
-        if let CommandEnd::Done(status, _) = end
+        if let CommandOutcome::Done(status, _) = end
             && shard.is_serving()
             && !shard.journal.is_unsettled(&task)
         {
--- a/src/lapisdrum/peer/wire.rs
+++ b/src/lapisdrum/peer/wire.rs
@@ -137,7 +137,7 @@
     }
 
     /// The owner's reply to a [`GrantRound`].
-    pub struct GrantAnswer {
+    pub struct GrantReply {
         /// Epoch of the owner.
         pub epoch: Epoch,
         /// Durable floors, which the daemon may use until it returns them.
@@ -156,7 +156,7 @@
         /// Reply to [`PeerRequest::ListJobs`].
         Jobs(ShardJobs),
         /// Reply to [`PeerRequest::Grants`].
-        Grants(GrantAnswer),
+        Grants(GrantReply),
         /// Reply to [`PeerRequest::Run`].
         Ran(SpilledEnd),
         /// The request id is claimed for the sender, which may run the request.
--- a/src/lapisdrum/worker/client.rs
+++ b/src/lapisdrum/worker/client.rs
@@ -35,20 +35,20 @@
 
 /// A worker's complete response to a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Answer {
+pub struct Response {
     /// HTTP status.
     pub status: u16,
     /// Value of the header `content-type`, if present.
     pub content_type: Option<String>,
-    /// The body, at most [`Outgoing::answer_limit`] bytes.
+    /// The body, at most [`OutgoingRequest::max_response_bytes`] bytes.
     pub body: Bytes,
 }
 
 /// Outcome of a request to a worker.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum RequestEnd {
+pub enum RequestOutcome {
     /// The complete response arrived.
-    Answered(Answer),
+    Answered(Response),
     /// No connection was opened, so the request did not run.
     Unsent(String),
     /// The worker reported that it did not run the request.
@@ -59,18 +59,18 @@
 
 /// Outcome of a command to a worker.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum CommandEnd<T> {
+pub enum CommandOutcome<T> {
     /// It took effect; with the response and the worker's clock.
     Done(T, WorkerMillis),
     /// The worker did nothing; with the reason, the highest epoch it has seen and its clock.
     Rejected(RejectReason, Epoch, WorkerMillis),
     /// No usable response; it may still take effect.
-    Silent(String),
+    Unanswered(String),
 }
 
 /// A request to be sent to a worker.
 #[derive(Clone, Debug)]
-pub struct Outgoing<'a> {
+pub struct OutgoingRequest<'a> {
     /// Id of the request, which the worker repeats in its response.
     pub request: &'a RequestId,
     /// The catalogue entry that the request is for.
@@ -82,9 +82,9 @@
     /// The body, passed on unchanged.
     pub body: Bytes,
     /// Time left until the request's deadline.
-    pub left: Duration,
+    pub time_left: Duration,
     /// Largest response body that is passed on, in bytes.
-    pub answer_limit: usize,
+    pub max_response_bytes: usize,
 }
 
 /// HTTP client for requests and commands to workers.
@@ -115,23 +115,23 @@
         Self { requests, commands }
     }
 
-    /// Sends a request and waits for the complete response, at most [`Outgoing::left`].
-    pub async fn run(&self, address: &str, out: Outgoing<'_>) -> RequestEnd {
-        let left = out.left;
-        match tokio::time::timeout(left, self.exchange(address, out)).await {
+    /// Sends a request and waits for the complete response, at most [`OutgoingRequest::time_left`].
+    pub async fn run(&self, address: &str, out: OutgoingRequest<'_>) -> RequestOutcome {
+        let time_left = out.time_left;
+        match tokio::time::timeout(time_left, self.exchange(address, out)).await {
             Ok(end) => end,
-            Err(_) => RequestEnd::Unknown("no response before the deadline".to_owned()),
+            Err(_) => RequestOutcome::Unknown("no response before the deadline".to_owned()),
         }
     }
 
-    async fn exchange(&self, address: &str, out: Outgoing<'_>) -> RequestEnd {
+    async fn exchange(&self, address: &str, out: OutgoingRequest<'_>) -> RequestOutcome {
         let req = self
             .requests
             .post(format!("http://{address}/v1/requests"))
             .insert_header((REQUEST_HEADER, out.request.as_str()))
             .insert_header((ENTRY_HEADER, out.entry.as_str()))
             .insert_header((EPOCH_HEADER, out.epoch.0))
-            .insert_header((DEADLINE_HEADER, millis(out.left)))
+            .insert_header((DEADLINE_HEADER, millis(out.time_left)))
             .content_type(out.content_type.unwrap_or("application/octet-stream"));
         let mut answer = match req.send_body(out.body).await {
             Ok(answer) => answer,
@@ -141,26 +141,28 @@
         // A response with another request's id must not be passed on, not even a refusal: the request
         // would be sent again although it may be running.
         if header_text(answer.headers(), REQUEST_HEADER) != Some(out.request.as_str()) {
-            return RequestEnd::Unknown("the response has the id of another request".to_owned());
+            return RequestOutcome::Unknown(
+                "the response has the id of another request".to_owned(),
+            );
         }
         if status == StatusCode::SERVICE_UNAVAILABLE
             && answer.headers().contains_key(NOT_RUN_HEADER)
         {
-            return RequestEnd::NotRun("the worker refused the request".to_owned());
+            return RequestOutcome::NotRun("the worker refused the request".to_owned());
         }
         let content_type = header_text(answer.headers(), "content-type").map(str::to_owned);
-        match answer.body().limit(out.answer_limit).await {
-            Ok(body) => RequestEnd::Answered(Answer {
+        match answer.body().limit(out.max_response_bytes).await {
+            Ok(body) => RequestOutcome::Answered(Response {
                 status: status.as_u16(),
                 content_type,
                 body,
             }),
-            Err(e) => RequestEnd::Unknown(format!("failed to read the response body: {e}")),
+            Err(e) => RequestOutcome::Unknown(format!("failed to read the response body: {e}")),
         }
     }
 
     /// Claims a worker for an owner's epoch and returns all of the worker's tasks.
-    pub async fn claim(&self, address: &str, epoch: Epoch) -> CommandEnd<TaskList> {
+    pub async fn claim(&self, address: &str, epoch: Epoch) -> CommandOutcome<TaskList> {
         self.command(
             Method::POST,
             &url(address, "claim"),
@@ -175,19 +177,24 @@
         address: &str,
         task: &JobId,
         start: &StartTask,
-    ) -> CommandEnd<TaskStatus> {
+    ) -> CommandOutcome<TaskStatus> {
         self.command(Method::PUT, &url(address, &format!("tasks/{task}")), start)
             .await
     }
 
     /// Renews the leases of the worker's tasks and returns the tasks that changed.
-    pub async fn renew(&self, address: &str, renew: &RenewTasks) -> CommandEnd<TaskList> {
+    pub async fn renew(&self, address: &str, renew: &RenewTasks) -> CommandOutcome<TaskList> {
         self.command(Method::POST, &url(address, "renew"), renew)
             .await
     }
 
     /// Stops a task, or acknowledges that its end is recorded.
-    pub async fn stop(&self, address: &str, task: &JobId, epoch: Epoch) -> CommandEnd<TaskStatus> {
+    pub async fn stop(
+        &self,
+        address: &str,
+        task: &JobId,
+        epoch: Epoch,
+    ) -> CommandOutcome<TaskStatus> {
         let path = url(address, &format!("tasks/{task}/stop"));
         self.command(Method::POST, &path, &OwnerCommand { epoch })
             .await
@@ -199,7 +206,7 @@
         address: &str,
         task: &JobId,
         epoch: Epoch,
-    ) -> CommandEnd<TaskStatus> {
+    ) -> CommandOutcome<TaskStatus> {
         let path = url(address, &format!("tasks/{task}/checkpoint"));
         self.command(Method::POST, &path, &OwnerCommand { epoch })
             .await
@@ -211,13 +218,13 @@
         address: &str,
         task: &JobId,
         throttle: &ThrottleTask,
-    ) -> CommandEnd<TaskStatus> {
+    ) -> CommandOutcome<TaskStatus> {
         let path = url(address, &format!("tasks/{task}/throttle"));
         self.command(Method::POST, &path, throttle).await
     }
 
     /// Returns measured resource use, which is [`Usage::age_ms`] old.
-    pub async fn usage(&self, address: &str) -> CommandEnd<Usage> {
+    pub async fn usage(&self, address: &str) -> CommandOutcome<Usage> {
         self.command(Method::GET, &url(address, "usage"), &()).await
     }
 
@@ -226,36 +233,41 @@
         method: Method,
         url: &str,
         body: &impl Serialize,
-    ) -> CommandEnd<T> {
+    ) -> CommandOutcome<T> {
         let sent = self.commands.request(method, url).send_json(body).await;
         let mut answer = match sent {
             Ok(answer) => answer,
-            Err(e) => return CommandEnd::Silent(e.to_string()),
+            Err(e) => return CommandOutcome::Unanswered(e.to_string()),
         };
         let Some(clock) = worker_clock(answer.headers()) else {
-            return CommandEnd::Silent("the response has no valid worker clock header".to_owned());
+            return CommandOutcome::Unanswered(
+                "the response has no valid worker clock header".to_owned(),
+            );
         };
         let body = match answer.body().limit(MAX_COMMAND_RESPONSE_BYTES).await {
             Ok(body) => body,
-            Err(e) => return CommandEnd::Silent(e.to_string()),
+            Err(e) => return CommandOutcome::Unanswered(e.to_string()),
         };
         if answer.status() == StatusCode::CONFLICT {
             return match serde_json::from_slice::<Rejected>(&body) {
-                Ok(rejected) => CommandEnd::Rejected(rejected.reason, rejected.epoch, clock),
-                Err(e) => CommandEnd::Silent(e.to_string()),
+                Ok(rejected) => CommandOutcome::Rejected(rejected.reason, rejected.epoch, clock),
+                Err(e) => CommandOutcome::Unanswered(e.to_string()),
             };
         }
         match serde_json::from_slice(&body) {
-            Ok(done) if answer.status().is_success() => CommandEnd::Done(done, clock),
-            Ok(_) => CommandEnd::Silent(answer.status().to_string()),
-            Err(e) => CommandEnd::Silent(e.to_string()),
+            Ok(done) if answer.status().is_success() => CommandOutcome::Done(done, clock),
+            Ok(_) => CommandOutcome::Unanswered(answer.status().to_string()),
+            Err(e) => CommandOutcome::Unanswered(e.to_string()),
         }
     }
 }
 
-impl<T> CommandEnd<T> {
+impl<T> CommandOutcome<T> {
     /// The worker's clock in this response, which arrived at `received_at`; `None` without a response.
-    pub fn reading(&self, received_at: Millis) -> Option<crate::state::fencing::ClockReading> {
+    pub fn clock_reading(
+        &self,
+        received_at: Millis,
+    ) -> Option<crate::state::fencing::ClockReading> {
         match self {
             Self::Done(_, worker) | Self::Rejected(_, _, worker) => {
                 Some(crate::state::fencing::ClockReading {
@@ -263,7 +275,7 @@
                     received_at,
                 })
             }
-            Self::Silent(_) => None,
+            Self::Unanswered(_) => None,
         }
     }
 }
@@ -272,16 +284,18 @@
     format!("http://{address}/v1/{path}")
 }
 
-fn unsent_or_unknown(e: &SendRequestError) -> RequestEnd {
+fn unsent_or_unknown(e: &SendRequestError) -> RequestOutcome {
     match e {
         // awc returns this if a connection closes before the response's head, after the request was
         // sent on it.
-        SendRequestError::Connect(ConnectError::Disconnected) => RequestEnd::Unknown(e.to_string()),
+        SendRequestError::Connect(ConnectError::Disconnected) => {
+            RequestOutcome::Unknown(e.to_string())
+        }
         // Nothing was sent, since there was no connection.
         SendRequestError::Connect(_) | SendRequestError::Url(_) => {
-            RequestEnd::Unsent(e.to_string())
+            RequestOutcome::Unsent(e.to_string())
         }
-        _ => RequestEnd::Unknown(e.to_string()),
+        _ => RequestOutcome::Unknown(e.to_string()),
     }
 }
 
@@ -296,7 +310,7 @@
         .map(WorkerMillis)
 }
 
-impl fmt::Display for RequestEnd {
+impl fmt::Display for RequestOutcome {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Answered(answer) => write!(f, "answered with status {}", answer.status),
--- a/tests/testsuite/model/ownership/mod.rs
+++ b/tests/testsuite/model/ownership/mod.rs
@@ -94,7 +94,7 @@
 
 #[test]
 fn commands_without_an_end_double_a_task() {
-    counterexample(Without::CommandEnd);
+    counterexample(Without::CommandOutcome);
 }
 
 #[test]
--- a/tests/testsuite/model/ownership/spec.rs
+++ b/tests/testsuite/model/ownership/spec.rs
@@ -28,7 +28,7 @@
     /// The worker takes commands of any epoch.
     EpochCheck,
     /// A command runs for its whole lease from its arrival.
-    CommandEnd,
+    CommandOutcome,
     /// A successor doesn't wait out the hold.
     HoldWait,
     /// An owner counts its lease from the answer to its renewal.
@@ -297,7 +297,7 @@
         if !host.alive {
             return Err(RejectReason::UnknownTask);
         }
-        let until = match self.lacks(Without::CommandEnd) {
+        let until = match self.lacks(Without::CommandOutcome) {
             true => NOW + TASK_LEASE,
             false => message.until,
         };
--- a/tests/testsuite/timeline/daemons.rs
+++ b/tests/testsuite/timeline/daemons.rs
@@ -10,7 +10,7 @@
     },
     daemon::{
         Cx, Daemon,
-        catalogue::{self, ChangeEnd},
+        catalogue::{self, ChangeOutcome},
     },
     peer::{
         server,
@@ -130,7 +130,7 @@
     let raw: RawEntry = serde_json::from_value(entry).expect("a raw entry");
     let change = ChangeId::try_from("change-1").expect("an id");
     let end = catalogue::change(&early, raw, None, change).await;
-    assert_matches!(end, ChangeEnd::Accepted(Revision(1)));
+    assert_matches!(end, ChangeOutcome::Accepted(Revision(1)));
     actix_rt::spawn(catalogue::follow(Rc::clone(&late)));
     let effect = wait::until_some("the revision is in force", LIMIT, async || {
         stamp_of(&late, |what| {
