--- a/src/lapisdrum/daemon/jobs.rs
+++ b/src/lapisdrum/daemon/jobs.rs
@@ -170,7 +170,7 @@
     if let Some(known) = shard.job(&job) {
         return match known.entry == *name {
             true => {
-                let accepted = !shard.journal.is_unaccepted(&job);
+                let accepted = !shard.journal.is_acceptance_pending(&job);
                 reply_when_durable(cx, shard, &job, accepted).await
             }
             false => PeerReply::Refused(Refusal::WrongClass {
@@ -278,7 +278,7 @@
 
 async fn cancel_owned(cx: &Cx, shard: &Rc<Shard>, job: &JobId, found: Job) -> PeerReply {
     let Some(event) = upkeep::cancel(job, &found) else {
-        let is_durable = !shard.journal.is_unsettled(job);
+        let is_durable = !shard.journal.has_pending_event(job);
         return reply_when_durable(cx, shard, job, is_durable).await;
     };
     let reply = write(cx, shard, job, event).await;
--- a/src/lapisdrum/daemon/journal.rs
+++ b/src/lapisdrum/daemon/journal.rs
@@ -13,7 +13,7 @@
 use super::{
     Cx,
     index::Index,
-    proposals::{Pending, Proposal, answer},
+    proposals::{Pending, Proposal, complete_waiters},
     registrar::epoch_key,
     snapshots::{self, Snapshot},
 };
@@ -147,12 +147,12 @@
     }
 
     /// Whether a proposed event about the job is not yet durable.
-    pub fn is_unsettled(&self, job: &JobId) -> bool {
+    pub fn has_pending_event(&self, job: &JobId) -> bool {
         self.inner.borrow().pending.has(job)
     }
 
     /// Whether the job's acceptance is not yet durable.
-    pub fn is_unaccepted(&self, job: &JobId) -> bool {
+    pub fn is_acceptance_pending(&self, job: &JobId) -> bool {
         self.inner.borrow().pending.accepts(job)
     }
 
@@ -180,7 +180,7 @@
         inner
             .state
             .apply_all(&events)
-            .map_err(ProposeError::Misplaced)?;
+            .map_err(ProposeError::InvalidEvent)?;
         inner.index.note(before, &inner.state, now);
         for event in &events {
             inner.pending.add(event);
@@ -198,13 +198,13 @@
     }
 
     /// Stops the ledger: this owner writes nothing more. A row in flight may still be written.
-    pub fn lose(&self) {
+    pub fn stop(&self) {
         let inner = &mut *self.inner.borrow_mut();
         inner.status = WriterStatus::Lost;
         for proposal in inner.queued.drain(..) {
             let _ = proposal.waiter.send(WriteOutcome::NotWritten);
         }
-        answer(&mut inner.in_flight, WriteOutcome::Unknown);
+        complete_waiters(&mut inner.in_flight, WriteOutcome::Unknown);
         self.wakeup.notify_one();
     }
 
@@ -258,7 +258,7 @@
             };
             self.end_batch(&batch, end);
             if end != WriteOutcome::Committed {
-                self.lose();
+                self.stop();
                 return;
             }
             cx.metrics.ledger_writes.inc();
@@ -275,7 +275,7 @@
         for event in &batch.events {
             inner.pending.remove(event);
         }
-        answer(&mut inner.in_flight, end);
+        complete_waiters(&mut inner.in_flight, end);
     }
 
     async fn wait_for_due(&self, cx: &Cx) -> Option<Millis> {
@@ -317,7 +317,7 @@
         inner.due = (!inner.queued.is_empty()).then(|| cx.clock.now());
         if events.is_empty() {
             // There is one write at a time, so everything proposed before is durable.
-            answer(&mut inner.in_flight, WriteOutcome::Committed);
+            complete_waiters(&mut inner.in_flight, WriteOutcome::Committed);
             return None;
         }
         let batch = Batch {
--- a/src/lapisdrum/daemon/proposals.rs
+++ b/src/lapisdrum/daemon/proposals.rs
@@ -3,7 +3,7 @@
 
 use crate::{
     core::{id::JobId, outcome::Refusal},
-    state::ledger::{Event, Misplaced},
+    state::ledger::{Event, InvalidEvent},
 };
 use indexmap::{IndexMap, IndexSet};
 use std::time::Duration;
@@ -40,7 +40,7 @@
     /// The shard is lost.
     Lost,
     /// An event does not fit the ledger's state.
-    Misplaced(Misplaced),
+    InvalidEvent(InvalidEvent),
 }
 
 impl ProposeError {
@@ -50,7 +50,7 @@
             Self::Stalled => Refusal::StoreAway {
                 retry_after: STORE_UNAVAILABLE_RETRY,
             },
-            Self::Lost | Self::Misplaced(_) => Refusal::NoOwner {
+            Self::Lost | Self::InvalidEvent(_) => Refusal::NoOwner {
                 retry_after: STORE_UNAVAILABLE_RETRY,
             },
         }
@@ -135,7 +135,10 @@
 }
 
 /// Sends the outcome of a row to all its waiters.
-pub(super) fn answer(waiters: &mut Vec<oneshot::Sender<WriteOutcome>>, end: WriteOutcome) {
+pub(super) fn complete_waiters(
+    waiters: &mut Vec<oneshot::Sender<WriteOutcome>>,
+    end: WriteOutcome,
+) {
     for waiter in waiters.drain(..) {
         let _ = waiter.send(end);
     }
--- a/src/lapisdrum/daemon/shard.rs
+++ b/src/lapisdrum/daemon/shard.rs
@@ -150,7 +150,7 @@
 
     /// Ends this ownership locally; the shard's row is not written.
     pub fn mark_lost(&self) {
-        self.journal.lose();
+        self.journal.stop();
         self.lost.send_replace(true);
         self.placement.notify_one();
     }
--- a/src/lapisdrum/daemon/starts.rs
+++ b/src/lapisdrum/daemon/starts.rs
@@ -137,7 +137,7 @@
     };
     // While an eviction is not durable, the previous worker's session may still list the job. A job
     // whose acceptance is not durable has no previous worker; its placement goes into the same row.
-    if shard.journal.is_unsettled(&job) && !shard.journal.is_unaccepted(&job) {
+    if shard.journal.has_pending_event(&job) && !shard.journal.is_acceptance_pending(&job) {
         turn.deferred.push(job);
         return true;
     }
--- a/src/lapisdrum/daemon/visits.rs
+++ b/src/lapisdrum/daemon/visits.rs
@@ -166,7 +166,7 @@
     let mut to_stop = Vec::new();
     for status in &list.tasks {
         // Events that are not durable yet must not affect the worker.
-        if shard.journal.is_unsettled(&status.task) {
+        if shard.journal.has_pending_event(&status.task) {
             continue;
         }
         let job = shard.job(&status.task);
@@ -234,7 +234,8 @@
     let is_due = |task: &JobId, placement: &Placement| {
         let sent = shard.session(worker, |session| session.sent(task, placement.attempt));
         let is_reported = sent.flatten().is_some_and(|sent| sent.is_reported);
-        let is_running = is_reported && !ended.contains(task) && !shard.journal.is_unsettled(task);
+        let is_running =
+            is_reported && !ended.contains(task) && !shard.journal.has_pending_event(task);
         is_running
             && shard
                 .job(task)
@@ -398,7 +399,7 @@
         unmark_stopping(&shard, &worker, &task);
         if let CommandOutcome::Done(status, _) = end
             && shard.is_serving()
-            && !shard.journal.is_unsettled(&task)
+            && !shard.journal.has_pending_event(&task)
         {
             let placed = shard.job(&task);
             let placed = placed.as_ref().and_then(Job::placement);
--- a/src/lapisdrum/state/ledger.rs
+++ b/src/lapisdrum/state/ledger.rs
@@ -19,21 +19,21 @@
 
 /// An event that is invalid in the state that it was applied to.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Misplaced {
+pub struct InvalidEvent {
     reason: &'static str,
     subject: String,
 }
 
-impl fmt::Display for Misplaced {
+impl fmt::Display for InvalidEvent {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{} for `{}`", self.reason, self.subject)
     }
 }
 
-impl std::error::Error for Misplaced {}
+impl std::error::Error for InvalidEvent {}
 
-fn invalid_event(reason: &'static str, subject: &impl ToString) -> Misplaced {
-    Misplaced {
+fn invalid_event(reason: &'static str, subject: &impl ToString) -> InvalidEvent {
+    InvalidEvent {
         reason,
         subject: subject.to_string(),
     }
@@ -70,7 +70,7 @@
     /// Replays batches, in order of sequence, on a snapshot and returns how many were applied.
     /// Batches that the snapshot already covers may not have been deleted yet and are skipped. A
     /// gap is an error.
-    pub fn replay(&mut self, batches: &[Batch]) -> Result<u64, Misplaced> {
+    pub fn replay(&mut self, batches: &[Batch]) -> Result<u64, InvalidEvent> {
         let mut applied = 0;
         for batch in batches {
             if batch.sequence > self.sequence {
@@ -83,7 +83,7 @@
 
     /// Applies a batch. The state is unchanged when the sequence number or the epoch is wrong. An
     /// invalid event means that the ledger is corrupt; the state must not be used after it.
-    pub fn apply_batch(&mut self, batch: &Batch) -> Result<(), Misplaced> {
+    pub fn apply_batch(&mut self, batch: &Batch) -> Result<(), InvalidEvent> {
         if batch.sequence != self.sequence.next() {
             return Err(invalid_event("sequence out of order", &batch.sequence.0));
         }
@@ -99,7 +99,7 @@
     }
 
     /// Applies all events, or none of them when one is invalid.
-    pub fn apply_all(&mut self, events: &[Event]) -> Result<(), Misplaced> {
+    pub fn apply_all(&mut self, events: &[Event]) -> Result<(), InvalidEvent> {
         if let [event] = events {
             return self.apply(event);
         }
@@ -128,7 +128,7 @@
     }
 
     /// Applies one event; an error leaves the state unchanged.
-    pub fn apply(&mut self, event: &Event) -> Result<(), Misplaced> {
+    pub fn apply(&mut self, event: &Event) -> Result<(), InvalidEvent> {
         match event {
             Event::OwnerBegan { epoch, holder } => self.owner_began(*epoch, holder),
             Event::OwnerEnded { epoch } => self.owner_ended(*epoch),
@@ -200,7 +200,7 @@
             .filter(move |owner| owner.epoch >= placed && owner.epoch < epoch)
     }
 
-    fn owner_began(&mut self, epoch: Epoch, holder: &Holder) -> Result<(), Misplaced> {
+    fn owner_began(&mut self, epoch: Epoch, holder: &Holder) -> Result<(), InvalidEvent> {
         if self.owners.last().is_some_and(|last| last.epoch >= epoch) {
             return Err(invalid_event("owner's epoch not above the last", &epoch));
         }
@@ -220,7 +220,7 @@
         Ok(())
     }
 
-    fn owner_ended(&mut self, epoch: Epoch) -> Result<(), Misplaced> {
+    fn owner_ended(&mut self, epoch: Epoch) -> Result<(), InvalidEvent> {
         let owner = self.owners.iter_mut().find(|owner| owner.epoch == epoch);
         let owner = owner.ok_or_else(|| invalid_event("no such owner", &epoch))?;
         owner.released = true;
@@ -233,7 +233,7 @@
         entry: &EntryName,
         size: &Size,
         hold: Duration,
-    ) -> Result<(), Misplaced> {
+    ) -> Result<(), InvalidEvent> {
         if self.jobs.contains_key(id) || self.moved.contains_key(id) {
             return Err(invalid_event("job accepted twice", id));
         }
@@ -251,7 +251,7 @@
         Ok(())
     }
 
-    fn placed(&mut self, id: &JobId, placement: &Placement) -> Result<(), Misplaced> {
+    fn placed(&mut self, id: &JobId, placement: &Placement) -> Result<(), InvalidEvent> {
         let job = self
             .jobs
             .get_mut(id)
@@ -275,7 +275,7 @@
         Ok(())
     }
 
-    fn placed_attempt(&mut self, id: &JobId, attempt: Attempt) -> Result<&mut Job, Misplaced> {
+    fn placed_attempt(&mut self, id: &JobId, attempt: Attempt) -> Result<&mut Job, InvalidEvent> {
         let job = self
             .jobs
             .get_mut(id)
@@ -286,7 +286,7 @@
         }
     }
 
-    fn unplace(&mut self, id: &JobId, attempt: Attempt) -> Result<&mut Job, Misplaced> {
+    fn unplace(&mut self, id: &JobId, attempt: Attempt) -> Result<&mut Job, InvalidEvent> {
         self.placed_attempt(id, attempt)?;
         self.release_placement(id);
         let job = &mut self.jobs[id];
@@ -311,7 +311,7 @@
         }
     }
 
-    fn cancel_asked(&mut self, id: &JobId) -> Result<(), Misplaced> {
+    fn cancel_asked(&mut self, id: &JobId) -> Result<(), InvalidEvent> {
         let job = self
             .jobs
             .get_mut(id)
@@ -323,7 +323,7 @@
         Ok(())
     }
 
-    fn ended(&mut self, id: &JobId, end: &JobEnd) -> Result<(), Misplaced> {
+    fn ended(&mut self, id: &JobId, end: &JobEnd) -> Result<(), InvalidEvent> {
         let job = self
             .jobs
             .get(id)
@@ -336,7 +336,7 @@
         Ok(())
     }
 
-    fn forgotten(&mut self, id: &JobId) -> Result<(), Misplaced> {
+    fn forgotten(&mut self, id: &JobId) -> Result<(), InvalidEvent> {
         match self.jobs.get(id) {
             Some(job) if job.is_ended() => {
                 self.jobs.swap_remove(id);
@@ -351,7 +351,7 @@
     }
 
     /// A placed job can't move: it may be running, and only its worker's shard can find out.
-    fn moved_out(&mut self, id: &JobId, to: &ShardId) -> Result<(), Misplaced> {
+    fn moved_out(&mut self, id: &JobId, to: &ShardId) -> Result<(), InvalidEvent> {
         match self.jobs.get(id) {
             Some(job) if job.phase == JobPhase::Waiting => {
                 self.jobs.swap_remove(id);
@@ -362,7 +362,7 @@
         }
     }
 
-    fn moved_in(&mut self, id: &JobId, job: &Job) -> Result<(), Misplaced> {
+    fn moved_in(&mut self, id: &JobId, job: &Job) -> Result<(), InvalidEvent> {
         if self.jobs.contains_key(id) {
             return Err(invalid_event("job moved in twice", id));
         }
@@ -375,7 +375,12 @@
         Ok(())
     }
 
-    fn claimed(&mut self, id: &RequestId, entry: &EntryName, by: &Holder) -> Result<(), Misplaced> {
+    fn claimed(
+        &mut self,
+        id: &RequestId,
+        entry: &EntryName,
+        by: &Holder,
+    ) -> Result<(), InvalidEvent> {
         if self.claims.contains_key(id) {
             return Err(invalid_event("request claimed twice", id));
         }
@@ -388,7 +393,7 @@
         Ok(())
     }
 
-    fn claim_ended(&mut self, id: &RequestId, end: &ClaimEnd) -> Result<(), Misplaced> {
+    fn claim_ended(&mut self, id: &RequestId, end: &ClaimEnd) -> Result<(), InvalidEvent> {
         let claim = self
             .claims
             .get_mut(id)
@@ -400,7 +405,7 @@
         Ok(())
     }
 
-    fn claim_forgotten(&mut self, id: &RequestId) -> Result<(), Misplaced> {
+    fn claim_forgotten(&mut self, id: &RequestId) -> Result<(), InvalidEvent> {
         match self.claims.get(id) {
             Some(claim) if claim.end.is_some() => {
                 self.claims.swap_remove(id);
