--- a/src/lapisdrum/daemon/claims.rs
+++ b/src/lapisdrum/daemon/claims.rs
@@ -26,7 +26,7 @@
     },
     peer::wire::{ClaimCall, PeerReply, PeerRequest},
     state::{
-        claims::{self, Found, Homes, MOST_CLAIMS},
+        claims::{self, ClaimStatus, Homes, MOST_CLAIMS},
         ledger::{ClaimEnd, Event},
         ownership::{Holder, Sighting},
     },
@@ -99,7 +99,7 @@
 
 /// Outcome of an attempt to claim an id.
 #[derive(Debug)]
-pub enum Begun {
+pub enum ClaimOutcome {
     /// This daemon may serve the request.
     Claimed(OwnClaim),
     /// The request was served before.
@@ -113,15 +113,20 @@
 }
 
 /// Claims an id at each of its homes, waiting up to `within` for each reply.
-pub async fn begin(cx: &Cx, request: &RequestId, entry: &EntryName, within: Duration) -> Begun {
+pub async fn acquire(
+    cx: &Cx,
+    request: &RequestId,
+    entry: &EntryName,
+    within: Duration,
+) -> ClaimOutcome {
     let Some(homes) = homes_of(cx, request) else {
-        return Begun::Refused(home_unavailable());
+        return ClaimOutcome::Refused(home_unavailable());
     };
     let nonce = rand::random();
     {
         let mut served = cx.claims.served.borrow_mut();
         if served.contains_key(request) {
-            return Begun::Refused(Refusal::InProgress { retry_after: RETRY });
+            return ClaimOutcome::Refused(Refusal::InProgress { retry_after: RETRY });
         }
         served.insert(request.clone(), nonce);
     }
@@ -142,18 +147,18 @@
                 claim.calls.push(call);
                 continue;
             }
-            PeerReply::ClaimEnded(end) => Begun::Ended(end),
-            PeerReply::Refused(refusal) => Begun::Refused(refusal),
+            PeerReply::ClaimEnded(end) => ClaimOutcome::Ended(end),
+            PeerReply::Refused(refusal) => ClaimOutcome::Refused(refusal),
             // The claim may be in the ledger. Nothing was sent to a worker, so it is released.
             _ => {
                 claim.calls.push(call);
-                Begun::Refused(home_unavailable())
+                ClaimOutcome::Refused(home_unavailable())
             }
         };
         end(cx, request, claim, ClaimEnd::NotRun);
         return outcome;
     }
-    Begun::Claimed(claim)
+    ClaimOutcome::Claimed(claim)
 }
 
 /// Reports in the background how a claimed request ended, until each home has recorded it.
@@ -184,7 +189,7 @@
 }
 
 /// Whether this daemon serves no claimed request and has no end of a claim left to report.
-pub fn all_told(cx: &Cx) -> bool {
+pub fn all_reported(cx: &Cx) -> bool {
     cx.claims.served.borrow().is_empty()
 }
 
@@ -227,14 +232,14 @@
 
 /// As owner of a home, claims an id or returns the state of the existing claim.
 pub async fn answer_claim(cx: &Cx, shard: &Rc<Shard>, call: ClaimCall) -> PeerReply {
-    let found = claims::look(&shard.state(), &call.request, &call.entry);
+    let found = claims::lookup(&shard.state(), &call.request, &call.entry);
     match found {
-        Found::Nothing => {}
-        Found::InProgress => {
+        ClaimStatus::Nothing => {}
+        ClaimStatus::InProgress => {
             return PeerReply::Refused(Refusal::InProgress { retry_after: RETRY });
         }
-        Found::Ended(end) => return PeerReply::ClaimEnded(end),
-        Found::OtherEntry => return PeerReply::Refused(Refusal::IdReused(call.request)),
+        ClaimStatus::Ended(end) => return PeerReply::ClaimEnded(end),
+        ClaimStatus::OtherEntry => return PeerReply::Refused(Refusal::IdReused(call.request)),
     }
     if shard.state().claims.len() >= MOST_CLAIMS {
         return PeerReply::Refused(Refusal::Busy { retry_after: RETRY });
--- a/src/lapisdrum/daemon/router.rs
+++ b/src/lapisdrum/daemon/router.rs
@@ -7,7 +7,7 @@
 
 use super::{
     Cx,
-    claims::{self, Begun},
+    claims::{self, ClaimOutcome},
     queue::{self, Reservation},
     spill, supervisor,
 };
@@ -95,7 +95,7 @@
 /// have been reported.
 pub async fn finished(cx: &Cx) {
     // The context itself holds one reference.
-    while Rc::strong_count(&cx.in_flight) > 1 || !claims::all_told(cx) {
+    while Rc::strong_count(&cx.in_flight) > 1 || !claims::all_reported(cx) {
         tokio::time::sleep(FINISH_POLL).await;
     }
 }
@@ -128,10 +128,10 @@
     caller_gone: CallerGone,
 ) -> RunEnd {
     let left = deadline.since(cx.clock.now());
-    let claim = match claims::begin(cx, key, &entry.name, left).await {
-        Begun::Claimed(claim) => claim,
-        Begun::Ended(end) => return first_outcome(req, key, end),
-        Begun::Refused(refusal) => return RunEnd::Refused(refusal),
+    let claim = match claims::acquire(cx, key, &entry.name, left).await {
+        ClaimOutcome::Claimed(claim) => claim,
+        ClaimOutcome::Ended(end) => return first_outcome(req, key, end),
+        ClaimOutcome::Refused(refusal) => return RunEnd::Refused(refusal),
     };
     let end = wait_and_send(cx, entry, req, key.clone(), deadline, caller_gone).await;
     claims::end(cx, key, claim, claim_end(entry, req, &end));
--- a/src/lapisdrum/state/claims.rs
+++ b/src/lapisdrum/state/claims.rs
@@ -128,7 +128,7 @@
 
 /// The result of looking a request id up in a shard's ledger.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Found {
+pub enum ClaimStatus {
     /// The id is not claimed.
     Nothing,
     /// The request is being served.
@@ -140,12 +140,12 @@
 }
 
 /// Looks up the claim on `id` for a request to `entry`.
-pub fn look(state: &State, id: &RequestId, entry: &EntryName) -> Found {
+pub fn lookup(state: &State, id: &RequestId, entry: &EntryName) -> ClaimStatus {
     match state.claims.get(id) {
-        None => Found::Nothing,
-        Some(claim) if claim.entry != *entry => Found::OtherEntry,
-        Some(Claim { end: None, .. }) => Found::InProgress,
-        Some(Claim { end: Some(end), .. }) => Found::Ended(end.clone()),
+        None => ClaimStatus::Nothing,
+        Some(claim) if claim.entry != *entry => ClaimStatus::OtherEntry,
+        Some(Claim { end: None, .. }) => ClaimStatus::InProgress,
+        Some(Claim { end: Some(end), .. }) => ClaimStatus::Ended(end.clone()),
     }
 }
 
