--- a/src/lapisdrum/daemon/evictions.rs
+++ b/src/lapisdrum/daemon/evictions.rs
@@ -32,7 +32,7 @@
 /// The list lags: a host that this process has never seen listed may be too new to be listed, and
 /// an earlier owner with a newer list may have placed tasks there. Such a host counts as removed
 /// only after a whole task lease without being listed.
-pub fn forget_gone_hosts(cx: &Cx, shard: &Rc<Shard>) {
+pub fn evict_from_removed_hosts(cx: &Cx, shard: &Rc<Shard>) {
     let terms = &cx.cfg.shards.terms;
     let timeout = terms.lengthened(cx.cfg.shards.task_lease);
     let has_waited = cx.clock.now().since(shard.since) > timeout;
@@ -49,7 +49,7 @@
     };
     for worker in &removed {
         for (job, placement) in sessions::placements_on(shard, worker) {
-            unplace(cx, shard, &job, &placement, "host is gone");
+            revoke_placement(cx, shard, &job, &placement, "host is gone");
         }
     }
     let members = cx.members.borrow();
@@ -61,7 +61,7 @@
 }
 
 /// Evicts the tasks in `placements` that a worker which does not answer certainly no longer runs.
-pub fn give_up_silent(
+pub fn evict_expired(
     cx: &Cx,
     shard: &Rc<Shard>,
     worker: &WorkerId,
@@ -69,7 +69,7 @@
 ) {
     let now = cx.clock.now();
     for (job, placement) in placements {
-        let sent = shard.session(worker, |session| session.sent(job, placement.attempt));
+        let sent = shard.session(worker, |session| session.lease(job, placement.attempt));
         let evidence = Evidence {
             worker: WorkerEvidence::Silent,
             own_lease_end: sent.flatten().map(|sent| sent.lease_end),
@@ -79,7 +79,7 @@
             hold: sessions::hold_of(shard, job),
         };
         if fencing::restart_at(&evidence, &cx.cfg.shards.terms) < now {
-            unplace(cx, shard, job, placement, "lease has run out");
+            revoke_placement(cx, shard, job, placement, "lease has run out");
         }
     }
 }
@@ -125,7 +125,13 @@
 
 /// Revokes a placement in the ledger: evicts the job, or ends it if it is being cancelled. The
 /// caller ensures that the task no longer runs.
-pub fn unplace(cx: &Cx, shard: &Rc<Shard>, job: &JobId, placement: &Placement, reason: &str) {
+pub fn revoke_placement(
+    cx: &Cx,
+    shard: &Rc<Shard>,
+    job: &JobId,
+    placement: &Placement,
+    reason: &str,
+) {
     let current = shard.job(job);
     let Some(current) = current.filter(|job| job.placement() == Some(placement)) else {
         return;
@@ -155,7 +161,7 @@
                 true => note_end(&cx, &job, &JobEnd::Cancelled),
                 false => note_eviction(&cx, &job, worker, &reason),
             }
-            shard.placement.notify_one();
+            shard.placement_notify.notify_one();
         }
     });
 }
--- a/src/lapisdrum/daemon/jobs.rs
+++ b/src/lapisdrum/daemon/jobs.rs
@@ -3,9 +3,9 @@
 use super::{
     Cx, claims, grants,
     journal::{Urgency, WriteOutcome},
-    limits,
+    limits, polls,
     shard::Shard,
-    upkeep, visits,
+    upkeep,
 };
 use crate::{
     core::{
@@ -191,7 +191,7 @@
         hold: entry.hold,
     };
     // Wakes placement at once: the job's placement may share the ledger row of its acceptance.
-    shard.placement.notify_one();
+    shard.placement_notify.notify_one();
     let reply = write(cx, shard, &job, accepted).await;
     if matches!(reply, PeerReply::Job(_)) {
         cx.timeline.record(Happening::JobAccepted {
@@ -296,6 +296,6 @@
     let worker = &placement.worker;
     let address = shard.session(worker, |session| session.address.clone());
     if let Some(address) = address {
-        visits::stop_running(cx, shard, worker, &address, job);
+        polls::stop_running(cx, shard, worker, &address, job);
     }
 }
--- a/src/lapisdrum/daemon/pressure.rs
+++ b/src/lapisdrum/daemon/mitigation.rs
@@ -6,7 +6,7 @@
 //! durable: the next owner starts without them, since a ledger row per measurement would cost more
 //! than they are worth.
 
-use super::{Cx, sessions, shard::Shard, supervisor, visits};
+use super::{Cx, polls, sessions, shard::Shard, supervisor};
 use crate::{
     core::{
         catalogue::Class,
@@ -40,7 +40,7 @@
 
 /// Estimates and mitigation state of one ownership of a shard.
 #[derive(Debug, Default)]
-pub struct Pressure {
+pub struct MitigationState {
     /// Estimated slowdown between kinds of work that share a host.
     pub interference: SlowdownModel,
     /// Failure history of workers and jobs.
@@ -58,7 +58,7 @@
     is_measuring: bool,
 }
 
-impl Pressure {
+impl MitigationState {
     /// Whether a job may be placed on a worker. `is_empty`: no task is placed there.
     pub fn may_place(
         &self,
@@ -116,17 +116,17 @@
 }
 
 fn with_host<T>(shard: &Shard, worker: &WorkerId, then: impl FnOnce(&mut HostState) -> T) -> T {
-    let mut pressure = shard.pressure.borrow_mut();
-    then(pressure.hosts.entry(worker.clone()).or_default())
+    let mut mitigation = shard.mitigation.borrow_mut();
+    then(mitigation.hosts.entry(worker.clone()).or_default())
 }
 
 fn remove_stale(cx: &Cx, shard: &Shard) {
     let (members, now) = (cx.members.borrow(), cx.clock.now());
     let is_listed = |worker: &WorkerId| members.hosts.contains_key(worker);
-    let mut pressure = shard.pressure.borrow_mut();
-    pressure.hosts.retain(|worker, _| is_listed(worker));
-    pressure.health.remove_expired(is_listed, now);
-    pressure.memory.forget_old(now);
+    let mut mitigation = shard.mitigation.borrow_mut();
+    mitigation.hosts.retain(|worker, _| is_listed(worker));
+    mitigation.health.remove_expired(is_listed, now);
+    mitigation.memory.forget_old(now);
 }
 
 /// Records what runs on a worker from now on, so that a delayed report is matched with the tasks of
@@ -170,16 +170,16 @@
 /// tasks on the host changed shortly before.
 fn update_estimates(shard: &Shard, worker: &WorkerId, usage: &Usage, measured_at: Millis) {
     let slowed = slowdowns(shard, usage);
-    let mut pressure = shard.pressure.borrow_mut();
-    let host = pressure.hosts.get(worker);
+    let mut mitigation = shard.mitigation.borrow_mut();
+    let host = mitigation.hosts.get(worker);
     let present = host.and_then(|host| host.history.during(measured_at, MIN_UNCHANGED));
     let Some(present) = present.map(<[Neighbour]>::to_vec) else {
         return;
     };
     for (entry, slowdown_permille) in slowed {
-        let kind = pressure.interference.kind(&entry);
+        let kind = mitigation.interference.kind(&entry);
         let beside = without_one(&present, kind);
-        pressure.interference.note(&Report {
+        mitigation.interference.note(&Report {
             kind,
             beside: &beside,
             slowdown_permille,
@@ -226,9 +226,9 @@
         .max();
     let max_slowdown = f64::from(max_slowdown.unwrap_or(UNTHROTTLED_PERMILLE)) / WHOLE_PERMILLE;
     let jobs = jobs_on(cx, shard, worker);
-    let mut pressure = shard.pressure.borrow_mut();
-    let added_slowdowns = added_slowdowns(&mut pressure, &jobs, usage, measured_at);
-    let Pressure { memory, hosts, .. } = &mut *pressure;
+    let mut mitigation = shard.mitigation.borrow_mut();
+    let added_slowdowns = added_slowdowns(&mut mitigation, &jobs, usage, measured_at);
+    let MitigationState { memory, hosts, .. } = &mut *mitigation;
     let host = hosts.entry(worker.clone()).or_default();
     let catalogue = cx.catalogue.borrow();
     let rank = |placed_job: &PlacedJob| {
@@ -263,7 +263,7 @@
 fn jobs_on(cx: &Cx, shard: &Shard, worker: &WorkerId) -> Vec<PlacedJob> {
     let now = cx.clock.now();
     let placed_job = |(job, placement): (JobId, Placement)| {
-        let sent = shard.session(worker, |session| session.sent(&job, placement.attempt));
+        let sent = shard.session(worker, |session| session.lease(&job, placement.attempt));
         let saved_at = sent.flatten().and_then(|sent| sent.checkpointed_at);
         Some(PlacedJob {
             entry: shard.job(&job)?.entry,
@@ -279,7 +279,7 @@
 
 /// Largest slowdown that each job adds to any of the measured latency-critical entries.
 fn added_slowdowns(
-    pressure: &mut Pressure,
+    mitigation: &mut MitigationState,
     jobs: &[PlacedJob],
     usage: &Usage,
     at: Millis,
@@ -289,13 +289,13 @@
         .iter()
         .filter_map(|r| EntryName::try_from(r.entry.as_str()).ok());
     let serving_kinds: Vec<Kind> = names
-        .map(|name| pressure.interference.kind(&name))
+        .map(|name| mitigation.interference.kind(&name))
         .collect();
     let harm = |placed_job: &PlacedJob| {
-        let kind = pressure.interference.kind(&placed_job.entry);
+        let kind = mitigation.interference.kind(&placed_job.entry);
         let added = serving_kinds
             .iter()
-            .map(|service| pressure.interference.added(*service, kind, at));
+            .map(|service| mitigation.interference.added(*service, kind, at));
         added.fold(0.0, f64::max)
     };
     jobs.iter().map(harm).collect()
@@ -326,8 +326,8 @@
         // available.
         MitigationStep::Evict(job) if shard.can_write(cx) => {
             let now = cx.clock.now();
-            shard.pressure.borrow_mut().memory.note(&job, worker, now);
-            visits::stop_running(cx, shard, worker, address, &job);
+            shard.mitigation.borrow_mut().memory.note(&job, worker, now);
+            polls::stop_running(cx, shard, worker, address, &job);
         }
         MitigationStep::Evict(_) => {}
     }
@@ -362,7 +362,7 @@
     let pool = shard.sessions.borrow().len();
     let now = cx.clock.now();
     let verdict = shard
-        .pressure
+        .mitigation
         .borrow_mut()
         .health
         .failed(worker, job, entry, pool, now);
@@ -381,7 +381,7 @@
 /// Records that a task succeeded on a worker.
 pub fn note_success(shard: &Shard, worker: &WorkerId, job: &JobId, entry: &EntryName) {
     shard
-        .pressure
+        .mitigation
         .borrow_mut()
         .health
         .succeeded(worker, job, entry);
@@ -395,10 +395,10 @@
         *counts.entry(&job.entry).or_insert(0_u32) += 1;
     }
     let catalogue = cx.catalogue.borrow();
-    let mut pressure = shard.pressure.borrow_mut();
+    let mut mitigation = shard.mitigation.borrow_mut();
     let running_kind = |(entry, count)| RunningKind {
         neighbour: Neighbour {
-            kind: pressure.interference.kind(entry),
+            kind: mitigation.interference.kind(entry),
             count,
         },
         class: catalogue
--- a/src/lapisdrum/daemon/mod.rs
+++ b/src/lapisdrum/daemon/mod.rs
@@ -15,9 +15,10 @@
 pub mod listing;
 pub mod members;
 pub mod metrics;
+pub mod mitigation;
 pub mod observer;
 pub mod peers;
-pub mod pressure;
+pub mod polls;
 pub mod proposals;
 pub mod queue;
 pub mod registrar;
@@ -31,7 +32,6 @@
 pub mod status;
 pub mod supervisor;
 pub mod upkeep;
-pub mod visits;
 
 use crate::{
     core::{
--- a/src/lapisdrum/daemon/visits.rs
+++ b/src/lapisdrum/daemon/polls.rs
@@ -9,7 +9,7 @@
     Cx,
     evictions::{self, note_end, note_eviction},
     journal::{Urgency, WriteOutcome},
-    pressure, sessions,
+    mitigation, sessions,
     shard::Shard,
     supervisor,
 };
@@ -46,7 +46,7 @@
                 });
             }
         }
-        evictions::forget_gone_hosts(cx, shard);
+        evictions::evict_from_removed_hosts(cx, shard);
         tokio::time::sleep(cx.cfg.shards.task_renew).await;
     }
 }
@@ -99,7 +99,7 @@
             }
         }
         CommandOutcome::Rejected(..) => note_rejected(shard, worker),
-        CommandOutcome::Unanswered(_) => evictions::give_up_silent(cx, shard, worker, &verifiable),
+        CommandOutcome::Unanswered(_) => evictions::evict_expired(cx, shard, worker, &verifiable),
     }
     shard.session(worker, |session| session.poll_in_flight = false);
 }
@@ -150,7 +150,7 @@
         worker: worker.clone(),
         epoch: shard.epoch,
     });
-    shard.placement.notify_one();
+    shard.placement_notify.notify_one();
 }
 
 /// Reconciles the ledger with the tasks that a worker reports. A complete list also revokes the
@@ -190,7 +190,7 @@
     }
     let reported: IndexSet<&JobId> = list.tasks.iter().map(|s| &s.task).collect();
     for (job, placement) in verifiable.iter().filter(|(job, _)| !reported.contains(job)) {
-        evictions::unplace(cx, shard, job, placement, "worker has stopped it");
+        evictions::revoke_placement(cx, shard, job, placement, "worker has stopped it");
     }
 }
 
@@ -232,7 +232,7 @@
     let ended = list.tasks.iter().filter(|s| s.state != TaskState::Running);
     let ended: IndexSet<&JobId> = ended.map(|status| &status.task).collect();
     let is_due = |task: &JobId, placement: &Placement| {
-        let sent = shard.session(worker, |session| session.sent(task, placement.attempt));
+        let sent = shard.session(worker, |session| session.lease(task, placement.attempt));
         let is_reported = sent.flatten().is_some_and(|sent| sent.is_reported);
         let is_running =
             is_reported && !ended.contains(task) && !shard.journal.has_pending_event(task);
@@ -314,7 +314,7 @@
     }
     let now = cx.clock.now();
     let due = shard.session(worker, |session| {
-        let sent = session.sent.get_mut(&status.task)?;
+        let sent = session.leases.get_mut(&status.task)?;
         let is_due = sent
             .checkpointed_at
             .is_none_or(|at| now.since(at) >= cx.cfg.shards.checkpoint);
@@ -335,7 +335,7 @@
 ) -> Event {
     let entry = cx.catalogue.borrow().entry(&job.entry);
     let max_failures = entry.map_or(1, |entry| entry.max_failures);
-    let is_at_fault = pressure::note_failure(cx, shard, worker, &status.task, &job.entry);
+    let is_at_fault = mitigation::note_failure(cx, shard, worker, &status.task, &job.entry);
     if job.failures + 1 < max_failures && !is_at_fault {
         return Event::AttemptFailed {
             job: status.task.clone(),
@@ -365,7 +365,7 @@
                 if *end == JobEnd::Done
                     && let Some(known) = shard.job(job)
                 {
-                    pressure::note_success(shard, worker, job, &known.entry);
+                    mitigation::note_success(shard, worker, job, &known.entry);
                 }
                 note_end(cx, job, end);
             }
@@ -378,7 +378,7 @@
         shard.session(worker, |session| {
             session.forget(&status.task, status.attempt);
         });
-        pressure::note_history(cx, shard, worker);
+        mitigation::note_history(cx, shard, worker);
         stop_tasks(cx, shard, worker, address, vec![status.task.clone()]);
     }
 }
@@ -417,7 +417,7 @@
         .filter(|task| mark_stopping(shard, worker, task))
         .collect();
     if to_stop.is_empty() {
-        shard.placement.notify_one();
+        shard.placement_notify.notify_one();
         return;
     }
     let (cx, shard) = (Rc::clone(cx), Rc::clone(shard));
@@ -427,7 +427,7 @@
             let _ = cx.workers.stop(&address, task, shard.epoch).await;
             unmark_stopping(&shard, &worker, task);
         }
-        shard.placement.notify_one();
+        shard.placement_notify.notify_one();
     });
 }
 
--- a/src/lapisdrum/daemon/sessions.rs
+++ b/src/lapisdrum/daemon/sessions.rs
@@ -16,7 +16,7 @@
 
 /// The last lease sent for an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Sent {
+pub struct SentLease {
     /// The attempt. A late report on an earlier one must not change this entry.
     pub attempt: Attempt,
     /// Latest possible end of the lease, on this daemon's clock.
@@ -45,14 +45,14 @@
     /// Since when its host has been leaving; `None` if it is not.
     pub leaving_since: Option<Millis>,
     /// Until when it gets no new tasks, because it refused one.
-    pub no_room_until: Millis,
+    pub no_capacity_until: Millis,
     /// The reading of its clock, in milliseconds, as of which all of its tasks are known; 0 before
     /// the first list.
     pub known_ms: u64,
     /// When it last sent a complete list of its tasks.
     pub complete_list_at: Millis,
     /// The last lease sent for each task.
-    pub sent: IndexMap<JobId, Sent>,
+    pub leases: IndexMap<JobId, SentLease>,
     /// Tasks with a stop in flight. If such a task were started there again, that stop could end
     /// it.
     pub stopping: IndexSet<JobId>,
@@ -61,13 +61,13 @@
 impl Session {
     /// Whether new tasks may be sent to the worker at `now`.
     pub fn takes_tasks(&self, now: Millis) -> bool {
-        self.claimed && self.silent_since.is_none() && self.no_room_until <= now
+        self.claimed && self.silent_since.is_none() && self.no_capacity_until <= now
     }
 
     /// The last lease sent for this attempt; `None` if there is none, or only one for another
     /// attempt.
-    pub fn sent(&self, job: &JobId, attempt: Attempt) -> Option<Sent> {
-        self.sent
+    pub fn lease(&self, job: &JobId, attempt: Attempt) -> Option<SentLease> {
+        self.leases
             .get(job)
             .copied()
             .filter(|sent| sent.attempt == attempt)
@@ -75,7 +75,7 @@
 
     /// Records that the worker has reported an attempt.
     pub fn note_reported(&mut self, job: &JobId, attempt: Attempt) {
-        if let Some(sent) = self.sent.get_mut(job)
+        if let Some(sent) = self.leases.get_mut(job)
             && sent.attempt == attempt
         {
             sent.is_reported = true;
@@ -84,8 +84,8 @@
 
     /// Removes the lease of an attempt that has ended; that of another attempt stays.
     pub fn forget(&mut self, job: &JobId, attempt: Attempt) {
-        if self.sent(job, attempt).is_some() {
-            self.sent.swap_remove(job);
+        if self.lease(job, attempt).is_some() {
+            self.leases.swap_remove(job);
         }
     }
 }
@@ -108,7 +108,7 @@
     let lease_end = latest_lease_end(cx);
     let placed = placements_on(shard, worker).into_iter();
     let sent = placed.map(|(job, placement)| {
-        let sent = Sent {
+        let sent = SentLease {
             attempt: placement.attempt,
             lease_end,
             is_reported: false,
@@ -118,7 +118,7 @@
     });
     let session = Session {
         address: address.to_owned(),
-        sent: sent.collect(),
+        leases: sent.collect(),
         ..Session::default()
     };
     shard.sessions.borrow_mut().insert(worker.clone(), session);
@@ -155,7 +155,7 @@
     let sessions = shard.sessions.borrow();
     let session = sessions.get(worker);
     let is_verifiable = |job: &JobId, placement: &Placement| {
-        let sent = session.and_then(|session| session.sent(job, placement.attempt));
+        let sent = session.and_then(|session| session.lease(job, placement.attempt));
         placement.epoch < shard.epoch
             || sent.is_some_and(|sent| sent.is_reported || sent.lease_end < now)
     };
@@ -197,7 +197,7 @@
     let placed = placements_on(shard, worker).into_iter();
     let exception_for = |(task, placement): (JobId, Placement)| {
         let attempt = placement.attempt;
-        let sent = shard.session(worker, |session| session.sent(&task, attempt))?;
+        let sent = shard.session(worker, |session| session.lease(&task, attempt))?;
         // Until the worker reports a start sent by this owner, the lease of the start applies. If
         // it were renewed, a start that never arrived would seem to run for ever.
         if placement.epoch == shard.epoch && !sent.is_some_and(|sent| sent.is_reported) {
@@ -237,7 +237,7 @@
     let known = shard.session(worker, |session| {
         let is_reported = |(job, placement): (&JobId, &Placement)| {
             session
-                .sent(job, placement.attempt)
+                .lease(job, placement.attempt)
                 .is_some_and(|sent| sent.is_reported)
         };
         let is_due = now.since(session.complete_list_at) >= COMPLETE_LIST_INTERVAL;
@@ -283,14 +283,14 @@
     let until = fencing::end_on_worker(reading, end, terms)?;
     let lease_end = fencing::own_lease_end(now, cx.cfg.shards.task_lease, terms);
     shard.session(worker, |session| {
-        let previous = session.sent(task, attempt);
-        let sent = Sent {
+        let previous = session.lease(task, attempt);
+        let sent = SentLease {
             attempt,
             lease_end,
             is_reported: previous.is_some_and(|sent| sent.is_reported),
             checkpointed_at: previous.and_then(|sent| sent.checkpointed_at),
         };
-        session.sent.insert(task.clone(), sent);
+        session.leases.insert(task.clone(), sent);
     });
     Some(until.0)
 }
--- a/src/lapisdrum/daemon/shard.rs
+++ b/src/lapisdrum/daemon/shard.rs
@@ -3,10 +3,10 @@
 use super::{
     Cx,
     journal::{Journal, ProposeError, Ticket, Urgency, WriteOutcome},
-    pressure::{self, Pressure},
-    registrar,
+    mitigation::{self, MitigationState},
+    polls, registrar,
     sessions::Session,
-    snapshots, starts, supervisor, upkeep, visits,
+    snapshots, starts, supervisor, upkeep,
 };
 use crate::{
     core::{
@@ -51,9 +51,9 @@
     /// When each earlier owner that did not release the shard was found to have ended.
     pub owners_gone: RefCell<IndexMap<Epoch, Millis>>,
     /// Interference estimates, health of workers and jobs, and the state of mitigation.
-    pub pressure: RefCell<Pressure>,
+    pub mitigation: RefCell<MitigationState>,
     /// Notified when a waiting job may have become placeable.
-    pub placement: Notify,
+    pub placement_notify: Notify,
     row: RefCell<(u64, ShardRow)>,
     /// The row of a renewal whose reply was lost, and when it was first sent.
     unconfirmed: RefCell<Option<(ShardRow, Millis)>>,
@@ -80,8 +80,8 @@
             sessions: RefCell::default(),
             grant_rounds: RefCell::default(),
             owners_gone: RefCell::default(),
-            pressure: RefCell::default(),
-            placement: Notify::new(),
+            mitigation: RefCell::default(),
+            placement_notify: Notify::new(),
             row: RefCell::new((row_version, row)),
             unconfirmed: RefCell::default(),
             tenure: Cell::new(tenure),
@@ -152,7 +152,7 @@
     pub fn mark_lost(&self) {
         self.journal.stop();
         self.lost.send_replace(true);
-        self.placement.notify_one();
+        self.placement_notify.notify_one();
     }
 
     /// Prepares a release: stops starts and renewals, and writes the owner's last event. If it
@@ -251,10 +251,10 @@
     });
     log::info!("shard {} is served at epoch {}", shard.id, shard.epoch);
     futures::join!(
-        visits::poll_workers(cx, shard),
+        polls::poll_workers(cx, shard),
         starts::place_jobs(cx, shard),
         upkeep::run(cx, shard),
-        pressure::watch(cx, shard)
+        mitigation::watch(cx, shard)
     );
     // The shard is being released; its last event may still be in flight.
     std::future::pending().await
--- a/src/lapisdrum/daemon/shares.rs
+++ b/src/lapisdrum/daemon/shares.rs
@@ -255,7 +255,7 @@
         Party::Daemon(_) => cx.line.wake(),
         Party::Shard(id) => {
             if let Some(shard) = cx.shards.borrow().get(id) {
-                shard.placement.notify_one();
+                shard.placement_notify.notify_one();
             }
         }
     }
--- a/src/lapisdrum/daemon/starts.rs
+++ b/src/lapisdrum/daemon/starts.rs
@@ -7,10 +7,10 @@
 
 use super::{
     Cx,
-    evictions::unplace,
+    evictions::revoke_placement,
     grants,
     journal::{Urgency, WriteOutcome},
-    limits, pressure, sessions,
+    limits, mitigation, sessions,
     shard::Shard,
     supervisor,
 };
@@ -50,7 +50,7 @@
         place_waiting(cx, shard);
         tokio::time::sleep(MIN_PASS_INTERVAL).await;
         tokio::select! {
-            () = shard.placement.notified() => {}
+            () = shard.placement_notify.notified() => {}
             () = tokio::time::sleep(MAX_PASS_INTERVAL) => {}
         }
     }
@@ -96,7 +96,7 @@
     }
     for turn in &mut turns {
         put_back(shard, turn);
-        shard.placement.notify_one();
+        shard.placement_notify.notify_one();
     }
 }
 
@@ -106,7 +106,7 @@
     // Accepted jobs still finish after their entry was removed from the catalogue.
     let class = entry.as_ref().map_or(Class::Batch, |entry| entry.class);
     let limit = entry.map_or(u32::MAX, |entry| limits::job_limit(cx, shard, &entry));
-    let kind = shard.pressure.borrow_mut().interference.kind(&name);
+    let kind = shard.mitigation.borrow_mut().interference.kind(&name);
     Turn {
         entry: name,
         kind,
@@ -176,16 +176,16 @@
     candidates: &[CandidateHost<'_>],
     (job, size): (&JobId, Size),
 ) -> Option<usize> {
-    let (pressure, now) = (shard.pressure.borrow(), cx.clock.now());
+    let (mitigation, now) = (shard.mitigation.borrow(), cx.clock.now());
     let index = shard.journal.index();
     let is_open = |candidate: &CandidateHost<'_>| {
         let is_empty = index.on_worker(candidate.worker).next().is_none();
-        pressure.may_place(job, turn.class, candidate.worker, is_empty, now)
+        mitigation.may_place(job, turn.class, candidate.worker, is_empty, now)
     };
     let mut open: Vec<usize> = (0..candidates.len())
         .filter(|i| is_open(&candidates[*i]))
         .collect();
-    let has_not_failed = |i: &usize| !pressure.health.has_failed_on(job, candidates[*i].worker);
+    let has_not_failed = |i: &usize| !mitigation.health.has_failed_on(job, candidates[*i].worker);
     // Prefer workers on which the job has not failed; use the others only when there is no choice.
     if open.iter().any(has_not_failed) {
         open.retain(has_not_failed);
@@ -197,7 +197,7 @@
         entry_tasks_placed: turn.placed,
     };
     let views: Vec<CandidateHost<'_>> = open.iter().map(|i| candidates[*i]).collect();
-    let known = &pressure.interference;
+    let known = &mitigation.interference;
     let chosen = placement::choose(&views, &to_place, known, now, &mut rand::rng())?;
     Some(open[chosen])
 }
@@ -263,7 +263,7 @@
             rack: host.rack.clone(),
             capacity: host.capacity,
             free: host.capacity.minus(&committed.size).minus(&reserved),
-            running_kinds: pressure::running_kinds(cx, shard, &host.worker),
+            running_kinds: mitigation::running_kinds(cx, shard, &host.worker),
         }
     };
     hosts.map(open).collect()
@@ -275,7 +275,7 @@
         // Nothing was sent. If the ledger can't accept the eviction now, the next poll of the
         // worker finds an expired lease.
         note_unsent(cx, shard, job, placement);
-        unplace(cx, shard, job, placement, "no right to start it");
+        revoke_placement(cx, shard, job, placement, "no right to start it");
         return;
     };
     cx.timeline.record(Happening::TaskPlaced {
@@ -288,7 +288,7 @@
             shard.session(worker, |session| {
                 session.note_reported(job, placement.attempt);
             });
-            pressure::note_history(cx, shard, worker);
+            mitigation::note_history(cx, shard, worker);
             cx.metrics.task_starts.inc();
             cx.timeline.record(Happening::TaskStarted {
                 job: job.clone(),
@@ -299,10 +299,10 @@
         CommandOutcome::Rejected(reason, ..) => {
             if reason == RejectReason::NoRoom {
                 let until = cx.clock.now() + NO_ROOM_BACKOFF;
-                shard.session(worker, |session| session.no_room_until = until);
+                shard.session(worker, |session| session.no_capacity_until = until);
             }
             let reason = format!("worker rejected it: {reason:?}");
-            unplace(cx, shard, job, placement, &reason);
+            revoke_placement(cx, shard, job, placement, &reason);
         }
         // The task may run. The next polls resolve it, or its lease expires.
         CommandOutcome::Unanswered(_) => {}
@@ -310,15 +310,15 @@
 }
 
 fn note_unsent(cx: &Cx, shard: &Shard, job: &JobId, placement: &Placement) {
-    let sent = sessions::Sent {
+    let sent = sessions::SentLease {
         attempt: placement.attempt,
         lease_end: cx.clock.now(),
         is_reported: false,
         checkpointed_at: None,
     };
     shard.session(&placement.worker, |session| {
-        if session.sent(job, placement.attempt).is_none() {
-            session.sent.insert(job.clone(), sent);
+        if session.lease(job, placement.attempt).is_none() {
+            session.leases.insert(job.clone(), sent);
         }
     });
 }
