--- a/crates/lapisdrum-load/src/policy/daemon.rs
+++ b/crates/lapisdrum-load/src/policy/daemon.rs
@@ -281,7 +281,8 @@
         let (headroom, slots) = (&self.headroom, self.slots * to_u32(self.workers.len()));
         let may_start = |entry: &_, _: &_| {
             let index = streams.iter().position(|stream| stream.entry == *entry);
-            index.is_some_and(|i| admission.has_room(&admission_request(&streams[i], shares[i])))
+            index
+                .is_some_and(|i| admission.has_capacity(&admission_request(&streams[i], shares[i])))
                 && headroom.may_start(entry, slots, now)
         };
         let taken: (Ticket, Item, Request) = self.queue.next(now, may_start)?;
--- a/src/lapisdrum/daemon/grants.rs
+++ b/src/lapisdrum/daemon/grants.rs
@@ -74,7 +74,7 @@
     {
         let (floors, targets) = (by_worker(floors), by_worker(targets));
         cx.floors.borrow_mut().adopt(epoch, &floors, &targets);
-        cx.line.wake();
+        cx.request_queue.wake();
     }
 }
 
@@ -120,7 +120,7 @@
 
 /// Returns all floors at a graceful shutdown. If the drain was cut short, workers may still be
 /// running requests; the floors are then kept, and voided by the owner after the longest deadline.
-pub async fn give_back(cx: &Cx) {
+pub async fn release_all(cx: &Cx) {
     let nothing = Grant::default();
     let is_used = cx
         .floors
@@ -250,7 +250,7 @@
     let percent = cx.cfg.shards.request_share_percent;
     staying
         .map(|(i, host)| {
-            let share = grants::even_part(&full_capacity(host), percent, rank + i, live.len());
+            let share = grants::even_share(&full_capacity(host), percent, rank + i, live.len());
             (host.worker.clone(), share)
         })
         .collect()
--- a/src/lapisdrum/daemon/limits.rs
+++ b/src/lapisdrum/daemon/limits.rs
@@ -9,7 +9,7 @@
 
 /// Jobs of an entry that this shard may have placed at once.
 pub fn job_limit(cx: &Cx, shard: &Shard, entry: &Entry) -> u32 {
-    shares::of_shard(cx, entry, shard)
+    shares::shard_limit(cx, entry, shard)
 }
 
 /// Jobs of an entry that may wait in this shard.
@@ -25,12 +25,12 @@
     }
     all.sort();
     let rank = all.iter().position(|id| **id == shard.id);
-    even_part(limit, to_u32(rank.unwrap_or_default()), to_u32(all.len()))
+    even_share(limit, to_u32(rank.unwrap_or_default()), to_u32(all.len()))
 }
 
 /// The even share of `limit` for `rank` (from 0) out of `count`. The remainder goes to the lowest
 /// ranks, one each.
-pub fn even_part(limit: u32, rank: u32, count: u32) -> u32 {
+pub fn even_share(limit: u32, rank: u32, count: u32) -> u32 {
     let count = count.max(1);
     limit / count + u32::from(rank < limit % count)
 }
--- a/src/lapisdrum/daemon/mod.rs
+++ b/src/lapisdrum/daemon/mod.rs
@@ -93,16 +93,16 @@
     /// Incarnations of other daemons, and which of them have ended.
     pub departures: peers::Departures,
     /// Peers that recently did not serve a request spilled to them.
-    pub full_peers: spill::FullPeers,
+    pub unavailable_peers: spill::UnavailablePeers,
     /// Shares of the entries' limits that this daemon and its shards hold.
-    pub shares: shares::Held,
+    pub shares: shares::HeldShares,
     /// Claims on request ids that this daemon serves, and the shards that store claims.
     pub claims: claims::Claims,
     /// Cloned by each request in flight, also if its caller has disconnected; the strong count less
     /// one is their number.
     pub in_flight: Rc<()>,
     /// Queued requests, with the state of the routing, headroom and retry policies.
-    pub line: queue::Line,
+    pub request_queue: queue::RequestQueue,
     /// Requests admitted and not yet answered.
     pub admission: RefCell<crate::policy::admission::Admission>,
     /// Whether a catalogue at least as new as any in force when this daemon started is in force.
@@ -152,11 +152,11 @@
             shards: RefCell::default(),
             floors: RefCell::default(),
             departures: peers::Departures::default(),
-            full_peers: spill::FullPeers::default(),
-            shares: shares::Held::default(),
+            unavailable_peers: spill::UnavailablePeers::default(),
+            shares: shares::HeldShares::default(),
             claims: claims::Claims::default(),
             in_flight: Rc::default(),
-            line: queue::Line::default(),
+            request_queue: queue::RequestQueue::default(),
             admission: RefCell::default(),
             catalogue_ready: Cell::new(false),
             draining: watch::Sender::new(false),
@@ -235,8 +235,8 @@
     supervisor.stop("queue");
     supervisor.stop("shares");
     let release = async {
-        shares::give_back(cx).await;
-        grants::give_back(cx).await;
+        shares::release_all(cx).await;
+        grants::release_all(cx).await;
         registrar::release_all(cx).await;
     };
     if tokio::time::timeout(RELEASE_TIMEOUT, release)
--- a/src/lapisdrum/daemon/queue.rs
+++ b/src/lapisdrum/daemon/queue.rs
@@ -33,7 +33,7 @@
 
 /// The queue of waiting requests, with the state of its routing, headroom and retry policies.
 #[derive(Debug, Default)]
-pub struct Line {
+pub struct RequestQueue {
     queue: RefCell<Queue<Waiting>>,
     routing: RefCell<Routing>,
     headroom: RefCell<Headroom>,
@@ -54,7 +54,7 @@
     Refused(Refusal),
 }
 
-impl Line {
+impl RequestQueue {
     /// Wakes the task that evaluates the queue.
     pub fn wake(&self) {
         self.wakeup.notify_one();
@@ -116,13 +116,13 @@
     /// Reserves capacity for a request. `None` when no worker or limit allows it.
     pub fn take(cx: &Cx, entry: &Entry) -> Option<Self> {
         let (worker, address) = choose_worker(cx, entry)?;
-        let share = shares::of_daemon(cx, entry);
+        let share = shares::daemon_claim(cx, entry);
         if !cx.admission.borrow_mut().start(&share) {
             return None;
         }
         cx.floors.borrow_mut().take(&worker, &entry.size);
         let now = cx.clock.now();
-        let routing = &cx.line.routing;
+        let routing = &cx.request_queue.routing;
         routing.borrow_mut().note_sent(&worker, &entry.name, now);
         note_demand(cx, &entry.name, entry.priority);
         Some(Self {
@@ -142,7 +142,7 @@
     pub fn note_end(&self, end: SendOutcome) {
         let pool = self.cx.floors.borrow().held.len();
         let now = self.cx.clock.now();
-        let mut routing = self.cx.line.routing.borrow_mut();
+        let mut routing = self.cx.request_queue.routing.borrow_mut();
         if routing.note_outcome(&self.worker, &self.entry, self.sent_at, end, pool, now) {
             log::warn!("worker {} is ejected from request routing", self.worker);
             self.cx.timeline.record(Happening::WorkerSetAside {
@@ -168,7 +168,7 @@
         floors.borrow_mut().release(&self.worker, &self.size);
         admission.borrow_mut().finish(&self.entry, &self.owner);
         note_demand(&self.cx, &self.entry, self.weight);
-        self.cx.line.wake();
+        self.cx.request_queue.wake();
     }
 }
 
@@ -187,7 +187,7 @@
     let outcome = tokio::select! {
         outcome = &mut rx => outcome,
         () = caller_gone => {
-            cx.line.queue.borrow_mut().remove(ticket, cx.clock.now());
+            cx.request_queue.queue.borrow_mut().remove(ticket, cx.clock.now());
             note_demand(cx, &entry.name, entry.priority);
             // A reservation that was sent at the same time is dropped with the channel.
             return Err(busy(Duration::ZERO));
@@ -211,14 +211,18 @@
     deadline: Millis,
     outcome: oneshot::Sender<WaitOutcome>,
 ) -> Result<Ticket, Refusal> {
-    let run = cx.line.routing.borrow().usual_duration(&entry.name);
+    let run = cx
+        .request_queue
+        .routing
+        .borrow()
+        .usual_duration(&entry.name);
     let item = Item {
         entry: entry.name.clone(),
         owner: entry.owner.clone(),
         caller,
         class: entry.class,
         weight: entry.priority,
-        max_waiting: shares::of_daemon(cx, entry).share.queue,
+        max_waiting: shares::daemon_claim(cx, entry).share.queue,
         expected_run: run.unwrap_or_default(),
         deadline: Some(deadline),
     };
@@ -227,7 +231,7 @@
         outcome,
     };
     let now = cx.clock.now();
-    let mut queue = cx.line.queue.borrow_mut();
+    let mut queue = cx.request_queue.queue.borrow_mut();
     match queue.enqueue(item, waiting, now, &mut rand::rng()) {
         EnqueueOutcome::Waiting { ticket, displaced } => {
             if let Some(displaced) = displaced {
@@ -254,9 +258,9 @@
 /// for shorter ones.
 fn note_demand(cx: &Cx, entry: &EntryName, weight: u32) {
     let running = cx.admission.borrow().running(entry);
-    let waiting = cx.line.waiting_of(entry);
-    let run = cx.line.routing.borrow().usual_duration(entry);
-    let mut headroom = cx.line.headroom.borrow_mut();
+    let waiting = cx.request_queue.waiting_of(entry);
+    let run = cx.request_queue.routing.borrow().usual_duration(entry);
+    let mut headroom = cx.request_queue.headroom.borrow_mut();
     let now = cx.clock.now();
     headroom.note(
         entry,
@@ -284,9 +288,9 @@
                 let mut may_start_cache = may_start_cache.borrow_mut();
                 *may_start_cache
                     .entry(entry.clone())
-                    .or_insert_with(|| has_headroom(cx, entry, slots) && has_room(cx, entry))
+                    .or_insert_with(|| has_headroom(cx, entry, slots) && has_capacity(cx, entry))
             };
-            let mut queue = cx.line.queue.borrow_mut();
+            let mut queue = cx.request_queue.queue.borrow_mut();
             queue.next(cx.clock.now(), may_start)
         };
         let Some((_, _, waiting)) = next else {
@@ -294,7 +298,7 @@
         };
         let outcome = match Reservation::take(cx, &waiting.entry) {
             Some(reservation) => WaitOutcome::Start(reservation),
-            None => WaitOutcome::Refused(busy(cx.line.retry_after(cx.clock.now()))),
+            None => WaitOutcome::Refused(busy(cx.request_queue.retry_after(cx.clock.now()))),
         };
         // When the caller has disconnected, the reservation is dropped here, which wakes the queue.
         let _ = waiting.outcome.send(outcome);
@@ -302,21 +306,21 @@
 }
 
 fn has_headroom(cx: &Cx, entry: &EntryName, slots: u32) -> bool {
-    let headroom = cx.line.headroom.borrow();
+    let headroom = cx.request_queue.headroom.borrow();
     headroom.may_start(entry, slots, cx.clock.now())
 }
 
 /// Whether a request of an entry would start at once: there is capacity, and no request of the
 /// entry is waiting.
 pub fn can_start_now(cx: &Cx, entry: &EntryName) -> bool {
-    cx.line.waiting_of(entry) == 0 && has_room(cx, entry)
+    cx.request_queue.waiting_of(entry) == 0 && has_capacity(cx, entry)
 }
 
-fn has_room(cx: &Cx, entry: &EntryName) -> bool {
+fn has_capacity(cx: &Cx, entry: &EntryName) -> bool {
     let entry = cx.catalogue.borrow().entry(entry);
     entry.is_some_and(|entry| {
-        let share = shares::of_daemon(cx, &entry);
-        cx.admission.borrow().has_room(&share)
+        let share = shares::daemon_claim(cx, &entry);
+        cx.admission.borrow().has_capacity(&share)
             && with_candidates(cx, &entry, 1, |candidates| !candidates.is_empty())
     })
 }
@@ -327,7 +331,7 @@
     loop {
         let now = cx.clock.now();
         let expired = {
-            let mut queue = cx.line.queue.borrow_mut();
+            let mut queue = cx.request_queue.queue.borrow_mut();
             queue.expire(now, &mut rand::rng())
         };
         for expired in expired {
@@ -340,29 +344,29 @@
             cleaned_up_at = now;
             remove_stale(&cx, now);
         }
-        let next = cx.line.queue.borrow().next_expiry();
+        let next = cx.request_queue.queue.borrow().next_expiry();
         let delay = next.map_or(MAX_POLL_INTERVAL, |at| at.since(now).min(MAX_POLL_INTERVAL));
         tokio::select! {
             () = tokio::time::sleep(delay) => {}
-            () = cx.line.wakeup.notified() => {}
+            () = cx.request_queue.wakeup.notified() => {}
         }
     }
 }
 
 fn remove_stale(cx: &Cx, now: Millis) {
     cx.admission.borrow_mut().forget_idle(now);
-    cx.line.headroom.borrow_mut().forget_idle(now);
+    cx.request_queue.headroom.borrow_mut().forget_idle(now);
     let members = cx.members.borrow();
-    let mut routing = cx.line.routing.borrow_mut();
+    let mut routing = cx.request_queue.routing.borrow_mut();
     routing.retain(|worker| members.hosts.contains_key(worker));
     let catalogue = cx.catalogue.borrow();
-    let mut retries = cx.line.retries.borrow_mut();
+    let mut retries = cx.request_queue.retries.borrow_mut();
     retries.retain(|entry, _| catalogue.rows.contains_key(entry));
 }
 
 /// Charges a request to the rate limits of its entry and owner.
 pub fn admit(cx: &Cx, entry: &Entry) -> Result<(), Refusal> {
-    let admission_request: AdmissionRequest<'_> = shares::of_daemon(cx, entry);
+    let admission_request: AdmissionRequest<'_> = shares::daemon_claim(cx, entry);
     let mut admission = cx.admission.borrow_mut();
     let admitted = admission.admit(&admission_request, cx.clock.now());
     admitted.map_err(|denied| Refusal::OverLimit {
@@ -386,8 +390,8 @@
     let members = cx.members.borrow();
     let floors = cx.floors.borrow();
     let daemons = to_u32(members.daemons.len()).max(1);
-    let has_room = |worker: &WorkerId, used: u32| {
-        floors.has_room(worker, &entry.size)
+    let has_capacity = |worker: &WorkerId, used: u32| {
+        floors.has_capacity(worker, &entry.size)
             && members.hosts.get(worker).is_some_and(|host| {
                 !host.leaving && used < connection_share(cx, host.connections, daemons)
             })
@@ -395,7 +399,7 @@
     let count = floors.held.len();
     let start = rand::random_range(0..count.max(1));
     let rotated = floors.held.iter().cycle().skip(start).take(count);
-    let with_room = rotated.filter(|(worker, floor)| has_room(worker, floor.used.slots));
+    let with_room = rotated.filter(|(worker, floor)| has_capacity(worker, floor.used.slots));
     let candidates: Vec<Candidate<'_>> = with_room
         .take(limit)
         .map(|(worker, floor)| Candidate {
@@ -419,7 +423,7 @@
 
 fn choose_worker(cx: &Cx, entry: &Entry) -> Option<(WorkerId, String)> {
     let worker = with_candidates(cx, entry, MAX_CANDIDATES, |candidates| {
-        let routing = cx.line.routing.borrow();
+        let routing = cx.request_queue.routing.borrow();
         let chosen = routing.choose(candidates, cx.clock.now(), &mut rand::rng())?;
         Some(candidates[chosen].worker.clone())
     })?;
--- a/src/lapisdrum/daemon/router.rs
+++ b/src/lapisdrum/daemon/router.rs
@@ -306,7 +306,7 @@
         reservation.note_end(routing_end(&end));
         let failure = match end {
             RequestOutcome::Answered(answer) => {
-                cx.line.note_success(&entry.name);
+                cx.request_queue.note_success(&entry.name);
                 return RunEnd::Done(id, answer);
             }
             RequestOutcome::Unsent(_) | RequestOutcome::NotRun(_) => {
@@ -319,11 +319,11 @@
                 Failure::Unknown
             }
         };
-        let may_retry = cx.line.try_retry(entry, failure);
+        let may_retry = cx.request_queue.try_retry(entry, failure);
         next = may_retry.then(|| Reservation::take(cx, entry)).flatten();
     }
     let refusal = Refusal::Busy {
-        retry_after: cx.line.retry_after(cx.clock.now()),
+        retry_after: cx.request_queue.retry_after(cx.clock.now()),
     };
     refused_or_unknown(cx, id, refusal, unknown_reason)
 }
--- a/src/lapisdrum/daemon/shares.rs
+++ b/src/lapisdrum/daemon/shares.rs
@@ -12,7 +12,7 @@
     policy::admission::{self, AdmissionRequest, Share},
     state::{
         ownership::Holder,
-        shares::{Allowed, Look, Party, Shares},
+        shares::{Party, PartyView, Shares, UsableShare},
     },
     store::{client::TxnOutcome, wire::Txn},
 };
@@ -28,7 +28,7 @@
 
 /// Shares of the entries' limits that this daemon and its shards hold.
 #[derive(Debug, Default)]
-pub struct Held {
+pub struct HeldShares {
     requests: RefCell<IndexMap<EntryName, OwnShare>>,
     /// Keyed by shard and epoch: an owner between two of ours may have lowered the share.
     jobs: RefCell<IndexMap<(ShardId, Epoch, EntryName), OwnShare>>,
@@ -39,7 +39,7 @@
 
 #[derive(Clone, Copy, Debug, Default)]
 struct OwnShare {
-    allowed: Allowed,
+    allowed: UsableShare,
     demand: f64,
 }
 
@@ -48,7 +48,7 @@
 }
 
 /// The limits that a request of an entry counts against at this daemon.
-pub fn of_daemon<'a>(cx: &Cx, entry: &'a Entry) -> AdmissionRequest<'a> {
+pub fn daemon_claim<'a>(cx: &Cx, entry: &'a Entry) -> AdmissionRequest<'a> {
     let (daemons, rank) = cx.shares.count_and_rank.get();
     let even = admission::divide(&entry.limits, daemons, rank);
     let own = cx.shares.requests.borrow().get(&entry.name).copied();
@@ -65,7 +65,7 @@
 }
 
 /// Jobs of an entry that a shard owned by this daemon may have placed at once.
-pub fn of_shard(cx: &Cx, entry: &Entry, shard: &Shard) -> u32 {
+pub fn shard_limit(cx: &Cx, entry: &Entry, shard: &Shard) -> u32 {
     let own_key = (shard.id.clone(), shard.epoch, entry.name.clone());
     let own = cx.shares.jobs.borrow().get(&own_key).copied();
     allowed(entry, own)
@@ -160,7 +160,7 @@
                 parties,
                 rank,
                 running: cx.admission.borrow().running(&entry.name),
-                waiting: cx.line.waiting_of(&entry.name),
+                waiting: cx.request_queue.waiting_of(&entry.name),
             })
         }
         Party::Shard(id) => {
@@ -213,7 +213,7 @@
     };
     let in_row = row.part(party).map_or(0, |part| part.amount);
     let demand = note_read(cx, entry, party, in_row, &party_usage);
-    let view = Look {
+    let view = PartyView {
         party,
         data_centre: &cx.cfg.daemon.data_centre,
         revision: entry.revision,
@@ -223,7 +223,7 @@
         running: party_usage.running,
         demand,
     };
-    let next = without_ended(cx, row).looked_at(&view);
+    let next = without_ended(cx, row).updated_by(&view);
     let amount = next.part(party).map_or(0, |part| part.amount);
     let usable = amount.min(row.ceiling(&view));
     let is_certain = with_own(cx, entry, party, |own| {
@@ -252,7 +252,7 @@
 /// Wakes the queue or the placement that may have waited for a larger share.
 fn wake_waiting(cx: &Cx, party: &Party) {
     match party {
-        Party::Daemon(_) => cx.line.wake(),
+        Party::Daemon(_) => cx.request_queue.wake(),
         Party::Shard(id) => {
             if let Some(shard) = cx.shards.borrow().get(id) {
                 shard.placement_notify.notify_one();
@@ -305,7 +305,7 @@
 
 /// Releases this daemon's shares at a graceful shutdown, except those under which requests still
 /// run.
-pub async fn give_back(cx: &Cx) {
+pub async fn release_all(cx: &Cx) {
     let party = Party::Daemon(cx.me.clone());
     let Ok(rows) = cx.platform.list(PREFIX).await else {
         return;
--- a/src/lapisdrum/daemon/spill.rs
+++ b/src/lapisdrum/daemon/spill.rs
@@ -39,7 +39,7 @@
 /// Peers that did not serve a request of an entry, because they were full or gave no usable reply,
 /// with the time of the call.
 #[derive(Debug, Default)]
-pub struct FullPeers(RefCell<IndexMap<(DaemonId, EntryName), Millis>>);
+pub struct UnavailablePeers(RefCell<IndexMap<(DaemonId, EntryName), Millis>>);
 
 /// Outcome of a hop.
 enum HopOutcome {
@@ -118,7 +118,7 @@
     }
 }
 
-/// A random live daemon that is not in [`FullPeers`] for the entry: of this data centre if
+/// A random live daemon that is not in [`UnavailablePeers`] for the entry: of this data centre if
 /// `is_local`, else of another.
 fn choose_peer(cx: &Cx, entry: &EntryName, is_local: bool) -> Option<(DaemonId, String)> {
     let now = cx.clock.now();
@@ -133,7 +133,7 @@
         false => members.all_read_at,
     };
     let read_at = read_at.unwrap_or(now);
-    let full = cx.full_peers.0.borrow();
+    let full = cx.unavailable_peers.0.borrow();
     let daemons = members.daemons.iter().filter(|(name, seen)| {
         let asked_at = full.get(&((*name).clone(), entry.clone()));
         let is_full = asked_at.is_some_and(|asked_at| now.since(*asked_at) < FULL_BACKOFF);
@@ -147,7 +147,7 @@
 
 fn note_full(cx: &Cx, peer: DaemonId, entry: &EntryName) {
     let now = cx.clock.now();
-    let mut full = cx.full_peers.0.borrow_mut();
+    let mut full = cx.unavailable_peers.0.borrow_mut();
     full.retain(|_, asked_at| now.since(*asked_at) < FULL_BACKOFF);
     full.insert((peer, entry.clone()), now);
 }
--- a/src/lapisdrum/policy/admission.rs
+++ b/src/lapisdrum/policy/admission.rs
@@ -121,7 +121,7 @@
     }
 
     /// Whether one more request may run within the concurrency limits of its entry and its owner.
-    pub fn has_room(&self, request: &AdmissionRequest<'_>) -> bool {
+    pub fn has_capacity(&self, request: &AdmissionRequest<'_>) -> bool {
         let quota = request.quota.map_or(u32::MAX, |quota| quota.concurrency);
         self.running(request.entry) < request.share.concurrency
             && self.running_of_owner(request.owner) < quota
@@ -130,7 +130,7 @@
     /// Counts a run as started if both concurrency limits allow it; returns whether they did.
     #[must_use]
     pub fn start(&mut self, request: &AdmissionRequest<'_>) -> bool {
-        if !self.has_room(request) {
+        if !self.has_capacity(request) {
             return false;
         }
         usage_of(&mut self.entries, request.entry).running += 1;
--- a/src/lapisdrum/state/grants.rs
+++ b/src/lapisdrum/state/grants.rs
@@ -57,7 +57,7 @@
     }
 
     /// Whether a request of `size` fits into the floor on a worker.
-    pub fn has_room(&self, worker: &WorkerId, size: &Size) -> bool {
+    pub fn has_capacity(&self, worker: &WorkerId, size: &Size) -> bool {
         self.held.get(worker).is_some_and(|floor| {
             floor.used.slots < floor.grant.slots
                 && floor.used.size.plus(size).fits(&floor.grant.size)
@@ -140,7 +140,7 @@
 /// One of `count` equal parts of a worker's request share. Slots that can't be divided evenly go
 /// one each to the lowest ranks; `rank` counts modulo `count`, so that callers can rotate it over
 /// the workers. `capacity` has all slots and the whole size of the worker.
-pub fn even_part(capacity: &Grant, share_percent: u32, rank: usize, count: usize) -> Grant {
+pub fn even_share(capacity: &Grant, share_percent: u32, rank: usize, count: usize) -> Grant {
     let (count, rank) = (to_u32(count).max(1), to_u32(rank));
     let extra = u32::from(rank % count < capacity.slots % count);
     let slots = capacity.slots / count + extra;
--- a/src/lapisdrum/state/shares.rs
+++ b/src/lapisdrum/state/shares.rs
@@ -57,7 +57,7 @@
 
 /// What a party knows about itself and the other parties when it updates the row.
 #[derive(Clone, Debug)]
-pub struct Look<'a> {
+pub struct PartyView<'a> {
     /// The party that updates the row.
     pub party: &'a Party,
     /// The party's data centre.
@@ -94,18 +94,18 @@
 
     /// The row after a party's update; equal to this row when there is nothing to change.
     #[must_use]
-    pub fn looked_at(&self, look: &Look<'_>) -> Self {
+    pub fn updated_by(&self, view: &PartyView<'_>) -> Self {
         let mut next = self.clone();
-        if look.revision > next.revision {
-            next.revision = look.revision;
-            next.limit = look.limit;
+        if view.revision > next.revision {
+            next.revision = view.revision;
+            next.limit = view.limit;
         }
-        let is_other_short = |part: &Part| part.is_short && part.party != *look.party;
+        let is_other_short = |part: &Part| part.is_short && part.party != *view.party;
         let is_contended = next.parts.iter().any(is_other_short) || next.given() > next.limit;
         let free = next.free();
-        let even = next.even_part_of(look);
-        let own = next.own_part(look);
-        let needed = look.demand.max(look.running).max(even / 2);
+        let even = next.even_share_of(view);
+        let own = next.own_part(view);
+        let needed = view.demand.max(view.running).max(even / 2);
         let needed = if needed >= own.amount.max(1) {
             // A margin above present use, so that the next request need not wait for an update.
             needed + needed / 4 + 1
@@ -113,13 +113,13 @@
             needed
         };
         if is_contended && own.amount > needed.min(even) {
-            own.amount = needed.min(even).max(look.running).min(own.amount);
+            own.amount = needed.min(even).max(view.running).min(own.amount);
         } else {
             let target = if is_contended { even } else { even.max(needed) };
             let step = free.div_ceil(2).max(even.min(free));
             own.amount += target.saturating_sub(own.amount).min(step);
         }
-        own.is_short = own.amount < needed && own.amount < look.limit;
+        own.is_short = own.amount < needed && own.amount < view.limit;
         next
     }
 
@@ -128,22 +128,22 @@
     /// times. A part can't be lowered below what is running, and while callers wait a party runs as
     /// much as its part allows. Without the ceiling the part would never be lowered and the others
     /// would get nothing.
-    pub fn ceiling(&self, look: &Look<'_>) -> u32 {
+    pub fn ceiling(&self, view: &PartyView<'_>) -> u32 {
         let is_other_short = self
             .parts
             .iter()
-            .any(|part| part.is_short && part.party != *look.party);
+            .any(|part| part.is_short && part.party != *view.party);
         match is_other_short || self.given() > self.limit {
-            true => self.even_part_of(look),
+            true => self.even_share_of(view),
             false => u32::MAX,
         }
     }
 
     /// A party's even part. Parties in the row that this one does not know yet count too; otherwise
     /// the parties that know each other would divide the whole limit among themselves.
-    fn even_part_of(&self, look: &Look<'_>) -> u32 {
+    fn even_share_of(&self, view: &PartyView<'_>) -> u32 {
         let listed = u32::try_from(self.parts.len()).unwrap_or(u32::MAX);
-        even_part(look.limit, look.parties.max(listed), look.rank)
+        even_share(view.limit, view.parties.max(listed), view.rank)
     }
 
     /// The row without the part of a party that has certainly ended.
@@ -154,12 +154,12 @@
         next
     }
 
-    fn own_part(&mut self, look: &Look<'_>) -> &mut Part {
-        let index = self.parts.iter().position(|part| part.party == *look.party);
+    fn own_part(&mut self, view: &PartyView<'_>) -> &mut Part {
+        let index = self.parts.iter().position(|part| part.party == *view.party);
         let index = index.unwrap_or_else(|| {
             self.parts.push(Part {
-                party: look.party.clone(),
-                data_centre: look.data_centre.clone(),
+                party: view.party.clone(),
+                data_centre: view.data_centre.clone(),
                 amount: 0,
                 is_short: false,
             });
@@ -170,7 +170,7 @@
 }
 
 /// The even part of the party with `rank` out of `count`; the remainder goes to the lowest ranks.
-fn even_part(limit: u32, count: u32, rank: u32) -> u32 {
+fn even_share(limit: u32, count: u32, rank: u32) -> u32 {
     let count = count.max(1);
     limit / count + u32::from(rank < limit % count)
 }
@@ -184,9 +184,9 @@
 /// exceeded. The amount is therefore raised only by a write of its own that is known to have taken
 /// effect: the comparison in that write rules out that an earlier one takes effect later.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Allowed(u32);
+pub struct UsableShare(u32);
 
-impl Allowed {
+impl UsableShare {
     /// Concurrent requests or tasks that the party may run.
     pub fn amount(self) -> u32 {
         self.0
--- a/tests/testsuite/daemon/index.rs
+++ b/tests/testsuite/daemon/index.rs
@@ -7,7 +7,7 @@
         size::Size,
         time::Millis,
     },
-    daemon::{index::Index, limits::even_part},
+    daemon::{index::Index, limits::even_share},
     state::ledger::{Event, State},
 };
 use proptest::prelude::*;
@@ -147,7 +147,7 @@
     /// The parts of a limit add up to the limit, whatever the number of shards.
     #[test]
     fn parts_add_up_to_the_limit(limit in 0..10_000_u32, count in 1..100_u32) {
-        let sum: u32 = (0..count).map(|rank| even_part(limit, rank, count)).sum();
+        let sum: u32 = (0..count).map(|rank| even_share(limit, rank, count)).sum();
         prop_assert_eq!(sum, limit);
     }
 }
--- a/tests/testsuite/properties/grants.rs
+++ b/tests/testsuite/properties/grants.rs
@@ -113,7 +113,7 @@
             return ByWorker::default();
         }
         let part = |w: u8| {
-            grants::even_part(
+            grants::even_share(
                 &whole(),
                 SHARE_PERCENT,
                 usize::from(d + w),
@@ -171,7 +171,7 @@
             Op::Exchange(d, reach) => self.exchange(d, reach),
             Op::Begin(d, w) => {
                 let floors = &mut self.daemons[usize::from(d)];
-                if floors.has_room(&worker(w), &request()) {
+                if floors.has_capacity(&worker(w), &request()) {
                     floors.take(&worker(w), &request());
                 }
             }
--- a/tests/testsuite/properties/placement.rs
+++ b/tests/testsuite/properties/placement.rs
@@ -116,7 +116,7 @@
                 }
                 _ => {
                     let daemons = usize::from(amount) + 1;
-                    let part = |w: u8| grants::even_part(&whole(w), SHARE_PERCENT, n.into(), daemons);
+                    let part = |w: u8| grants::even_share(&whole(w), SHARE_PERCENT, n.into(), daemons);
                     let targets: ByWorker = (0..WORKERS).map(|w| (worker(w), part(w))).collect();
                     let held = state.grants.get(&holder(n % 2)).cloned().unwrap_or_default();
                     // The daemon has come down to the part that it has now.
--- a/tests/testsuite/requests/shares.rs
+++ b/tests/testsuite/requests/shares.rs
@@ -6,7 +6,7 @@
     core::id::{DaemonId, DataCentre, Incarnation, Revision},
     state::{
         ownership::Holder,
-        shares::{Allowed, Look, Party, Shares},
+        shares::{Party, PartyView, Shares, UsableShare},
     },
 };
 use lapisdrum_standins::platform::server::PlatformSwitches;
@@ -113,7 +113,7 @@
 struct Member {
     party: Party,
     data_centre: DataCentre,
-    allowed: Allowed,
+    allowed: UsableShare,
     running: u32,
 }
 
@@ -126,7 +126,7 @@
             address: name("address"),
         }),
         data_centre: DataCentre::try_from(name("centre")).expect("a name"),
-        allowed: Allowed::default(),
+        allowed: UsableShare::default(),
         running: 0,
     }
 }
@@ -153,7 +153,7 @@
 fn look(member: &mut Member, rank: usize, waits: u32, fate: Fate, table: &mut Table) {
     let in_row = table.row.part(&member.party).map_or(0, |part| part.amount);
     member.allowed.after_read(in_row);
-    let next = table.row.looked_at(&Look {
+    let next = table.row.updated_by(&PartyView {
         party: &member.party,
         data_centre: &member.data_centre,
         revision: Revision(1),
