--- a/src/lapisdrum/daemon/catalogue.rs
+++ b/src/lapisdrum/daemon/catalogue.rs
@@ -261,7 +261,7 @@
 }
 
 /// Receives a change from a peer: applies it if it is the next one, or else reads what is missing.
-pub fn hear(cx: &Cx, change: ChangeRow) {
+pub fn receive(cx: &Cx, change: ChangeRow) {
     let known = cx.catalogue.borrow().revision;
     if change.revision <= known {
         return;
--- a/src/lapisdrum/daemon/claims.rs
+++ b/src/lapisdrum/daemon/claims.rs
@@ -379,7 +379,7 @@
             match claim.end {
                 // Too old for any daemon to still report its end.
                 None if now.since(note.since) > LONGEST_REQUEST * 2
-                    || peers::gone_for(cx, &claim.by).is_some() =>
+                    || peers::ended_for(cx, &claim.by).is_some() =>
                 {
                     events.extend(end_events(request.clone(), ClaimEnd::Unknown));
                 }
--- a/src/lapisdrum/daemon/evictions.rs
+++ b/src/lapisdrum/daemon/evictions.rs
@@ -43,7 +43,7 @@
             .workers()
             .filter(|worker| !members.hosts.contains_key(*worker));
         unlisted
-            .filter(|worker| has_waited || members.was_named(worker))
+            .filter(|worker| has_waited || members.was_listed(worker))
             .cloned()
             .collect()
     };
@@ -71,7 +71,7 @@
     for (job, placement) in placements {
         let sent = shard.session(worker, |session| session.lease(job, placement.attempt));
         let evidence = Evidence {
-            worker: WorkerEvidence::Silent,
+            worker: WorkerEvidence::Unanswered,
             own_lease_end: sent.flatten().map(|sent| sent.lease_end),
             earlier: earlier_owners(cx, shard, placement),
             owner_since: shard.since,
@@ -95,10 +95,10 @@
     for owner in suspects {
         match ended_since(cx, shard, owner) {
             Some(since) => latest = latest.max(since),
-            None => return EarlierOwners::Unaccounted,
+            None => return EarlierOwners::MaybeAlive,
         }
     }
-    EarlierOwners::Gone(latest)
+    EarlierOwners::Ended(latest)
 }
 
 /// Time since which an earlier owner has certainly ended; `None` while it may be alive. An owner
@@ -109,13 +109,13 @@
     if owner.released {
         return Some(shard.since);
     }
-    let mut found = shard.owners_gone.borrow_mut();
+    let mut found = shard.owners_ended.borrow_mut();
     if let Some(since) = found.get(&owner.epoch) {
         return Some(*since);
     }
     let members = cx.members.borrow();
     let has_ended =
-        members.is_replaced(&owner.holder, shard.since) || members.is_host_gone(&owner.holder);
+        members.is_replaced(&owner.holder, shard.since) || members.is_host_removed(&owner.holder);
     has_ended.then(|| {
         let now = cx.clock.now();
         found.insert(owner.epoch, now);
--- a/src/lapisdrum/daemon/jobs.rs
+++ b/src/lapisdrum/daemon/jobs.rs
@@ -277,7 +277,7 @@
 }
 
 async fn cancel_owned(cx: &Cx, shard: &Rc<Shard>, job: &JobId, found: Job) -> PeerReply {
-    let Some(event) = upkeep::cancel(job, &found) else {
+    let Some(event) = upkeep::cancel_event(job, &found) else {
         let is_durable = !shard.journal.has_pending_event(job);
         return reply_when_durable(cx, shard, job, is_durable).await;
     };
--- a/src/lapisdrum/daemon/members.rs
+++ b/src/lapisdrum/daemon/members.rs
@@ -136,7 +136,7 @@
     }
 
     /// Whether any list read by this process contained the worker.
-    pub fn was_named(&self, worker: &WorkerId) -> bool {
+    pub fn was_listed(&self, worker: &WorkerId) -> bool {
         self.ever_listed.contains(worker)
     }
 
@@ -162,7 +162,7 @@
     /// This assumes that the platform lists entry hosts under their IP address (with no slots,
     /// since they take no work), and that a host removed from the list is dead. If entry hosts are
     /// not listed, no presence row has `is_listed` set and this is always false.
-    pub fn is_host_gone(&self, holder: &Holder) -> bool {
+    pub fn is_host_removed(&self, holder: &Holder) -> bool {
         let row = self.daemons.get(&holder.daemon);
         let was_listed = row.is_some_and(|seen| seen.row.holder == *holder && seen.row.is_listed);
         was_listed && self.hosts_read_at.is_some() && !self.is_listed(&holder.address)
--- a/src/lapisdrum/daemon/metrics.rs
+++ b/src/lapisdrum/daemon/metrics.rs
@@ -97,7 +97,7 @@
     /// Transactions whose reply was lost.
     pub platform_unknown: Counter,
     /// Restarts of daemon components.
-    pub part_restarts: Counter,
+    pub component_restarts: Counter,
     /// The catalogue revision in force.
     pub revision: Gauge,
     /// Shards owned.
@@ -129,7 +129,7 @@
             ledger_writes: Counter::default(),
             ledger_events: Counter::default(),
             platform_unknown: Counter::default(),
-            part_restarts: Counter::default(),
+            component_restarts: Counter::default(),
             revision: Gauge::default(),
             shards_owned: Gauge::default(),
             shards_lapsed: Gauge::default(),
@@ -204,7 +204,7 @@
         r.register(
             "part_restarts",
             "Restarts of daemon components",
-            self.part_restarts.clone(),
+            self.component_restarts.clone(),
         );
         r.register(
             "catalogue_revision",
--- a/src/lapisdrum/daemon/mod.rs
+++ b/src/lapisdrum/daemon/mod.rs
@@ -91,7 +91,7 @@
     /// Worker capacity that this daemon may use for requests.
     pub floors: RefCell<Floors>,
     /// Incarnations of other daemons, and which of them have ended.
-    pub departures: peers::Departures,
+    pub ended_incarnations: peers::EndedIncarnations,
     /// Peers that recently did not serve a request spilled to them.
     pub unavailable_peers: spill::UnavailablePeers,
     /// Shares of the entries' limits that this daemon and its shards hold.
@@ -151,7 +151,7 @@
             members: RefCell::default(),
             shards: RefCell::default(),
             floors: RefCell::default(),
-            departures: peers::Departures::default(),
+            ended_incarnations: peers::EndedIncarnations::default(),
             unavailable_peers: spill::UnavailablePeers::default(),
             shares: shares::HeldShares::default(),
             claims: claims::Claims::default(),
--- a/src/lapisdrum/daemon/peers.rs
+++ b/src/lapisdrum/daemon/peers.rs
@@ -39,7 +39,7 @@
         PeerRequest::ClaimsServed(holder, _) if holder != cx.me => PeerReply::Unknown,
         PeerRequest::ClaimsServed(_, ids) => PeerReply::ClaimsServed(claims::still_served(cx, ids)),
         PeerRequest::News(change) => {
-            catalogue::hear(cx, change);
+            catalogue::receive(cx, change);
             PeerReply::Ok
         }
         PeerRequest::Catalogue(known) => {
@@ -66,7 +66,7 @@
 
 /// Incarnations of other daemons that this process has heard of, and since when each has ended.
 #[derive(Debug, Default)]
-pub struct Departures(RefCell<IndexMap<Holder, Incarnation>>);
+pub struct EndedIncarnations(RefCell<IndexMap<Holder, Incarnation>>);
 
 #[derive(Clone, Copy, Debug)]
 struct Incarnation {
@@ -79,9 +79,9 @@
 const MAX_INCARNATIONS: usize = 10_000;
 
 /// Time since an incarnation of a daemon was found to have ended; `None` if it may still run.
-pub fn gone_for(cx: &Cx, holder: &Holder) -> Option<Duration> {
+pub fn ended_for(cx: &Cx, holder: &Holder) -> Option<Duration> {
     let now = cx.clock.now();
-    let mut known = cx.departures.0.borrow_mut();
+    let mut known = cx.ended_incarnations.0.borrow_mut();
     if known.len() > MAX_INCARNATIONS {
         known.clear();
     }
--- a/src/lapisdrum/daemon/shard.rs
+++ b/src/lapisdrum/daemon/shard.rs
@@ -49,7 +49,7 @@
     /// Number of the last floor exchange seen from each daemon.
     pub grant_rounds: RefCell<IndexMap<Holder, u64>>,
     /// When each earlier owner that did not release the shard was found to have ended.
-    pub owners_gone: RefCell<IndexMap<Epoch, Millis>>,
+    pub owners_ended: RefCell<IndexMap<Epoch, Millis>>,
     /// Interference estimates, health of workers and jobs, and the state of mitigation.
     pub mitigation: RefCell<MitigationState>,
     /// Notified when a waiting job may have become placeable.
@@ -79,7 +79,7 @@
             since: tenure.renewed_at,
             sessions: RefCell::default(),
             grant_rounds: RefCell::default(),
-            owners_gone: RefCell::default(),
+            owners_ended: RefCell::default(),
             mitigation: RefCell::default(),
             placement_notify: Notify::new(),
             row: RefCell::new((row_version, row)),
--- a/src/lapisdrum/daemon/supervisor.rs
+++ b/src/lapisdrum/daemon/supervisor.rs
@@ -42,7 +42,7 @@
             let mut backoff = Backoff::new(INITIAL_WAIT, MAX_WAIT);
             loop {
                 let result = component(Rc::clone(&cx)).await;
-                cx.metrics.part_restarts.inc();
+                cx.metrics.component_restarts.inc();
                 if let Err(e) = result {
                     log::warn!("component {name} failed and is restarted: {e:#}");
                 }
--- a/src/lapisdrum/daemon/upkeep.rs
+++ b/src/lapisdrum/daemon/upkeep.rs
@@ -56,7 +56,7 @@
     let state = shard.state();
     let jobs = state.jobs.iter();
     let jobs = jobs.filter(|(_, job)| retired.contains(&job.entry));
-    jobs.filter_map(|(id, job)| cancel(id, job)).collect()
+    jobs.filter_map(|(id, job)| cancel_event(id, job)).collect()
 }
 
 fn retired_entries(cx: &Cx, shard: &Shard) -> Vec<EntryName> {
@@ -72,7 +72,7 @@
 }
 
 /// The event that cancels a job; `None` if it has ended or is already being cancelled.
-pub fn cancel(id: &JobId, job: &Job) -> Option<Event> {
+pub fn cancel_event(id: &JobId, job: &Job) -> Option<Event> {
     match job.phase {
         JobPhase::Ended(_) => None,
         _ if job.cancelling => None,
--- a/src/lapisdrum/state/fencing.rs
+++ b/src/lapisdrum/state/fencing.rs
@@ -42,9 +42,9 @@
     None,
     /// All of them have released the shard or are known to have ended; the last was found to have
     /// ended at this time.
-    Gone(Millis),
+    Ended(Millis),
     /// At least one may still be running, cut off from the table.
-    Unaccounted,
+    MaybeAlive,
 }
 
 /// What is known about a placed task from its worker.
@@ -54,7 +54,7 @@
     /// longer lists the worker.
     Stopped,
     /// The worker has not confirmed that the task stopped.
-    Silent,
+    Unanswered,
 }
 
 /// Everything that decides whether a task may be started elsewhere.
@@ -84,10 +84,10 @@
     let earlier_end = match evidence.earlier {
         EarlierOwners::None => Millis::default(),
         // Its last command may have been in flight when it ended.
-        EarlierOwners::Gone(since) => since + terms.lengthened(evidence.task_lease),
+        EarlierOwners::Ended(since) => since + terms.lengthened(evidence.task_lease),
         // The previous owner last renewed its own lease before the take-over, and may extend the
         // task's lease to at most `hold` after that.
-        EarlierOwners::Unaccounted => evidence.owner_since + terms.lengthened(evidence.hold),
+        EarlierOwners::MaybeAlive => evidence.owner_since + terms.lengthened(evidence.hold),
     };
     own_end.max(earlier_end)
 }
--- a/tests/testsuite/daemon/members.rs
+++ b/tests/testsuite/daemon/members.rs
@@ -79,12 +79,12 @@
     members
         .daemons
         .extend([seen(&a, 0, true), seen(&b, 0, false)]);
-    assert!(!members.is_host_gone(&a), "no list was read yet");
+    assert!(!members.is_host_removed(&a), "no list was read yet");
     members.set_hosts(vec![host("entry-a", "10.0.0.1:1", 0)], 1, Millis(1));
-    assert!(!members.is_host_gone(&a));
+    assert!(!members.is_host_removed(&a));
     members.set_hosts(vec![host("worker-0", "10.0.0.9:1", 8)], 1, Millis(2));
-    assert!(members.is_host_gone(&a));
-    assert!(!members.is_host_gone(&b), "it was never listed");
+    assert!(members.is_host_removed(&a));
+    assert!(!members.is_host_removed(&b), "it was never listed");
 }
 
 /// A list without any host is a fault of the platform and no news: it would evict everything.
--- a/tests/testsuite/model/ownership/spec.rs
+++ b/tests/testsuite/model/ownership/spec.rs
@@ -341,7 +341,7 @@
         let evidence = Evidence {
             worker: match self.lacks(Without::DeathEvidence) {
                 true => WorkerEvidence::Stopped,
-                false => WorkerEvidence::Silent,
+                false => WorkerEvidence::Unanswered,
             },
             own_lease_end: own.lease_ends[at(worker)].map(millis),
             earlier: self.earlier_owners(s, &own, epoch),
@@ -368,10 +368,10 @@
             match owner.run {
                 Run::Released => {}
                 Run::Replaced => latest = latest.max(s.daemons[at(owner.daemon)].began),
-                Run::Present | Run::Dead => return EarlierOwners::Unaccounted,
+                Run::Present | Run::Dead => return EarlierOwners::MaybeAlive,
             }
         }
-        EarlierOwners::Gone(millis(latest))
+        EarlierOwners::Ended(millis(latest))
     }
 
     fn stop_task(&self, s: &mut State, d: u8) -> Option<()> {
