--- a/src/lapisdrum/daemon/spill.rs
+++ b/src/lapisdrum/daemon/spill.rs
@@ -22,7 +22,7 @@
         id::{DaemonId, EntryName, RequestId},
         time::Millis,
     },
-    peer::wire::{PeerReply, PeerRequest, SpilledEnd, SpilledRun},
+    peer::wire::{ForwardedOutcome, ForwardedRequest, PeerReply, PeerRequest},
     worker::client::Response,
 };
 use indexmap::IndexMap;
@@ -88,7 +88,7 @@
     id: &RequestId,
     left: Duration,
 ) -> HopOutcome {
-    let run = SpilledRun {
+    let run = ForwardedRequest {
         request: id.clone(),
         entry: entry.name.clone(),
         body: req.body.to_vec(),
@@ -98,7 +98,7 @@
     };
     let call = cx.peers.call_within(address, PeerRequest::Run(run), left);
     match call.await {
-        Ok(PeerReply::Ran(SpilledEnd::Done {
+        Ok(PeerReply::Ran(ForwardedOutcome::Done {
             status,
             content_type,
             body,
@@ -110,8 +110,10 @@
                 body: body.into(),
             },
         )),
-        Ok(PeerReply::Ran(SpilledEnd::Refused(_)) | PeerReply::Refused(_)) => HopOutcome::NotRun,
-        Ok(PeerReply::Ran(SpilledEnd::Unknown(why))) => HopOutcome::Unknown(why),
+        Ok(PeerReply::Ran(ForwardedOutcome::Refused(_)) | PeerReply::Refused(_)) => {
+            HopOutcome::NotRun
+        }
+        Ok(PeerReply::Ran(ForwardedOutcome::Unknown(why))) => HopOutcome::Unknown(why),
         Ok(_) => HopOutcome::Unknown("the other daemon gave another answer".to_owned()),
         Err(e) if e.is_unsent() => HopOutcome::NotRun,
         Err(e) => HopOutcome::Unknown(e.to_string()),
@@ -153,7 +155,7 @@
 }
 
 /// Serves a request that another daemon forwarded.
-pub async fn answer(cx: &Cx, run: SpilledRun) -> SpilledEnd {
+pub async fn answer(cx: &Cx, run: ForwardedRequest) -> ForwardedOutcome {
     let req = RunRequest {
         entry: run.entry,
         body: run.body.into(),
@@ -163,13 +165,13 @@
         caller: run.caller,
     };
     match router::run_spilled(cx, req, run.request).await {
-        RunEnd::Done(_, answer) => SpilledEnd::Done {
+        RunEnd::Done(_, answer) => ForwardedOutcome::Done {
             status: answer.status,
             content_type: answer.content_type,
             body: answer.body.to_vec(),
         },
-        RunEnd::Refused(refusal) => SpilledEnd::Refused(refusal),
-        RunEnd::Unknown(_, why) => SpilledEnd::Unknown(why),
-        RunEnd::DoneBefore(..) => SpilledEnd::Unknown("served before".to_owned()),
+        RunEnd::Refused(refusal) => ForwardedOutcome::Refused(refusal),
+        RunEnd::Unknown(_, why) => ForwardedOutcome::Unknown(why),
+        RunEnd::DoneBefore(..) => ForwardedOutcome::Unknown("served before".to_owned()),
     }
 }
--- a/src/lapisdrum/peer/wire.rs
+++ b/src/lapisdrum/peer/wire.rs
@@ -58,7 +58,7 @@
         /// Report the sender's floors and request new ones.
         Grants(GrantRound),
         /// Run a request for which the sender has no free capacity.
-        Run(SpilledRun),
+        Run(ForwardedRequest),
         /// Claim a request id in a shard that the receiver owns.
         Claim(ClaimCall),
         /// Report how a claimed request ended; repeated until there is a reply.
@@ -73,7 +73,7 @@
     }
 
     /// A request forwarded to another daemon, which must not forward it again.
-    pub struct SpilledRun {
+    pub struct ForwardedRequest {
         /// Id of the request; if the caller chose it, the sender has claimed it.
         pub request: RequestId,
         /// Name of the catalogue entry that the request is for.
@@ -89,7 +89,7 @@
     }
 
     /// Outcome of a forwarded request.
-    pub enum SpilledEnd {
+    pub enum ForwardedOutcome {
         /// The worker's complete response.
         Done {
             /// HTTP status.
@@ -158,7 +158,7 @@
         /// Reply to [`PeerRequest::Grants`].
         Grants(GrantReply),
         /// Reply to [`PeerRequest::Run`].
-        Ran(SpilledEnd),
+        Ran(ForwardedOutcome),
         /// The request id is claimed for the sender, which may run the request.
         Claimed,
         /// The request id was claimed before, and its request has ended.
