--- a/src/lapisdrum/daemon/grants.rs
+++ b/src/lapisdrum/daemon/grants.rs
@@ -166,7 +166,7 @@
     let max_run_time = max_orphan_run_time(cx);
     let holders: Vec<Holder> = shard.state().grants.keys().cloned().collect();
     for holder in holders {
-        if peers::ended_for(cx, &holder).is_some_and(|gone| gone > max_run_time) {
+        if peers::ended_for(cx, &holder).is_some_and(|ended| ended > max_run_time) {
             // If the proposal is refused, the next round repeats it.
             let voided = vec![Event::GrantsVoided { of: holder }];
             let _ = shard.propose(cx, voided, Urgency::Batch);
--- a/src/lapisdrum/daemon/shares.rs
+++ b/src/lapisdrum/daemon/shares.rs
@@ -291,7 +291,7 @@
 fn without_ended(cx: &Cx, row: &Shares) -> Shares {
     let max_run_time = grants::max_orphan_run_time(cx);
     let has_ended =
-        |holder: &Holder| peers::ended_for(cx, holder).is_some_and(|gone| gone > max_run_time);
+        |holder: &Holder| peers::ended_for(cx, holder).is_some_and(|ended| ended > max_run_time);
     let mut next = row.clone();
     for part in &row.parts {
         if let Party::Daemon(holder) = &part.party
--- a/src/lapisdrum/state/shares.rs
+++ b/src/lapisdrum/state/shares.rs
@@ -8,9 +8,9 @@
 //! - Only a party itself lowers its part, and only after it has reduced its use to the new amount.
 //!   The difference is then free for others. A party that is cut off keeps its part, so no other
 //!   party can use it.
-//! - A party that needs more than is free marks its part as short. Parties above their even part
+//! - A party that needs more than is free marks its part as short. Parties above their even share
 //!   then reduce theirs to it, idle ones to half of it. In one update a short party takes at most
-//!   half of the free amount, or its even part if that is more, so that shares follow demand over
+//!   half of the free amount, or its even share if that is more, so that shares follow demand over
 //!   several updates and do not oscillate.
 //! - A daemon's part is removed when the daemon has certainly ended and the longest deadline has
 //!   passed.
@@ -123,7 +123,7 @@
         next
     }
 
-    /// The number of running requests or tasks up to which a party may start more: its even part
+    /// The number of running requests or tasks up to which a party may start more: its even share
     /// while others are short or the parts exceed the limit, and no ceiling (`u32::MAX`) at other
     /// times. A part can't be lowered below what is running, and while callers wait a party runs as
     /// much as its part allows. Without the ceiling the part would never be lowered and the others
@@ -139,7 +139,7 @@
         }
     }
 
-    /// A party's even part. Parties in the row that this one does not know yet count too; otherwise
+    /// A party's even share. Parties in the row that this one does not know yet count too; otherwise
     /// the parties that know each other would divide the whole limit among themselves.
     fn even_share_of(&self, view: &PartyView<'_>) -> u32 {
         let listed = u32::try_from(self.parts.len()).unwrap_or(u32::MAX);
@@ -169,7 +169,7 @@
     }
 }
 
-/// The even part of the party with `rank` out of `count`; the remainder goes to the lowest ranks.
+/// The even share of the party with `rank` out of `count`; the remainder goes to the lowest ranks.
 fn even_share(limit: u32, count: u32, rank: u32) -> u32 {
     let count = count.max(1);
     limit / count + u32::from(rank < limit % count)
