--- a/src/lapisdrum/daemon/evictions.rs
+++ b/src/lapisdrum/daemon/evictions.rs
@@ -4,7 +4,7 @@
 
 use super::{
     Cx,
-    journal::{Urgency, WriteEnd},
+    journal::{Urgency, WriteOutcome},
     listing::JobState,
     metrics::EndLabels,
     sessions,
@@ -32,7 +32,7 @@
 /// The list lags: a host that this process has never seen listed may be too new to be listed, and
 /// an earlier owner with a newer list may have placed tasks there. Such a host counts as removed
 /// only after a whole task lease without being listed.
-pub fn forget_gone_hosts(cx: &Cx, shard: &Rc<Shard>) {
+pub fn evict_from_removed_hosts(cx: &Cx, shard: &Rc<Shard>) {
     let terms = &cx.cfg.shards.terms;
     let timeout = terms.lengthened(cx.cfg.shards.task_lease);
     let has_waited = cx.clock.now().since(shard.since) > timeout;
@@ -43,13 +43,13 @@
             .workers()
             .filter(|worker| !members.hosts.contains_key(*worker));
         unlisted
-            .filter(|worker| has_waited || members.was_named(worker))
+            .filter(|worker| has_waited || members.was_listed(worker))
             .cloned()
             .collect()
     };
     for worker in &removed {
         for (job, placement) in sessions::placements_on(shard, worker) {
-            unplace(cx, shard, &job, &placement, "host is gone");
+            revoke_placement(cx, shard, &job, &placement, "host is gone");
         }
     }
     let members = cx.members.borrow();
@@ -61,7 +61,7 @@
 }
 
 /// Evicts the tasks in `placements` that a worker which does not answer certainly no longer runs.
-pub fn give_up_silent(
+pub fn evict_expired(
     cx: &Cx,
     shard: &Rc<Shard>,
     worker: &WorkerId,
@@ -69,9 +69,9 @@
 ) {
     let now = cx.clock.now();
     for (job, placement) in placements {
-        let sent = shard.session(worker, |session| session.sent(job, placement.attempt));
+        let sent = shard.session(worker, |session| session.lease(job, placement.attempt));
         let evidence = Evidence {
-            worker: WorkerEvidence::Silent,
+            worker: WorkerEvidence::Unanswered,
             own_lease_end: sent.flatten().map(|sent| sent.lease_end),
             earlier: earlier_owners(cx, shard, placement),
             owner_since: shard.since,
@@ -79,7 +79,7 @@
             hold: sessions::hold_of(shard, job),
         };
         if fencing::restart_at(&evidence, &cx.cfg.shards.terms) < now {
-            unplace(cx, shard, job, placement, "lease has run out");
+            revoke_placement(cx, shard, job, placement, "lease has run out");
         }
     }
 }
@@ -95,10 +95,10 @@
     for owner in suspects {
         match ended_since(cx, shard, owner) {
             Some(since) => latest = latest.max(since),
-            None => return EarlierOwners::Unaccounted,
+            None => return EarlierOwners::MaybeAlive,
         }
     }
-    EarlierOwners::Gone(latest)
+    EarlierOwners::Ended(latest)
 }
 
 /// Time since which an earlier owner has certainly ended; `None` while it may be alive. An owner
@@ -109,13 +109,13 @@
     if owner.released {
         return Some(shard.since);
     }
-    let mut found = shard.owners_gone.borrow_mut();
+    let mut found = shard.owners_ended.borrow_mut();
     if let Some(since) = found.get(&owner.epoch) {
         return Some(*since);
     }
     let members = cx.members.borrow();
     let has_ended =
-        members.is_replaced(&owner.holder, shard.since) || members.is_host_gone(&owner.holder);
+        members.is_replaced(&owner.holder, shard.since) || members.is_host_removed(&owner.holder);
     has_ended.then(|| {
         let now = cx.clock.now();
         found.insert(owner.epoch, now);
@@ -125,7 +125,13 @@
 
 /// Revokes a placement in the ledger: evicts the job, or ends it if it is being cancelled. The
 /// caller ensures that the task no longer runs.
-pub fn unplace(cx: &Cx, shard: &Rc<Shard>, job: &JobId, placement: &Placement, reason: &str) {
+pub fn revoke_placement(
+    cx: &Cx,
+    shard: &Rc<Shard>,
+    job: &JobId,
+    placement: &Placement,
+    reason: &str,
+) {
     let current = shard.job(job);
     let Some(current) = current.filter(|job| job.placement() == Some(placement)) else {
         return;
@@ -148,14 +154,14 @@
     let (placement, reason) = (placement.clone(), reason.to_owned());
     let is_cancelled = current.cancelling;
     supervisor::spawn("unplaced", async move {
-        if ticket.end().await == WriteEnd::Committed {
+        if ticket.outcome().await == WriteOutcome::Committed {
             let worker = &placement.worker;
             shard.session(worker, |session| session.forget(&job, placement.attempt));
             match is_cancelled {
                 true => note_end(&cx, &job, &JobEnd::Cancelled),
                 false => note_eviction(&cx, &job, worker, &reason),
             }
-            shard.placement.notify_one();
+            shard.placement_notify.notify_one();
         }
     });
 }
--- a/src/lapisdrum/daemon/grants.rs
+++ b/src/lapisdrum/daemon/grants.rs
@@ -8,7 +8,7 @@
 
 use super::{
     Cx,
-    journal::{Urgency, WriteEnd},
+    journal::{Urgency, WriteOutcome},
     peers,
     router::LATE_MARGIN,
     shard::Shard,
@@ -19,7 +19,7 @@
         outcome::Refusal,
         size::Size,
     },
-    peer::wire::{GrantAnswer, GrantRound, PeerReply, PeerRequest, WorkerGrant},
+    peer::wire::{GrantReply, GrantRound, PeerReply, PeerRequest, WorkerGrant},
     state::{
         grants::{self, ByWorker},
         ledger::{Event, Grant, State},
@@ -66,7 +66,7 @@
             reply
         }
     };
-    if let PeerReply::Grants(GrantAnswer {
+    if let PeerReply::Grants(GrantReply {
         epoch,
         floors,
         targets,
@@ -74,7 +74,7 @@
     {
         let (floors, targets) = (by_worker(floors), by_worker(targets));
         cx.floors.borrow_mut().adopt(epoch, &floors, &targets);
-        cx.line.wake();
+        cx.request_queue.wake();
     }
 }
 
@@ -120,7 +120,7 @@
 
 /// Returns all floors at a graceful shutdown. If the drain was cut short, workers may still be
 /// running requests; the floors are then kept, and voided by the owner after the longest deadline.
-pub async fn give_back(cx: &Cx) {
+pub async fn release_all(cx: &Cx) {
     let nothing = Grant::default();
     let is_used = cx
         .floors
@@ -139,7 +139,7 @@
         if let Some(own) = own {
             let voided = Event::GrantsVoided { of: cx.me.clone() };
             if let Ok(ticket) = own.propose(cx, vec![voided], Urgency::Urgent) {
-                ticket.end().await;
+                ticket.outcome().await;
             }
             continue;
         }
@@ -166,7 +166,7 @@
     let max_run_time = max_orphan_run_time(cx);
     let holders: Vec<Holder> = shard.state().grants.keys().cloned().collect();
     for holder in holders {
-        if peers::gone_for(cx, &holder).is_some_and(|gone| gone > max_run_time) {
+        if peers::ended_for(cx, &holder).is_some_and(|ended| ended > max_run_time) {
             // If the proposal is refused, the next round repeats it.
             let voided = vec![Event::GrantsVoided { of: holder }];
             let _ = shard.propose(cx, voided, Urgency::Batch);
@@ -215,11 +215,11 @@
         Ok(ticket) => ticket,
         Err(e) => return PeerReply::Refused(e.refusal()),
     };
-    if ticket.end().await != WriteEnd::Committed {
+    if ticket.outcome().await != WriteOutcome::Committed {
         return PeerReply::Unknown;
     }
     let floors = shard.state().grants.get(&holder).cloned();
-    PeerReply::Grants(GrantAnswer {
+    PeerReply::Grants(GrantReply {
         epoch: shard.epoch,
         floors: to_wire(floors.unwrap_or_default()),
         targets: to_wire(targets),
@@ -250,7 +250,7 @@
     let percent = cx.cfg.shards.request_share_percent;
     staying
         .map(|(i, host)| {
-            let share = grants::even_part(&full_capacity(host), percent, rank + i, live.len());
+            let share = grants::even_share(&full_capacity(host), percent, rank + i, live.len());
             (host.worker.clone(), share)
         })
         .collect()
--- a/src/lapisdrum/daemon/jobs.rs
+++ b/src/lapisdrum/daemon/jobs.rs
@@ -2,10 +2,10 @@
 
 use super::{
     Cx, claims, grants,
-    journal::{Urgency, WriteEnd},
-    limits,
+    journal::{Urgency, WriteOutcome},
+    limits, polls,
     shard::Shard,
-    upkeep, visits,
+    upkeep,
 };
 use crate::{
     core::{
@@ -27,7 +27,7 @@
 
 /// Outcome of a call about a job.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum JobAnswer {
+pub enum JobReply {
     /// The job in its present state.
     Job(JobId, Job),
     /// Refused; nothing was changed.
@@ -37,17 +37,17 @@
 }
 
 /// Submits a job of `entry`. A repeat with the same `key` returns the job of the first call.
-pub async fn submit(cx: &Cx, entry: &EntryName, key: Option<&RequestId>) -> JobAnswer {
+pub async fn submit(cx: &Cx, entry: &EntryName, key: Option<&RequestId>) -> JobReply {
     if cx.is_draining() {
-        return JobAnswer::Refused(Refusal::Draining {
+        return JobReply::Refused(Refusal::Draining {
             retry_after: NO_OWNER_RETRY,
         });
     }
     if let Err(refusal) = check_entry(cx, entry) {
-        return JobAnswer::Refused(refusal);
+        return JobReply::Refused(refusal);
     }
     let Some((shard, unique)) = assign(cx, key) else {
-        return JobAnswer::Refused(Refusal::NoOwner {
+        return JobReply::Refused(Refusal::NoOwner {
             retry_after: NO_OWNER_RETRY,
         });
     };
@@ -75,29 +75,29 @@
 }
 
 /// Reads a job from the owner of its shard.
-pub async fn show(cx: &Cx, job: JobId) -> JobAnswer {
+pub async fn show(cx: &Cx, job: JobId) -> JobReply {
     let Some(shard) = job.shard() else {
-        return JobAnswer::Refused(Refusal::UnknownJob(job));
+        return JobReply::Refused(Refusal::UnknownJob(job));
     };
     let req = PeerRequest::ShowJob(job.clone());
     call_owner(cx, &shard, job, req).await
 }
 
 /// Cancels a job. One that has ended or is already being cancelled is returned unchanged.
-pub async fn cancel(cx: &Cx, job: JobId) -> JobAnswer {
+pub async fn cancel(cx: &Cx, job: JobId) -> JobReply {
     let Some(shard) = job.shard() else {
-        return JobAnswer::Refused(Refusal::UnknownJob(job));
+        return JobReply::Refused(Refusal::UnknownJob(job));
     };
     let req = PeerRequest::CancelJob(job.clone());
     call_owner(cx, &shard, job, req).await
 }
 
-async fn call_owner(cx: &Cx, shard: &ShardId, job: JobId, req: PeerRequest) -> JobAnswer {
+async fn call_owner(cx: &Cx, shard: &ShardId, job: JobId, req: PeerRequest) -> JobReply {
     let reply = if cx.shards.borrow().contains_key(shard) {
         answer(cx, req).await
     } else {
         let Some(address) = cx.members.borrow().owner_address(shard) else {
-            return JobAnswer::Refused(Refusal::NoOwner {
+            return JobReply::Refused(Refusal::NoOwner {
                 retry_after: NO_OWNER_RETRY,
             });
         };
@@ -111,9 +111,9 @@
         }
     };
     match reply {
-        PeerReply::Job(found) => JobAnswer::Job(job, found),
-        PeerReply::Refused(refusal) => JobAnswer::Refused(refusal),
-        _ => JobAnswer::Unknown,
+        PeerReply::Job(found) => JobReply::Job(job, found),
+        PeerReply::Refused(refusal) => JobReply::Refused(refusal),
+        _ => JobReply::Unknown,
     }
 }
 
@@ -170,7 +170,7 @@
     if let Some(known) = shard.job(&job) {
         return match known.entry == *name {
             true => {
-                let accepted = !shard.journal.is_unaccepted(&job);
+                let accepted = !shard.journal.is_acceptance_pending(&job);
                 reply_when_durable(cx, shard, &job, accepted).await
             }
             false => PeerReply::Refused(Refusal::WrongClass {
@@ -191,7 +191,7 @@
         hold: entry.hold,
     };
     // Wakes placement at once: the job's placement may share the ledger row of its acceptance.
-    shard.placement.notify_one();
+    shard.placement_notify.notify_one();
     let reply = write(cx, shard, &job, accepted).await;
     if matches!(reply, PeerReply::Job(_)) {
         cx.timeline.record(Happening::JobAccepted {
@@ -208,7 +208,7 @@
         Ok(ticket) => ticket,
         Err(e) => return PeerReply::Refused(e.refusal()),
     };
-    reply_for(shard, job, ticket.end_within(write_timeout(cx)).await)
+    reply_for(shard, job, ticket.outcome_within(write_timeout(cx)).await)
 }
 
 /// Replies to a repeated submission or cancellation. Unless the first one is durable, the reply
@@ -216,22 +216,22 @@
 /// reply.
 async fn reply_when_durable(cx: &Cx, shard: &Shard, job: &JobId, is_durable: bool) -> PeerReply {
     if is_durable {
-        return reply_for(shard, job, WriteEnd::Committed);
+        return reply_for(shard, job, WriteOutcome::Committed);
     }
     let end = match shard.propose(cx, Vec::new(), Urgency::Urgent) {
-        Ok(barrier) => barrier.end_within(write_timeout(cx)).await,
-        Err(_) => WriteEnd::Unknown,
+        Ok(barrier) => barrier.outcome_within(write_timeout(cx)).await,
+        Err(_) => WriteOutcome::Unknown,
     };
     reply_for(shard, job, end)
 }
 
-fn reply_for(shard: &Shard, job: &JobId, end: WriteEnd) -> PeerReply {
+fn reply_for(shard: &Shard, job: &JobId, end: WriteOutcome) -> PeerReply {
     match end {
-        WriteEnd::Committed => shard.job(job).map_or(PeerReply::Unknown, PeerReply::Job),
-        WriteEnd::NotWritten => PeerReply::Refused(Refusal::NoOwner {
+        WriteOutcome::Committed => shard.job(job).map_or(PeerReply::Unknown, PeerReply::Job),
+        WriteOutcome::NotWritten => PeerReply::Refused(Refusal::NoOwner {
             retry_after: NO_OWNER_RETRY,
         }),
-        WriteEnd::Unknown => PeerReply::Unknown,
+        WriteOutcome::Unknown => PeerReply::Unknown,
     }
 }
 
@@ -277,8 +277,8 @@
 }
 
 async fn cancel_owned(cx: &Cx, shard: &Rc<Shard>, job: &JobId, found: Job) -> PeerReply {
-    let Some(event) = upkeep::cancel(job, &found) else {
-        let is_durable = !shard.journal.is_unsettled(job);
+    let Some(event) = upkeep::cancel_event(job, &found) else {
+        let is_durable = !shard.journal.has_pending_event(job);
         return reply_when_durable(cx, shard, job, is_durable).await;
     };
     let reply = write(cx, shard, job, event).await;
@@ -296,6 +296,6 @@
     let worker = &placement.worker;
     let address = shard.session(worker, |session| session.address.clone());
     if let Some(address) = address {
-        visits::stop_running(cx, shard, worker, &address, job);
+        polls::stop_running(cx, shard, worker, &address, job);
     }
 }
--- a/src/lapisdrum/daemon/journal.rs
+++ b/src/lapisdrum/daemon/journal.rs
@@ -13,7 +13,7 @@
 use super::{
     Cx,
     index::Index,
-    proposals::{Pending, Proposal, answer},
+    proposals::{Pending, Proposal, complete_waiters},
     registrar::epoch_key,
     snapshots::{self, Snapshot},
 };
@@ -36,7 +36,7 @@
 };
 use tokio::sync::{Notify, oneshot};
 
-pub use super::proposals::{ProposeError, Ticket, Urgency, WriteEnd};
+pub use super::proposals::{ProposeError, Ticket, Urgency, WriteOutcome};
 
 /// First wait before a batch that is not known to be written is tried again.
 const FIRST_RETRY: Duration = Duration::from_millis(50);
@@ -55,7 +55,7 @@
     index: Index,
     queued: VecDeque<Proposal>,
     /// Waiters for the row whose write is in flight.
-    in_flight: Vec<oneshot::Sender<WriteEnd>>,
+    in_flight: Vec<oneshot::Sender<WriteOutcome>>,
     pending: Pending,
     due: Option<Millis>,
     last_write_at: Option<Millis>,
@@ -147,12 +147,12 @@
     }
 
     /// Whether a proposed event about the job is not yet durable.
-    pub fn is_unsettled(&self, job: &JobId) -> bool {
+    pub fn has_pending_event(&self, job: &JobId) -> bool {
         self.inner.borrow().pending.has(job)
     }
 
     /// Whether the job's acceptance is not yet durable.
-    pub fn is_unaccepted(&self, job: &JobId) -> bool {
+    pub fn is_acceptance_pending(&self, job: &JobId) -> bool {
         self.inner.borrow().pending.accepts(job)
     }
 
@@ -180,7 +180,7 @@
         inner
             .state
             .apply_all(&events)
-            .map_err(ProposeError::Misplaced)?;
+            .map_err(ProposeError::InvalidEvent)?;
         inner.index.note(before, &inner.state, now);
         for event in &events {
             inner.pending.add(event);
@@ -198,13 +198,13 @@
     }
 
     /// Stops the ledger: this owner writes nothing more. A row in flight may still be written.
-    pub fn lose(&self) {
+    pub fn stop(&self) {
         let inner = &mut *self.inner.borrow_mut();
         inner.status = WriterStatus::Lost;
         for proposal in inner.queued.drain(..) {
-            let _ = proposal.waiter.send(WriteEnd::NotWritten);
+            let _ = proposal.waiter.send(WriteOutcome::NotWritten);
         }
-        answer(&mut inner.in_flight, WriteEnd::Unknown);
+        complete_waiters(&mut inner.in_flight, WriteOutcome::Unknown);
         self.wakeup.notify_one();
     }
 
@@ -252,13 +252,13 @@
             };
             let outcome = self.append_until_known(cx, &batch, &may_act).await;
             let end = match outcome {
-                AppendOutcome::Committed => WriteEnd::Committed,
-                AppendOutcome::Refused => WriteEnd::NotWritten,
-                AppendOutcome::Lost => WriteEnd::Unknown,
+                AppendOutcome::Committed => WriteOutcome::Committed,
+                AppendOutcome::Refused => WriteOutcome::NotWritten,
+                AppendOutcome::Lost => WriteOutcome::Unknown,
             };
             self.end_batch(&batch, end);
-            if end != WriteEnd::Committed {
-                self.lose();
+            if end != WriteOutcome::Committed {
+                self.stop();
                 return;
             }
             cx.metrics.ledger_writes.inc();
@@ -270,12 +270,12 @@
         }
     }
 
-    fn end_batch(&self, batch: &Batch, end: WriteEnd) {
+    fn end_batch(&self, batch: &Batch, end: WriteOutcome) {
         let inner = &mut *self.inner.borrow_mut();
         for event in &batch.events {
             inner.pending.remove(event);
         }
-        answer(&mut inner.in_flight, end);
+        complete_waiters(&mut inner.in_flight, end);
     }
 
     async fn wait_for_due(&self, cx: &Cx) -> Option<Millis> {
@@ -317,7 +317,7 @@
         inner.due = (!inner.queued.is_empty()).then(|| cx.clock.now());
         if events.is_empty() {
             // There is one write at a time, so everything proposed before is durable.
-            answer(&mut inner.in_flight, WriteEnd::Committed);
+            complete_waiters(&mut inner.in_flight, WriteOutcome::Committed);
             return None;
         }
         let batch = Batch {
--- a/src/lapisdrum/daemon/router.rs
+++ b/src/lapisdrum/daemon/router.rs
@@ -7,7 +7,7 @@
 
 use super::{
     Cx,
-    claims::{self, Begun},
+    claims::{self, ClaimOutcome},
     queue::{self, Reservation},
     spill, supervisor,
 };
@@ -21,7 +21,7 @@
     policy::{retry::Failure, routing::SendOutcome},
     state::{claims::KeptAnswer, ledger::ClaimEnd},
     timeline::event::Happening,
-    worker::client::{Answer, Outgoing, RequestEnd},
+    worker::client::{OutgoingRequest, RequestOutcome, Response},
 };
 use bytes::Bytes;
 use std::{convert::Infallible, rc::Rc, time::Duration};
@@ -64,7 +64,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RunEnd {
     /// The worker's complete answer.
-    Done(RequestId, Answer),
+    Done(RequestId, Response),
     /// An earlier request with the same id ended with this status; its answer was too large to
     /// keep.
     DoneBefore(RequestId, u16),
@@ -95,7 +95,7 @@
 /// have been reported.
 pub async fn finished(cx: &Cx) {
     // The context itself holds one reference.
-    while Rc::strong_count(&cx.in_flight) > 1 || !claims::all_told(cx) {
+    while Rc::strong_count(&cx.in_flight) > 1 || !claims::all_reported(cx) {
         tokio::time::sleep(FINISH_POLL).await;
     }
 }
@@ -128,10 +128,10 @@
     caller_gone: CallerGone,
 ) -> RunEnd {
     let left = deadline.since(cx.clock.now());
-    let claim = match claims::begin(cx, key, &entry.name, left).await {
-        Begun::Claimed(claim) => claim,
-        Begun::Ended(end) => return first_outcome(req, key, end),
-        Begun::Refused(refusal) => return RunEnd::Refused(refusal),
+    let claim = match claims::acquire(cx, key, &entry.name, left).await {
+        ClaimOutcome::Claimed(claim) => claim,
+        ClaimOutcome::Ended(end) => return first_outcome(req, key, end),
+        ClaimOutcome::Refused(refusal) => return RunEnd::Refused(refusal),
     };
     let end = wait_and_send(cx, entry, req, key.clone(), deadline, caller_gone).await;
     claims::end(cx, key, claim, claim_end(entry, req, &end));
@@ -153,7 +153,7 @@
     match kept.body {
         None => RunEnd::DoneBefore(key.clone(), status),
         Some(body) => {
-            let answer = Answer {
+            let answer = Response {
                 status,
                 content_type: kept.content_type,
                 body: body.into(),
@@ -289,54 +289,54 @@
 ) -> RunEnd {
     let mut next = Some(first);
     while let Some(reservation) = next {
-        let left = deadline.since(cx.clock.now());
-        if left.is_zero() {
+        let time_left = deadline.since(cx.clock.now());
+        if time_left.is_zero() {
             break;
         }
-        let out = Outgoing {
+        let out = OutgoingRequest {
             request: &id,
             entry: &entry.name,
             epoch: cx.floors.borrow().epoch_on(&reservation.worker),
             content_type: req.content_type.as_deref(),
             body: req.body.clone(),
-            left,
-            answer_limit: MAX_ANSWER_BYTES,
+            time_left,
+            max_response_bytes: MAX_ANSWER_BYTES,
         };
         let end = cx.workers.run(&reservation.address, out).await;
         reservation.note_end(routing_end(&end));
         let failure = match end {
-            RequestEnd::Answered(answer) => {
-                cx.line.note_success(&entry.name);
+            RequestOutcome::Answered(answer) => {
+                cx.request_queue.note_success(&entry.name);
                 return RunEnd::Done(id, answer);
             }
-            RequestEnd::Unsent(_) | RequestEnd::NotRun(_) => {
+            RequestOutcome::Unsent(_) | RequestOutcome::NotRun(_) => {
                 drop(reservation);
                 Failure::NotRun
             }
-            RequestEnd::Unknown(why) => {
+            RequestOutcome::Unknown(why) => {
                 reservation.hold_until(deadline + LATE_MARGIN);
                 unknown_reason = Some(why);
                 Failure::Unknown
             }
         };
-        let may_retry = cx.line.try_retry(entry, failure);
+        let may_retry = cx.request_queue.try_retry(entry, failure);
         next = may_retry.then(|| Reservation::take(cx, entry)).flatten();
     }
     let refusal = Refusal::Busy {
-        retry_after: cx.line.retry_after(cx.clock.now()),
+        retry_after: cx.request_queue.retry_after(cx.clock.now()),
     };
     refused_or_unknown(cx, id, refusal, unknown_reason)
 }
 
-fn routing_end(end: &RequestEnd) -> SendOutcome {
+fn routing_end(end: &RequestOutcome) -> SendOutcome {
     match end {
         // A worker that fails at once would otherwise count as the fastest.
-        RequestEnd::Answered(answer) if answer.status >= MIN_SERVER_ERROR_STATUS => {
+        RequestOutcome::Answered(answer) if answer.status >= MIN_SERVER_ERROR_STATUS => {
             SendOutcome::Failed
         }
-        RequestEnd::Answered(_) => SendOutcome::Answered,
-        RequestEnd::NotRun(_) => SendOutcome::Full,
-        RequestEnd::Unsent(_) | RequestEnd::Unknown(_) => SendOutcome::Failed,
+        RequestOutcome::Answered(_) => SendOutcome::Answered,
+        RequestOutcome::NotRun(_) => SendOutcome::Full,
+        RequestOutcome::Unsent(_) | RequestOutcome::Unknown(_) => SendOutcome::Failed,
     }
 }
 
--- a/src/lapisdrum/daemon/shard.rs
+++ b/src/lapisdrum/daemon/shard.rs
@@ -2,11 +2,11 @@
 
 use super::{
     Cx,
-    journal::{Journal, ProposeError, Ticket, Urgency, WriteEnd},
-    pressure::{self, Pressure},
-    registrar,
+    journal::{Journal, ProposeError, Ticket, Urgency, WriteOutcome},
+    mitigation::{self, MitigationState},
+    polls, registrar,
     sessions::Session,
-    snapshots, starts, supervisor, upkeep, visits,
+    snapshots, starts, supervisor, upkeep,
 };
 use crate::{
     core::{
@@ -49,11 +49,11 @@
     /// Number of the last floor exchange seen from each daemon.
     pub grant_rounds: RefCell<IndexMap<Holder, u64>>,
     /// When each earlier owner that did not release the shard was found to have ended.
-    pub owners_gone: RefCell<IndexMap<Epoch, Millis>>,
+    pub owners_ended: RefCell<IndexMap<Epoch, Millis>>,
     /// Interference estimates, health of workers and jobs, and the state of mitigation.
-    pub pressure: RefCell<Pressure>,
+    pub mitigation: RefCell<MitigationState>,
     /// Notified when a waiting job may have become placeable.
-    pub placement: Notify,
+    pub placement_notify: Notify,
     row: RefCell<(u64, ShardRow)>,
     /// The row of a renewal whose reply was lost, and when it was first sent.
     unconfirmed: RefCell<Option<(ShardRow, Millis)>>,
@@ -79,9 +79,9 @@
             since: tenure.renewed_at,
             sessions: RefCell::default(),
             grant_rounds: RefCell::default(),
-            owners_gone: RefCell::default(),
-            pressure: RefCell::default(),
-            placement: Notify::new(),
+            owners_ended: RefCell::default(),
+            mitigation: RefCell::default(),
+            placement_notify: Notify::new(),
             row: RefCell::new((row_version, row)),
             unconfirmed: RefCell::default(),
             tenure: Cell::new(tenure),
@@ -150,9 +150,9 @@
 
     /// Ends this ownership locally; the shard's row is not written.
     pub fn mark_lost(&self) {
-        self.journal.lose();
+        self.journal.stop();
         self.lost.send_replace(true);
-        self.placement.notify_one();
+        self.placement_notify.notify_one();
     }
 
     /// Prepares a release: stops starts and renewals, and writes the owner's last event. If it
@@ -166,7 +166,7 @@
         }
         let ended = Event::OwnerEnded { epoch: self.epoch };
         if let Ok(ticket) = self.journal.propose(cx, vec![ended], Urgency::Urgent) {
-            ticket.end().await;
+            ticket.outcome().await;
         }
     }
 
@@ -241,7 +241,7 @@
     let Ok(ticket) = shard.journal.propose(cx, vec![started], Urgency::Urgent) else {
         return;
     };
-    if ticket.end().await != WriteEnd::Committed {
+    if ticket.outcome().await != WriteOutcome::Committed {
         return;
     }
     shard.serving.set(true);
@@ -251,10 +251,10 @@
     });
     log::info!("shard {} is served at epoch {}", shard.id, shard.epoch);
     futures::join!(
-        visits::poll_workers(cx, shard),
+        polls::poll_workers(cx, shard),
         starts::place_jobs(cx, shard),
         upkeep::run(cx, shard),
-        pressure::watch(cx, shard)
+        mitigation::watch(cx, shard)
     );
     // The shard is being released; its last event may still be in flight.
     std::future::pending().await
--- a/src/lapisdrum/daemon/spill.rs
+++ b/src/lapisdrum/daemon/spill.rs
@@ -22,8 +22,8 @@
         id::{DaemonId, EntryName, RequestId},
         time::Millis,
     },
-    peer::wire::{PeerReply, PeerRequest, SpilledEnd, SpilledRun},
-    worker::client::Answer,
+    peer::wire::{ForwardedOutcome, ForwardedRequest, PeerReply, PeerRequest},
+    worker::client::Response,
 };
 use indexmap::IndexMap;
 use rand::seq::IndexedRandom;
@@ -39,7 +39,7 @@
 /// Peers that did not serve a request of an entry, because they were full or gave no usable reply,
 /// with the time of the call.
 #[derive(Debug, Default)]
-pub struct FullPeers(RefCell<IndexMap<(DaemonId, EntryName), Millis>>);
+pub struct UnavailablePeers(RefCell<IndexMap<(DaemonId, EntryName), Millis>>);
 
 /// Outcome of a hop.
 enum HopOutcome {
@@ -88,7 +88,7 @@
     id: &RequestId,
     left: Duration,
 ) -> HopOutcome {
-    let run = SpilledRun {
+    let run = ForwardedRequest {
         request: id.clone(),
         entry: entry.name.clone(),
         body: req.body.to_vec(),
@@ -98,27 +98,29 @@
     };
     let call = cx.peers.call_within(address, PeerRequest::Run(run), left);
     match call.await {
-        Ok(PeerReply::Ran(SpilledEnd::Done {
+        Ok(PeerReply::Ran(ForwardedOutcome::Done {
             status,
             content_type,
             body,
         })) => HopOutcome::Ended(RunEnd::Done(
             id.clone(),
-            Answer {
+            Response {
                 status,
                 content_type,
                 body: body.into(),
             },
         )),
-        Ok(PeerReply::Ran(SpilledEnd::Refused(_)) | PeerReply::Refused(_)) => HopOutcome::NotRun,
-        Ok(PeerReply::Ran(SpilledEnd::Unknown(why))) => HopOutcome::Unknown(why),
+        Ok(PeerReply::Ran(ForwardedOutcome::Refused(_)) | PeerReply::Refused(_)) => {
+            HopOutcome::NotRun
+        }
+        Ok(PeerReply::Ran(ForwardedOutcome::Unknown(why))) => HopOutcome::Unknown(why),
         Ok(_) => HopOutcome::Unknown("the other daemon gave another answer".to_owned()),
         Err(e) if e.is_unsent() => HopOutcome::NotRun,
         Err(e) => HopOutcome::Unknown(e.to_string()),
     }
 }
 
-/// A random live daemon that is not in [`FullPeers`] for the entry: of this data centre if
+/// A random live daemon that is not in [`UnavailablePeers`] for the entry: of this data centre if
 /// `is_local`, else of another.
 fn choose_peer(cx: &Cx, entry: &EntryName, is_local: bool) -> Option<(DaemonId, String)> {
     let now = cx.clock.now();
@@ -133,7 +135,7 @@
         false => members.all_read_at,
     };
     let read_at = read_at.unwrap_or(now);
-    let full = cx.full_peers.0.borrow();
+    let full = cx.unavailable_peers.0.borrow();
     let daemons = members.daemons.iter().filter(|(name, seen)| {
         let asked_at = full.get(&((*name).clone(), entry.clone()));
         let is_full = asked_at.is_some_and(|asked_at| now.since(*asked_at) < FULL_BACKOFF);
@@ -147,13 +149,13 @@
 
 fn note_full(cx: &Cx, peer: DaemonId, entry: &EntryName) {
     let now = cx.clock.now();
-    let mut full = cx.full_peers.0.borrow_mut();
+    let mut full = cx.unavailable_peers.0.borrow_mut();
     full.retain(|_, asked_at| now.since(*asked_at) < FULL_BACKOFF);
     full.insert((peer, entry.clone()), now);
 }
 
 /// Serves a request that another daemon forwarded.
-pub async fn answer(cx: &Cx, run: SpilledRun) -> SpilledEnd {
+pub async fn answer(cx: &Cx, run: ForwardedRequest) -> ForwardedOutcome {
     let req = RunRequest {
         entry: run.entry,
         body: run.body.into(),
@@ -163,13 +165,13 @@
         caller: run.caller,
     };
     match router::run_spilled(cx, req, run.request).await {
-        RunEnd::Done(_, answer) => SpilledEnd::Done {
+        RunEnd::Done(_, answer) => ForwardedOutcome::Done {
             status: answer.status,
             content_type: answer.content_type,
             body: answer.body.to_vec(),
         },
-        RunEnd::Refused(refusal) => SpilledEnd::Refused(refusal),
-        RunEnd::Unknown(_, why) => SpilledEnd::Unknown(why),
-        RunEnd::DoneBefore(..) => SpilledEnd::Unknown("served before".to_owned()),
+        RunEnd::Refused(refusal) => ForwardedOutcome::Refused(refusal),
+        RunEnd::Unknown(_, why) => ForwardedOutcome::Unknown(why),
+        RunEnd::DoneBefore(..) => ForwardedOutcome::Unknown("served before".to_owned()),
     }
 }
--- a/tests/testsuite/daemon/journal.rs
+++ b/tests/testsuite/daemon/journal.rs
@@ -9,7 +9,7 @@
     },
     daemon::{
         Cx, Daemon,
-        journal::{Journal, Urgency, WriteEnd},
+        journal::{Journal, Urgency, WriteOutcome},
         registrar::{EpochRow, epoch_key},
         snapshots::{self, pointer_key},
     },
@@ -125,7 +125,7 @@
     .await;
     // Now that the owner may act again, it finds the epoch of another.
     may_act.set(true);
-    assert_ne!(ticket.end().await, WriteEnd::NotWritten);
+    assert_ne!(ticket.outcome().await, WriteOutcome::NotWritten);
 }
 
 /// An owner that never sent a row reports it as not written once another owner has taken over.
@@ -138,7 +138,10 @@
     let ticket = journal.propose(&bench.cx, vec![bench.accepted(1)], Urgency::Urgent);
     let next = bench.take(2).await;
     may_act.set(true);
-    assert_eq!(ticket.expect("taken").end().await, WriteEnd::NotWritten);
+    assert_eq!(
+        ticket.expect("taken").outcome().await,
+        WriteOutcome::NotWritten
+    );
     assert_eq!(next.state().jobs.len(), 0);
 }
 
@@ -158,10 +161,10 @@
         let events = vec![bench.accepted(n)];
         let ticket = journal.propose(&bench.cx, events, Urgency::Urgent);
         let end = match ticket {
-            Ok(ticket) => ticket.end().await,
+            Ok(ticket) => ticket.outcome().await,
             Err(e) => panic!("not taken: {e:?}"),
         };
-        assert_eq!(end, WriteEnd::Committed);
+        assert_eq!(end, WriteOutcome::Committed);
         // At once, and at times when steps of a snapshot may be in flight.
         for pause_ms in [0, 1, 2, 5] {
             tokio::time::sleep(Duration::from_millis(pause_ms)).await;
--- a/tests/testsuite/properties/grants.rs
+++ b/tests/testsuite/properties/grants.rs
@@ -112,7 +112,7 @@
             return ByWorker::default();
         }
         let part = |w: u8| {
-            grants::even_part(
+            grants::even_share(
                 &worker_capacity(),
                 SHARE_PERCENT,
                 usize::from(d + w),
@@ -172,7 +172,7 @@
             Op::Exchange(d, delivery) => self.exchange(d, delivery),
             Op::StartRequest(d, w) => {
                 let floors = &mut self.daemons[usize::from(d)];
-                if floors.has_room(&worker(w), &request()) {
+                if floors.has_capacity(&worker(w), &request()) {
                     floors.take(&worker(w), &request());
                 }
             }
