--- a/src/lapisdrum/sched/edge.rs
+++ b/src/lapisdrum/sched/edge.rs
@@ -1,9 +1,9 @@
-//! Interfaces to the systems that the scheduler depends on: a store, workers, and a directory of workers
-//! and queues. One trait each; an implementation decodes a wire format into these types.
+//! Interfaces to the systems that the scheduler depends on: a store, workers, and a directory of
+//! workers and queues. One trait each; an implementation decodes a wire format into these types.
 //!
-//! Every call that changes state has one of three outcomes that callers must distinguish: it took effect,
-//! it did not and never will, or the outcome is unknown. A call with an unknown outcome may still be carried
-//! out seconds later, so its outcome is resolved by later reads and never assumed.
+//! Every call that changes state has one of three outcomes that callers must distinguish: it took
+//! effect, it did not and never will, or the outcome is unknown. A call with an unknown outcome may
+//! still be carried out seconds later, so its outcome is resolved by later reads and never assumed.
 
 use super::{
     event::{RunEnd, RunId, WorkerIncarnation},
@@ -88,9 +88,11 @@
 /// Outcome of a transaction.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TxnOutcome {
-    /// It took effect. Carries the store's version counter afterwards, no less than the versions of the written rows.
+    /// It took effect. Carries the store's version counter afterwards, no less than the versions of
+    /// the written rows.
     Committed(u64),
-    /// A precondition failed and nothing was written. Carries the existing rows of [`Txn::expect`] as they are now.
+    /// A precondition failed and nothing was written. Carries the existing rows of [`Txn::expect`]
+    /// as they are now.
     Conflict(Vec<Row>),
     /// The store reported that it did nothing, or was never reached.
     NotDone(CallError),
@@ -223,8 +225,8 @@
     pub checkpoint: Option<String>,
     /// Progress of the work, or of the start-up of a long-running task, in percent.
     pub percent: u32,
-    /// Tail latency in milliseconds for a task that serves users, CPU use in millicores for any other task;
-    /// approximate and half a second old.
+    /// Tail latency in milliseconds for a task that serves users, CPU use in millicores for any
+    /// other task; approximate and half a second old.
     pub gauge: u64,
 }
 
@@ -297,7 +299,8 @@
         worker: &'a str,
         order: &'a StartOrder,
     ) -> LocalBoxFuture<'a, OrderOutcome<WorkerMillis>>;
-    /// Stops a run; once done, the worker never starts it afterwards, even if the start order arrives late.
+    /// Stops a run; once done, the worker never starts it afterwards, even if the start order
+    /// arrives late.
     fn stop<'a>(
         &'a self,
         address: &'a str,
--- a/src/lapisdrum/sched/evacuation.rs
+++ b/src/lapisdrum/sched/evacuation.rs
@@ -1,17 +1,20 @@
 //! Evacuated data centres, on whose workers operators want no more starts.
 //!
-//! Running tasks continue to their end, and the data centre's daemons still serve callers; only new starts go to
-//! other data centres. An evacuation removes the free capacity of a whole data centre at once, so placement, submission
-//! and the load that is reported to other shards all use [`Evacuations::allows_starts`].
+//! Running tasks continue to their end, and the data centre's daemons still serve callers; only new
+//! starts go to other data centres. An evacuation removes the free capacity of a whole data centre
+//! at once, so placement, submission and the load that is reported to other shards all use
+//! [`Evacuations::allows_starts`].
 //!
-//! A daemon acts on its last successful read. If its reads fail, it would continue to start tasks in a data centre that
-//! has been evacuated since, so with a read older than the configured bound it starts nothing in any data centre.
+//! A daemon acts on its last successful read. If its reads fail, it would continue to start tasks
+//! in a data centre that has been evacuated since, so with a read older than the configured bound
+//! it starts nothing in any data centre.
 
 use crate::core::time::Millis;
 use indexmap::IndexMap;
 use std::time::Duration;
 
-/// Lower limit of the maximum age of a read: several polls, so that one failed read stops no starts.
+/// Lower limit of the maximum age of a read: several polls, so that one failed read stops no
+/// starts.
 const MIN_READ_AGE_LIMIT: Duration = Duration::from_millis(2_000);
 
 /// Evacuation of one data centre.
@@ -53,7 +56,8 @@
 }
 
 impl Evacuations {
-    /// Records the versions of the requests by data centre, as read by a call sent at `read_sent_at`; returns the changes.
+    /// Records the versions of the requests by data centre, as read by a call sent at
+    /// `read_sent_at`; returns the changes.
     pub fn note(
         &mut self,
         read: &IndexMap<String, u64>,
@@ -92,8 +96,9 @@
         changes
     }
 
-    /// Whether tasks may be started in a data centre. An evacuation must be in force within `bound` of its
-    /// acknowledgement; `transit` is the longest time that a start order takes to reach a worker.
+    /// Whether tasks may be started in a data centre. An evacuation must be in force within `bound`
+    /// of its acknowledgement; `transit` is the longest time that a start order takes to reach a
+    /// worker.
     pub fn allows_starts(
         &self,
         data_centre: &str,
--- a/src/lapisdrum/sched/event.rs
+++ b/src/lapisdrum/sched/event.rs
@@ -101,7 +101,8 @@
             /// Time of the cancellation, in Unix milliseconds.
             at_unix_ms: u64,
         },
-        /// A job was transferred from its home shard to one with more free capacity for long-running tasks.
+        /// A job was transferred from its home shard to one with more free capacity for
+        /// long-running tasks.
         Sent {
             /// The transferred job.
             job: JobId,
--- a/src/lapisdrum/sched/front.rs
+++ b/src/lapisdrum/sched/front.rs
@@ -1,8 +1,9 @@
 //! Forwards callers' requests to the leaseholder of the job's shard and returns the outcome.
 //!
-//! A refusal is final: the job never runs. So a submission is refused only when it was certainly not accepted;
-//! without an answer from the owner the outcome is reported as unknown, and a repeated submission finds the job.
-//! Without a reachable owner a request is refused at once, with the time until an owner is expected.
+//! A refusal is final: the job never runs. So a submission is refused only when it was certainly
+//! not accepted; without an answer from the owner the outcome is reported as unknown, and a
+//! repeated submission finds the job. Without a reachable owner a request is refused at once, with
+//! the time until an owner is expected.
 
 use super::{
     Cx, ShardHandle,
@@ -20,18 +21,20 @@
 use futures::FutureExt;
 use std::{cmp::Reverse, rc::Rc, time::Duration};
 
-/// Timeout of a call to the owner. The owner's timeout for the store is a little shorter, so that it can answer.
+/// Timeout of a call to the owner. The owner's timeout for the store is a little shorter, so that
+/// it can answer.
 const OWNER_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Longest wait for a submission that the owner reports as in flight; below the callers' timeout of 3 s.
+/// Longest wait for a submission that the owner reports as in flight; below the callers' timeout of
+/// 3 s.
 const IN_FLIGHT_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// Time during which an owner that left a call unanswered is not called again, unless another takes over:
-/// callers are refused at once instead of timing out for the seconds until its lease lapses.
+/// Time during which an owner that left a call unanswered is not called again, unless another takes
+/// over: callers are refused at once instead of timing out for the seconds until its lease lapses.
 const OWNER_BACKOFF: Duration = Duration::from_millis(700);
-/// Retry delay for callers while a shard has no reachable owner: a take-over takes 0.3 s after a requested shutdown
-/// and 1 to 2 s after a failure.
+/// Retry delay for callers while a shard has no reachable owner: a take-over takes 0.3 s after a
+/// requested shutdown and 1 to 2 s after a failure.
 const NO_OWNER_RETRY: Duration = Duration::from_secs(1);
-/// Retry delay for callers while the layout is not known: at a deployment's first start, or while the store
-/// can't be read after a restart.
+/// Retry delay for callers while the layout is not known: at a deployment's first start, or while
+/// the store can't be read after a restart.
 const NO_LAYOUT_RETRY: Duration = Duration::from_secs(1);
 /// Delay before the lease is read again after a call that did not reach the owner.
 const RETRY_DELAY: Duration = Duration::from_millis(60);
@@ -91,7 +94,8 @@
     };
     let outcome = match asked {
         OwnerCall::Answered(OwnerReply::Submitted(SubmitReply::Accepted)) => Outcome::Done(()),
-        // The job may have been accepted in the meantime, whatever the last answer was; a refusal could be wrong.
+        // The job may have been accepted in the meantime, whatever the last answer was; a refusal
+        // could be wrong.
         _ if was_in_flight => Outcome::Unknown,
         OwnerCall::Answered(OwnerReply::Submitted(SubmitReply::Busy(wait))) => {
             Outcome::Refused(wait)
@@ -140,8 +144,9 @@
     outcome
 }
 
-/// Calls `ask` for the shards that may have a job, the likeliest first. The job is unknown only if all of them
-/// report so: the home of a job with data on a rack follows from that rack, not from the job's id.
+/// Calls `ask` for the shards that may have a job, the likeliest first. The job is unknown only if
+/// all of them report so: the home of a job with data on a rack follows from that rack, not from
+/// the job's id.
 async fn ask_home_shards<T>(
     cx: &Cx,
     job: JobId,
@@ -182,7 +187,8 @@
     Outcome::Done(sum)
 }
 
-/// Share of a shard's capacity taken by long-running tasks, in thousandths; none without an answer from its owner.
+/// Share of a shard's capacity taken by long-running tasks, in thousandths; none without an answer
+/// from its owner.
 pub async fn long_running_load(cx: &Cx, handle: &Rc<ShardHandle>) -> Option<u32> {
     match ask_owner(cx, handle, OwnerRequest::Load).await {
         OwnerCall::Answered(OwnerReply::Load(load)) => load,
@@ -202,7 +208,8 @@
     }
 }
 
-/// Number of the `wanted` tasks for which a shard offers free capacity; none without an answer from its owner.
+/// Number of the `wanted` tasks for which a shard offers free capacity; none without an answer from
+/// its owner.
 pub async fn free_capacity_offer(
     cx: &Cx,
     handle: &Rc<ShardHandle>,
--- a/src/lapisdrum/sched/job.rs
+++ b/src/lapisdrum/sched/job.rs
@@ -1,7 +1,8 @@
 //! Validated types of job graphs: a job is a graph of steps, a step is a number of identical tasks.
 //!
-//! The interfaces to callers convert a [`RawJob`] to a [`JobSpec`] by `TryFrom`; later code relies on that and doesn't
-//! validate again. All these types are persisted, so fields are only ever added, with a default.
+//! The interfaces to callers convert a [`RawJob`] to a [`JobSpec`] by `TryFrom`; later code relies
+//! on that and doesn't validate again. All these types are persisted, so fields are only ever
+//! added, with a default.
 
 use crate::{core::size::Size, policy::dispatch::interference::StepKey};
 use std::{fmt, str::FromStr};
@@ -14,7 +15,8 @@
 pub const MAX_PAYLOAD_BYTES: usize = 4_000;
 
 scalar! {
-    /// Id of a job, chosen by its caller so that a repeated submission is recognised. As text, 16 hexadecimal digits.
+    /// Id of a job, chosen by its caller so that a repeated submission is recognised. As text, 16
+    /// hexadecimal digits.
     pub struct JobId(pub u64);
 
     /// Id of a task. As text, its four fields separated by dots.
@@ -29,7 +31,8 @@
         pub index: u32,
     }
 
-    /// Number of a start of a task, from 1. A worker refuses a number that is not above those of the task's ended runs.
+    /// Number of a start of a task, from 1. A worker refuses a number that is not above those of
+    /// the task's ended runs.
     #[derive(Default)]
     pub struct RunNumber(pub u32);
 }
@@ -188,7 +191,8 @@
         pub is_speculative: bool,
         /// Whether the tasks run until the job is cancelled.
         pub is_long_running: bool,
-        /// Maximum number of tasks of a long-running step that the scheduler may have stopped at the same time.
+        /// Maximum number of tasks of a long-running step that the scheduler may have stopped at
+        /// the same time.
         pub disruption_budget: Option<u32>,
         /// The image that the tasks run; tasks of one image are assumed to behave alike.
         pub image: Option<String>,
@@ -236,11 +240,13 @@
         pub queue: String,
         /// The pool of workers that runs the queue's tasks.
         pub pool: String,
-        /// Priority of the queue's jobs; 0 is the most urgent, and its tasks may displace those of others.
+        /// Priority of the queue's jobs; 0 is the most urgent, and its tasks may displace those of
+        /// others.
         pub priority: u32,
         /// Number of failed runs of one task at which the job fails; 0 counts as 1.
         pub attempts: u32,
-        /// Factor in thousandths by which the longest chain of work is multiplied in [`Self::objective_ms`].
+        /// Factor in thousandths by which the longest chain of work is multiplied in
+        /// [`Self::objective_ms`].
         pub stretch_milli: u64,
         /// Time that is added to the objective, in milliseconds.
         pub target_ms: u64,
@@ -353,9 +359,10 @@
     }
 }
 
-/// For each step, the estimated work on the longest chain that starts with it, in milliseconds. A step is given by its
-/// own estimate and the indexes of the steps that it depends on. Computed from the last step to the first, since the
-/// number of chains grows exponentially in graphs in which many steps join.
+/// For each step, the estimated work on the longest chain that starts with it, in milliseconds. A
+/// step is given by its own estimate and the indexes of the steps that it depends on. Computed from
+/// the last step to the first, since the number of chains grows exponentially in graphs in which
+/// many steps join.
 pub fn chains_ms<'a>(
     steps: impl DoubleEndedIterator<Item = (u64, &'a [u16])> + ExactSizeIterator,
 ) -> Vec<u64> {
@@ -372,7 +379,8 @@
 }
 
 impl QueueConfig {
-    /// Longest time from submission to completion, in milliseconds, at which a job with this longest chain is on time.
+    /// Longest time from submission to completion, in milliseconds, at which a job with this
+    /// longest chain is on time.
     pub fn objective_ms(&self, chain_ms: u64) -> u64 {
         chain_ms * self.stretch_milli / 1_000 + self.target_ms
     }
--- a/src/lapisdrum/sched/journal.rs
+++ b/src/lapisdrum/sched/journal.rs
@@ -1,16 +1,18 @@
 //! Writer of a shard's journal: group commit into rows of one partition of the store.
 //!
-//! Load pattern: about 400 events/s from one shard (1,500 events/s on the larger deployments) on a store that takes
-//! 200 transactions/s per partition, 10 ms each, one after another. One row per event would exceed the partition's
-//! limit, so events that arrive while a transaction is in flight share the next one. Spacing transactions by
-//! [`MIN_WRITE_INTERVAL`] limits a shard to 50 calls/s and adds half of the spacing to a start on average. A store that
-//! is 60 times slower takes 3 transactions/s, so each one carries all rows that have accumulated: with one row per
+//! Load pattern: about 400 events/s from one shard (1,500 events/s on the larger deployments) on a
+//! store that takes 200 transactions/s per partition, 10 ms each, one after another. One row per
+//! event would exceed the partition's limit, so events that arrive while a transaction is in flight
+//! share the next one. Spacing transactions by [`MIN_WRITE_INTERVAL`] limits a shard to 50 calls/s
+//! and adds half of the spacing to a start on average. A store that is 60 times slower takes 3
+//! transactions/s, so each one carries all rows that have accumulated: with one row per
 //! transaction, starts would be blocked behind the run ends that arrive meanwhile.
 //!
-//! The rows of a transaction are written on two conditions: the fence row still has the version from this owner's
-//! take-over, and no rows exist at their sequence numbers. [`resolution`](super::resolution) interprets the replies. Events
-//! change the owner's state when they are appended; their external effects (a reply to a caller, an order to a
-//! worker) wait for the [`Ticket`].
+//! The rows of a transaction are written on two conditions: the fence row still has the version
+//! from this owner's take-over, and no rows exist at their sequence numbers.
+//! [`resolution`](super::resolution) interprets the replies. Events change the owner's state when
+//! they are appended; their external effects (a reply to a caller, an order to a worker) wait for
+//! the [`Ticket`].
 
 use super::{
     Cx,
@@ -34,25 +36,28 @@
 const SNAPSHOT_KEY: &str = "latest";
 /// Minimum time between the starts of two transactions; see the module documentation.
 const MIN_WRITE_INTERVAL: Duration = Duration::from_millis(20);
-/// Maximum size of a row with several events. The store takes 64 KiB, and events are not split: a job of 64 steps
-/// with its payload has up to 20 KiB.
+/// Maximum size of a row with several events. The store takes 64 KiB, and events are not split: a
+/// job of 64 steps with its payload has up to 20 KiB.
 const MAX_ROW_BYTES: usize = 40 * 1024;
 /// Maximum rows per transaction: encoded as text, they stay below the store's limit of 1 MB.
 const MAX_ROWS_PER_TXN: usize = 16;
-/// Minimum time that a transaction may be in flight before the store counts as unavailable and new jobs are refused.
-/// The limit grows with the duration of the last transaction: a store that is 60 times slower than usual is still
-/// available, and a lower limit would refuse submissions that it would accept.
+/// Minimum time that a transaction may be in flight before the store counts as unavailable and new
+/// jobs are refused. The limit grows with the duration of the last transaction: a store that is 60
+/// times slower than usual is still available, and a lower limit would refuse submissions that it
+/// would accept.
 const MIN_STALL_TIMEOUT: Duration = Duration::from_millis(800);
-/// Upper bound of that limit, however slow the last transaction was, so that callers do not wait longer.
+/// Upper bound of that limit, however slow the last transaction was, so that callers do not wait
+/// longer.
 const MAX_STALL_TIMEOUT: Duration = Duration::from_millis(2_000);
 /// First and longest delay before a transaction with an unknown outcome is sent again.
 const RETRY_DELAYS: (Duration, Duration) = (Duration::from_millis(60), Duration::from_millis(500));
 /// Rows between two snapshots, so that a new owner reads at most two pages of rows.
 const SNAPSHOT_INTERVAL_ROWS: u64 = 400;
-/// A store that takes longer than this for a transaction is slow, and snapshots are postponed: each costs the
-/// partition seven transactions, which the journal rows need then.
+/// A store that takes longer than this for a transaction is slow, and snapshots are postponed: each
+/// costs the partition seven transactions, which the journal rows need then.
 const FAST_TXN: Duration = Duration::from_millis(100);
-/// Rows after which a snapshot is stored even if the store is slow: reading more would delay the next owner longer.
+/// Rows after which a snapshot is stored even if the store is slow: reading more would delay the
+/// next owner longer.
 const MAX_ROWS_SINCE_SNAPSHOT: u64 = 4 * SNAPSHOT_INTERVAL_ROWS;
 /// Maximum rows deleted per transaction; the store takes 100 entries.
 const MAX_DELETES_PER_TXN: usize = 95;
@@ -79,7 +84,8 @@
 pub enum AppendOutcome {
     /// The events are in the store.
     Durable,
-    /// This owner has lost the shard. Whether the events are in the store is known to the next owner only.
+    /// This owner has lost the shard. Whether the events are in the store is known to the next
+    /// owner only.
     Lost,
 }
 
@@ -99,8 +105,9 @@
     tx: Option<oneshot::Sender<AppendOutcome>>,
 }
 
-/// A row that is written in the same transaction as the next journal rows. A partition of a slow store takes
-/// 3 transactions/s, and a separate lease renewal would take one of them from the journal.
+/// A row that is written in the same transaction as the next journal rows. A partition of a slow
+/// store takes 3 transactions/s, and a separate lease renewal would take one of them from the
+/// journal.
 pub struct Piggyback {
     /// Key of the row.
     pub row: RowKey,
@@ -166,7 +173,8 @@
 }
 
 impl Journal {
-    /// Creates the journal of partition `partition`. Every write is conditional on `fence`, a key and its version.
+    /// Creates the journal of partition `partition`. Every write is conditional on `fence`, a key
+    /// and its version.
     pub fn new(partition: &str, fence: (RowKey, u64)) -> Self {
         Self {
             partition: partition.to_owned(),
@@ -177,8 +185,9 @@
         }
     }
 
-    /// Appends events in the order in which they were applied to the state; the ticket is for the last one. The events
-    /// share a row up to its maximum size, which a pass that places a thousand tasks exceeds.
+    /// Appends events in the order in which they were applied to the state; the ticket is for the
+    /// last one. The events share a row up to its maximum size, which a pass that places a thousand
+    /// tasks exceeds.
     pub fn append(&self, events: &[Event]) -> Ticket {
         let (tx, rx) = oneshot::channel();
         let mut inner = self.inner.borrow_mut();
@@ -200,7 +209,8 @@
         Ticket(rx)
     }
 
-    /// Whether the journal accepts new work: the shard is not lost, and no transaction is in flight beyond the limit.
+    /// Whether the journal accepts new work: the shard is not lost, and no transaction is in flight
+    /// beyond the limit.
     pub fn accepts_work(&self, now: Millis) -> bool {
         let stall_timeout = self.stall_timeout();
         let inner = self.inner.borrow();
@@ -208,8 +218,8 @@
         !inner.is_lost && waited.is_none_or(|waited| waited < stall_timeout)
     }
 
-    /// Time that an append may take before the store counts as unavailable: twice the duration of the last
-    /// transaction, within bounds.
+    /// Time that an append may take before the store counts as unavailable: twice the duration of
+    /// the last transaction, within bounds.
     pub fn stall_timeout(&self) -> Duration {
         let slow = self.inner.borrow().last_duration * 2;
         slow.clamp(MIN_STALL_TIMEOUT, MAX_STALL_TIMEOUT)
@@ -237,12 +247,14 @@
         if let Some((piggyback, _)) = waiting {
             return PiggybackOutcome::NotTaken(piggyback);
         }
-        // The row was sent. Without the outcome its version would be unknown and the next piggyback would conflict.
+        // The row was sent. Without the outcome its version would be unknown and the next piggyback
+        // would conflict.
         rx.await
             .map_or(PiggybackOutcome::Lost, PiggybackOutcome::Ended)
     }
 
-    /// Whether the store was fast in the last transaction, so that it has capacity beyond the journal's needs.
+    /// Whether the store was fast in the last transaction, so that it has capacity beyond the
+    /// journal's needs.
     pub fn is_store_fast(&self) -> bool {
         self.inner.borrow().last_duration < FAST_TXN
     }
@@ -256,11 +268,11 @@
         self.snapshot_work.notify_one();
     }
 
-    /// Rebuilds the state from the snapshot and rows of earlier owners. The fence was raised before, so they cannot
-    /// add rows any more.
+    /// Rebuilds the state from the snapshot and rows of earlier owners. The fence was raised
+    /// before, so they cannot add rows any more.
     pub async fn recover(&self, cx: &Cx) -> eyre::Result<Ledger> {
-        // Concurrent, since nothing is started meanwhile: on a store that is 60 times slower, each read takes a third
-        // of a second.
+        // Concurrent, since nothing is started meanwhile: on a store that is 60 times slower, each
+        // read takes a third of a second.
         let rows = cx.store.rows(JOURNAL_TABLE, &self.partition, "");
         let (snapshot, rows) = futures::join!(self.read_snapshot(cx), rows);
         let (mut ledger, covered) = snapshot?;
@@ -304,10 +316,11 @@
         pointer.wrap_err("the snapshot pointer is malformed")
     }
 
-    /// Writes appended events and snapshots until the shard is lost. `state` returns the serialised state after all
-    /// events that were appended so far.
+    /// Writes appended events and snapshots until the shard is lost. `state` returns the serialised
+    /// state after all events that were appended so far.
     pub async fn write_all(&self, cx: &Cx, state: impl Fn() -> Vec<u8>) {
-        // Concurrent: a snapshot takes as long as several transactions and would block starts meanwhile.
+        // Concurrent: a snapshot takes as long as several transactions and would block starts
+        // meanwhile.
         let rows = self.write_rows(cx, state).boxed_local();
         let snapshots = self.store_snapshots(cx).boxed_local();
         // Either ends only if the shard is lost. A snapshot without a pointer is never read.
@@ -364,8 +377,8 @@
         Some(batch)
     }
 
-    /// Records that the rows up to `last` are committed. Returns whether a snapshot is due, which requires that the
-    /// state has no events beyond these rows.
+    /// Records that the rows up to `last` are committed. Returns whether a snapshot is due, which
+    /// requires that the state has no events beyond these rows.
     fn note_written(&self, last: u64, took: Duration) -> bool {
         let mut inner = self.inner.borrow_mut();
         inner.in_flight_since = None;
@@ -462,8 +475,8 @@
         }
     }
 
-    /// Stores the state as of row `number` and deletes the rows that it covers. Failures are left to the next
-    /// snapshot; recovery skips covered rows that were not deleted.
+    /// Stores the state as of row `number` and deletes the rows that it covers. Failures are left
+    /// to the next snapshot; recovery skips covered rows that were not deleted.
     async fn store_snapshot(&self, cx: &Cx, number: u64, state: Bytes) {
         let before = self.read_pointer(cx).await;
         let pointer = SnapshotPointer {
@@ -481,7 +494,8 @@
             put: vec![(self.key(SNAPSHOT_TABLE, SNAPSHOT_KEY), value.into())],
             delete: Vec::new(),
         };
-        // Unless the commit is confirmed, the rows are kept: without the new pointer, deleting them would lose events.
+        // Unless the commit is confirmed, the rows are kept: without the new pointer, deleting them
+        // would lose events.
         if !matches!(cx.store.commit(&txn).await, TxnOutcome::Committed(_)) {
             return;
         }
@@ -522,7 +536,8 @@
     }
 }
 
-/// Removes as many appends as fit into one row, adds their senders to `waiting` and returns the encoded row.
+/// Removes as many appends as fit into one row, adds their senders to `waiting` and returns the
+/// encoded row.
 fn take_row(
     pending: &mut VecDeque<PendingAppend>,
     waiting: &mut Vec<oneshot::Sender<AppendOutcome>>,
--- a/src/lapisdrum/sched/layout.rs
+++ b/src/lapisdrum/sched/layout.rs
@@ -1,12 +1,14 @@
 //! Assignment of racks and jobs to shards. The shard that a job is assigned to is its home.
 //!
-//! Load pattern: one owner handles some 500 starts per second on half a core; with 490 workers its passes over all
-//! hosts alone took a third of its time, and each change of the owner stopped all work for two seconds. With
-//! several shards an owner has only some of the racks and jobs, and its failure stops only these.
+//! Load pattern: one owner handles some 500 starts per second on half a core; with 490 workers its
+//! passes over all hosts alone took a third of its time, and each change of the owner stopped all
+//! work for two seconds. With several shards an owner has only some of the racks and jobs, and its
+//! failure stops only these.
 //!
-//! The layout is a row in the store. The first daemon of a deployment writes it, and from then on racks are only
-//! added: an assigned rack stays with its shard, so that no worker is ever claimed by two owners, and the number of
-//! shards never changes, so that every daemon derives the same home from a job's id.
+//! The layout is a row in the store. The first daemon of a deployment writes it, and from then on
+//! racks are only added: an assigned rack stays with its shard, so that no worker is ever claimed
+//! by two owners, and the number of shards never changes, so that every daemon derives the same
+//! home from a job's id.
 
 use super::{
     Cx,
@@ -20,10 +22,12 @@
 const LAYOUT_TABLE: &str = "layout";
 const LAYOUT_PARTITION: &str = "layout";
 const LAYOUT_KEY: &str = "shards";
-/// Time between two reads of the workers before the first layout is written: they are assumed to be complete when
-/// two successive reads return the same number. Workers register within a third of a second of their start.
+/// Time between two reads of the workers before the first layout is written: they are assumed to be
+/// complete when two successive reads return the same number. Workers register within a third of a
+/// second of their start.
 const WORKER_READ_INTERVAL: Duration = Duration::from_millis(600);
-/// Number of reads after which the first layout is written even if the number of workers still changes.
+/// Number of reads after which the first layout is written even if the number of workers still
+/// changes.
 const MAX_WORKER_READS: usize = 5;
 /// Delay before the layout is read again after a failure.
 const RETRY_DELAY: Duration = Duration::from_millis(300);
@@ -57,9 +61,9 @@
 }
 
 impl Layout {
-    /// Creates the first layout, with enough shards for `workers_per_shard` workers each. Each pool needs a rack in
-    /// every shard, as otherwise jobs could have a home without any worker for them; so there are no more shards than
-    /// the pool with the fewest racks has racks.
+    /// Creates the first layout, with enough shards for `workers_per_shard` workers each. Each pool
+    /// needs a rack in every shard, as otherwise jobs could have a home without any worker for
+    /// them; so there are no more shards than the pool with the fewest racks has racks.
     pub fn first(workers: &[WorkerReport], workers_per_shard: usize) -> Self {
         let wanted = workers.len().div_ceil(workers_per_shard.max(1));
         let mut pools: IndexMap<&str, IndexSet<&str>> = IndexMap::new();
@@ -80,8 +84,8 @@
         layout
     }
 
-    /// Assigns each rack without a shard to the shard with the fewest workers of its pool. Returns whether there
-    /// were any.
+    /// Assigns each rack without a shard to the shard with the fewest workers of its pool. Returns
+    /// whether there were any.
     pub fn assign_racks(&mut self, workers: &[WorkerReport]) -> bool {
         let mut racks: IndexMap<(&str, &str), usize> = IndexMap::new();
         for worker in workers {
@@ -127,9 +131,9 @@
         ShardId((mixed % u64::from(self.shards.max(1))) as u16)
     }
 
-    /// The home of a submitted job: the shard of the first of its data racks, or else by its id. Only racks of the
-    /// first layout count: daemons may differ in the later racks that they know, and a repeated submission would get
-    /// another home and run a second time.
+    /// The home of a submitted job: the shard of the first of its data racks, or else by its id.
+    /// Only racks of the first layout count: daemons may differ in the later racks that they know,
+    /// and a repeated submission would get another home and run a second time.
     pub fn home(&self, job: JobId, spec: &JobSpec) -> ShardId {
         let mut racks = spec
             .steps
@@ -173,7 +177,8 @@
     Ok(Some((layout, row.version)))
 }
 
-/// Replaces the layout of this version, 0 for none. When two daemons race, the loser reads the winner's layout.
+/// Replaces the layout of this version, 0 for none. When two daemons race, the loser reads the
+/// winner's layout.
 async fn write(cx: &Cx, layout: &Layout, version: u64) -> eyre::Result<()> {
     let txn = Txn {
         expect: vec![(key(), version)],
@@ -227,8 +232,8 @@
     }
 }
 
-/// Assigns racks that the layout doesn't contain. Only the owner of the first shard may do so (`may_assign`); other
-/// processes read the layout that it wrote.
+/// Assigns racks that the layout doesn't contain. Only the owner of the first shard may do so
+/// (`may_assign`); other processes read the layout that it wrote.
 pub async fn extend(cx: &Cx, workers: &[WorkerReport], may_assign: bool) {
     let is_known = |layout: &Layout| workers.iter().all(|w| layout.owner_of(w).is_some());
     if cx.layout.borrow().as_deref().is_none_or(is_known) {
--- a/src/lapisdrum/sched/lease.rs
+++ b/src/lapisdrum/sched/lease.rs
@@ -1,12 +1,13 @@
 //! Ownership of a shard: a lease row in the store, and a fence row that only a take-over writes.
 //!
-//! Every daemon polls both rows; the owner renews the lease row. A lease whose row stays unchanged for [`LEASE`] on
-//! the reader's own clock has lapsed, and any daemon may take the shard over by a conditional write. The version of
-//! the fence row is the new owner's fencing token: versions come from one counter for the whole store, so it is
-//! greater than every earlier token.
+//! Every daemon polls both rows; the owner renews the lease row. A lease whose row stays unchanged
+//! for [`LEASE`] on the reader's own clock has lapsed, and any daemon may take the shard over by a
+//! conditional write. The version of the fence row is the new owner's fencing token: versions come
+//! from one counter for the whole store, so it is greater than every earlier token.
 //!
-//! The lease only decides when another daemon may try to take over. What an owner may still do is decided by the
-//! fence at the store and the token at the workers, so a daemon that resumes after a freeze can do no harm.
+//! The lease only decides when another daemon may try to take over. What an owner may still do is
+//! decided by the fence at the store and the token at the workers, so a daemon that resumes after a
+//! freeze can do no harm.
 
 use super::{
     Cx, ShardHandle,
@@ -23,20 +24,24 @@
 pub const OWNERS_TABLE: &str = "owners";
 const LEASE_KEY: &str = "lease";
 const FENCE_KEY: &str = "fence";
-/// Time between two polls of the rows. Together with [`LEASE`] it determines how soon a failed owner is replaced.
+/// Time between two polls of the rows. Together with [`LEASE`] it determines how soon a failed
+/// owner is replaced.
 const POLL: Duration = Duration::from_millis(300);
 /// Minimum pause between two polls if there are several shards.
 const MIN_PAUSE: Duration = Duration::from_millis(150);
-/// Maximum number of shards that a daemon polls in every round. With [`MIN_PAUSE`] and one further shard per round,
-/// each is polled every 1.35 s, which is within a [`LEASE`].
+/// Maximum number of shards that a daemon polls in every round. With [`MIN_PAUSE`] and one further
+/// shard per round, each is polled every 1.35 s, which is within a [`LEASE`].
 const MAX_POLLED_PER_ROUND: usize = 8;
-/// Delay of a take-over for each shard that the daemon owns already. Less than the delay of a host with half of
-/// [`SUFFICIENT_CPU_SHARE`], since two shards on half a core perform better than one on an eighth.
+/// Delay of a take-over for each shard that the daemon owns already. Less than the delay of a host
+/// with half of [`SUFFICIENT_CPU_SHARE`], since two shards on half a core perform better than one
+/// on an eighth.
 const DELAY_PER_OWNED_SHARD: Duration = Duration::from_millis(400);
-/// Time between two renewals. The lease survives two lost renewals, or one on a store that is 60 times slower.
+/// Time between two renewals. The lease survives two lost renewals, or one on a store that is 60
+/// times slower.
 const RENEW: Duration = Duration::from_millis(400);
-/// Duration of the lease. It is the larger part of the time without an owner, in which nothing starts. A lapse under
-/// a live owner costs a recovery of 0.15 s. Workers' leases last 6 s, so tasks survive both.
+/// Duration of the lease. It is the larger part of the time without an owner, in which nothing
+/// starts. A lapse under a live owner costs a recovery of 0.15 s. Workers' leases last 6 s, so
+/// tasks survive both.
 pub const LEASE: Duration = Duration::from_millis(1_500);
 /// Share of a core from which a host does not delay a take-over.
 const SUFFICIENT_CPU_SHARE: f64 = 0.25;
@@ -44,31 +49,36 @@
 const MAX_CPU_DELAY: Duration = Duration::from_millis(1_500);
 /// Age from which rows are too old to infer a lapse from: two polls plus the time limit of a call.
 const STALE_AFTER: Duration = Duration::from_millis(1_900);
-/// Time without a change from which the holder is suspected, since one renewal is missing. The holder is then probed,
-/// so that a killed owner is replaced without waiting for the rest of its lease, of which this is less than half.
+/// Time without a change from which the holder is suspected, since one renewal is missing. The
+/// holder is then probed, so that a killed owner is replaced without waiting for the rest of its
+/// lease, of which this is less than half.
 const SUSPECTED_AFTER: Duration = Duration::from_millis(600);
 /// Time limit of a probe of a suspected holder: many round trips between data centres.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(250);
-/// A daemon whose uptime is shorter by more than this than that of the daemon that released a shard started later.
+/// A daemon whose uptime is shorter by more than this than that of the daemon that released a shard
+/// started later.
 const UPTIME_TOLERANCE: Duration = Duration::from_secs(1);
-/// Take-over delay of a daemon that has run at least as long as the one that released the shard. Releases often come
-/// from a rolling restart, and a daemon that is still to be restarted would release the shard again. Longer than a
-/// poll and its pause.
+/// Take-over delay of a daemon that has run at least as long as the one that released the shard.
+/// Releases often come from a rolling restart, and a daemon that is still to be restarted would
+/// release the shard again. Longer than a poll and its pause.
 const ROLLING_RESTART_DELAY: Duration = Duration::from_millis(350);
-/// Random delay of take-over attempts, so that most daemons see that the shard is taken before they try.
+/// Random delay of take-over attempts, so that most daemons see that the shard is taken before they
+/// try.
 const TAKEOVER_JITTER: Duration = Duration::from_millis(150);
-/// Upper bound of a renewal's duration on a slow store, in durations of a read: the renewal waits for a transaction
-/// with journal rows and is sent with the next one.
+/// Upper bound of a renewal's duration on a slow store, in durations of a read: the renewal waits
+/// for a transaction with journal rows and is sent with the next one.
 const RENEWAL_READ_TIMES: u32 = 5;
 /// Range of the random take-over delay, in durations of a read: others see an attempt after two.
 const JITTER_READ_TIMES: u32 = 10;
 /// Maximum extension of a time limit for a slow store.
 const MAX_SLOW_STORE_ALLOWANCE: Duration = Duration::from_millis(3_000);
-/// Time after which a renewal that no journal transaction has carried is sent in its own transaction.
+/// Time after which a renewal that no journal transaction has carried is sent in its own
+/// transaction.
 const PIGGYBACK_TIMEOUT: Duration = Duration::from_millis(1_200);
 /// Maximum attempts to release a lease.
 const RELEASE_ATTEMPTS: usize = 3;
-/// Time for which a daemon does not take a shard again that it released itself, so that others come first.
+/// Time for which a daemon does not take a shard again that it released itself, so that others come
+/// first.
 const RETAKE_DELAY: Duration = Duration::from_secs(3);
 
 data! {
@@ -97,8 +107,8 @@
 }
 
 impl Holder {
-    /// Whether this is another process at the address of `me`. Only one process can listen there at a time, so the
-    /// process `me` can conclude that the other one has ended.
+    /// Whether this is another process at the address of `me`. Only one process can listen there at
+    /// a time, so the process `me` can conclude that the other one has ended.
     pub fn is_other_run_of(&self, me: &Self) -> bool {
         self.address == me.address && self.incarnation != me.incarnation
     }
@@ -147,9 +157,9 @@
         Ok(())
     }
 
-    /// Returns the holder, unless the lease was released or has lapsed at `now`. A daemon that cannot read the rows
-    /// uses the last known holder: the store may be unavailable to this host only, and a daemon that no longer holds
-    /// the lease says so when it is called.
+    /// Returns the holder, unless the lease was released or has lapsed at `now`. A daemon that
+    /// cannot read the rows uses the last known holder: the store may be unavailable to this host
+    /// only, and a daemon that no longer holds the lease says so when it is called.
     pub fn holder(&self, now: Millis) -> Option<&Holder> {
         let row = self.row.as_ref().filter(|row| !row.is_released)?;
         let is_stale = self.read_at.is_none_or(|at| now.since(at) > STALE_AFTER);
@@ -157,14 +167,16 @@
         (is_held || is_stale).then_some(&row.holder)
     }
 
-    /// Time without a change after which the lease lapses. On a slow store renewals are late too, and after a lapse
-    /// under a live owner every daemon tries to take over in the same partition, which delays the renewals further.
+    /// Time without a change after which the lease lapses. On a slow store renewals are late too,
+    /// and after a lapse under a live owner every daemon tries to take over in the same partition,
+    /// which delays the renewals further.
     fn lapses_after(&self) -> Duration {
         LEASE + (self.answer_took * RENEWAL_READ_TIMES).min(MAX_SLOW_STORE_ALLOWANCE)
     }
 
-    /// Range of the random take-over delay. It is longer on a slow store, where other daemons' attempts become visible
-    /// late, and shorter after a release, since the shard is certainly free.
+    /// Range of the random take-over delay. It is longer on a slow store, where other daemons'
+    /// attempts become visible late, and shorter after a release, since the shard is certainly
+    /// free.
     fn takeover_jitter(&self, is_first_in_line: bool) -> Duration {
         let (least, answers) = match (is_first_in_line, self.is_released()) {
             (true, _) => (Duration::ZERO, 1),
@@ -183,7 +195,8 @@
         self.ended_version == Some(self.version)
     }
 
-    /// Returns the holder to be probed: its renewal is overdue at `now`, but its lease has not lapsed.
+    /// Returns the holder to be probed: its renewal is overdue at `now`, but its lease has not
+    /// lapsed.
     pub fn suspected(&self, now: Millis) -> Option<&Holder> {
         let row = self.row.as_ref().filter(|row| !row.is_released)?;
         let unchanged = now.since(self.since);
@@ -227,8 +240,8 @@
     }
 }
 
-/// Polls the leases in turn and takes over free shards, until the process ends. A daemon polls one shard at a time,
-/// so that its call rate does not grow with the number of shards.
+/// Polls the leases in turn and takes over free shards, until the process ends. A daemon polls one
+/// shard at a time, so that its call rate does not grow with the number of shards.
 pub async fn run(cx: Cx) -> eyre::Result<()> {
     super::layout::load_or_create(&cx).await;
     let shards: Vec<_> = cx.layout.borrow().iter().flat_map(|l| l.all()).collect();
@@ -240,9 +253,10 @@
     Ok(())
 }
 
-/// Order in which a daemon process polls shards. To detect a lapse it must read the same row twice within about a
-/// lease, so with many shards each process polls a few in every round, selected by its incarnation; several daemons
-/// select the same shard. The other shards are polled one per round, in case too few daemons have selected one.
+/// Order in which a daemon process polls shards. To detect a lapse it must read the same row twice
+/// within about a lease, so with many shards each process polls a few in every round, selected by
+/// its incarnation; several daemons select the same shard. The other shards are polled one per
+/// round, in case too few daemons have selected one.
 pub fn poll_order(shards: &[ShardId], incarnation: u64) -> Vec<ShardId> {
     let mut drawn = shards.to_vec();
     drawn.sort_by_cached_key(|shard| {
@@ -282,7 +296,8 @@
     ];
     let wait: Duration = waits.into_iter().sum();
     tokio::time::sleep(wait).await;
-    // Another daemon may have taken the shard over meanwhile; a failing attempt would delay its first journal rows.
+    // Another daemon may have taken the shard over meanwhile; a failing attempt would delay its
+    // first journal rows.
     if wait >= POLL && read(cx, handle).await.is_err() {
         return;
     }
@@ -291,9 +306,10 @@
     }
 }
 
-/// Probes a suspected holder. If its process has ended or was restarted, the rest of its lease need not be awaited. A
-/// connection may also be refused in a network partition while the holder is alive: the take-over is then
-/// unnecessary but safe, since fence and tokens do not depend on the probe.
+/// Probes a suspected holder. If its process has ended or was restarted, the rest of its lease need
+/// not be awaited. A connection may also be refused in a network partition while the holder is
+/// alive: the take-over is then unnecessary but safe, since fence and tokens do not depend on the
+/// probe.
 async fn probe_suspected(cx: &Cx, handle: &ShardHandle) {
     let (suspected, version) = {
         let lease = handle.lease.borrow();
@@ -313,8 +329,8 @@
     }
 }
 
-/// Take-over delay of a host with a small CPU share, so that larger hosts come first: an owner with a small part of a
-/// core falls behind in every burst.
+/// Take-over delay of a host with a small CPU share, so that larger hosts come first: an owner with
+/// a small part of a core falls behind in every burst.
 fn cpu_delay(cpu_share: f64) -> Duration {
     let missing = (SUFFICIENT_CPU_SHARE - cpu_share).max(0.0) / SUFFICIENT_CPU_SHARE;
     MAX_CPU_DELAY.mul_f64(missing)
@@ -399,8 +415,9 @@
     }
 }
 
-/// Releases the lease, so that another daemon takes over at its next poll. A concurrent renewal would make the release
-/// fail and leave the lease to lapse, so renewals are locked out; a failed attempt is repeated.
+/// Releases the lease, so that another daemon takes over at its next poll. A concurrent renewal
+/// would make the release fail and leave the lease to lapse, so renewals are locked out; a failed
+/// attempt is repeated.
 pub async fn release(cx: &Cx, owner: &Rc<Owner>) {
     let _renewing = owner.renewing.lock().await;
     for _ in 0..RELEASE_ATTEMPTS {
@@ -459,8 +476,8 @@
     PiggybackReply { end, sent_at }
 }
 
-/// Resolves a conflict: adopts the version of an earlier renewal whose reply was lost, or gives the shard up if another
-/// daemon owns it.
+/// Resolves a conflict: adopts the version of an earlier renewal whose reply was lost, or gives the
+/// shard up if another daemon owns it.
 fn adopt_version_or_lose(cx: &Cx, owner: &Rc<Owner>, rows: &[Row]) {
     let mut view = LeaseView::default();
     let is_read = view.note(rows, cx.clock.now()).is_ok();
--- a/src/lapisdrum/sched/ledger.rs
+++ b/src/lapisdrum/sched/ledger.rs
@@ -1,8 +1,8 @@
 //! State of a shard's jobs and its transitions, without I/O.
 //!
-//! Events change the state through [`Ledger::apply`] only. It validates each event against the state, so that a
-//! decision based on stale state is rejected before it is journaled and not found when a task runs twice. A replay
-//! of the journal passes the same checks.
+//! Events change the state through [`Ledger::apply`] only. It validates each event against the
+//! state, so that a decision based on stale state is rejected before it is journaled and not found
+//! when a task runs twice. A replay of the journal passes the same checks.
 
 use super::{
     event::{Event, Loss, RunEnd, RunId, WorkerIncarnation},
@@ -41,7 +41,8 @@
         pub is_done: bool,
         /// Runs that may be alive; more than one only if the step is speculative.
         pub live: Vec<LiveRun>,
-        /// Number of the latest run, also of one in the shard that delegated the task; 0 if there was none.
+        /// Number of the latest run, also of one in the shard that delegated the task; 0 if there
+        /// was none.
         pub last_run: RunNumber,
         /// Number of failed runs; those of a gang are counted at its first member.
         pub failures: u32,
@@ -144,8 +145,8 @@
     /// Jobs by id, in the order of their acceptance.
     #[serde(with = "indexmap::map::serde_seq")]
     pub jobs: IndexMap<JobId, Job>,
-    /// Jobs whose home is this shard and that were transferred to another. A repeated submission goes to the same
-    /// shard: if it were chosen by load again, two shards could accept the job.
+    /// Jobs whose home is this shard and that were transferred to another. A repeated submission
+    /// goes to the same shard: if it were chosen by load again, two shards could accept the job.
     #[serde(with = "indexmap::map::serde_seq", default)]
     pub sent: IndexMap<JobId, SentJob>,
 }
@@ -222,8 +223,8 @@
         Ok(())
     }
 
-    /// Delegates a long-running task without a live run. This is not reversible: the other shard may adopt the task at
-    /// any later time.
+    /// Delegates a long-running task without a live run. This is not reversible: the other shard
+    /// may adopt the task at any later time.
     fn delegate(&mut self, id: &TaskId, to: ShardId) -> Result<(), InvalidEvent> {
         let job = self.job_mut(id.job)?;
         let step = job.spec.steps.get(usize::from(id.step));
@@ -239,7 +240,8 @@
         Ok(())
     }
 
-    /// Takes tasks of another shard's job. A repeat changes nothing, nor does one that comes after the job was cancelled.
+    /// Takes tasks of another shard's job. A repeat changes nothing, nor does one that comes after
+    /// the job was cancelled.
     fn adopt(
         &mut self,
         id: JobId,
@@ -302,8 +304,9 @@
         Ok(())
     }
 
-    /// The end of a run that is not live is a repeat and has no effect, except [`RunEnd::Done`]: a run that was given
-    /// up because its worker was unreachable may have completed there, and the work need not be repeated.
+    /// The end of a run that is not live is a repeat and has no effect, except [`RunEnd::Done`]: a
+    /// run that was given up because its worker was unreachable may have completed there, and the
+    /// work need not be repeated.
     fn end(
         &mut self,
         run: &RunId,
@@ -406,8 +409,8 @@
         step.tasks.get_mut(id.index as usize)
     }
 
-    /// Tasks that are delegated to other shards, by shard, with the numbers of their last runs in this one. Empty for a
-    /// guest.
+    /// Tasks that are delegated to other shards, by shard, with the numbers of their last runs in
+    /// this one. Empty for a guest.
     pub fn delegated(&self, id: JobId) -> IndexMap<ShardId, Vec<(TaskId, RunNumber)>> {
         let mut by_shard: IndexMap<ShardId, Vec<(TaskId, RunNumber)>> = IndexMap::new();
         if self.is_guest {
@@ -439,8 +442,9 @@
         self.count_tasks_except(step, |task| task.elsewhere.is_some())
     }
 
-    /// Number of long-running tasks in the first occurrence that have run before, have no live run and are not
-    /// delegated. Tasks that have never run are not counted: they wait for interrupted ones of any shard.
+    /// Number of long-running tasks in the first occurrence that have run before, have no live run
+    /// and are not delegated. Tasks that have never run are not counted: they wait for interrupted
+    /// ones of any shard.
     pub fn interrupted_long_running(&self) -> u64 {
         let steps = self.spec.steps.iter().enumerate();
         let long_running = steps.filter(|(_, step)| step.is_long_running);
@@ -544,7 +548,8 @@
         was_live
     }
 
-    /// A checkpoint of one gang member applies to the whole gang, since all members must start from the same one.
+    /// A checkpoint of one gang member applies to the whole gang, since all members must start from
+    /// the same one.
     fn note_checkpoint(&mut self, run: &RunId, gang: Gang, checkpoint: &str) {
         let Some(step) = self.step_mut(&run.task.step_id()) else {
             return;
--- a/src/lapisdrum/sched/metrics.rs
+++ b/src/lapisdrum/sched/metrics.rs
@@ -38,7 +38,8 @@
     pub rows_written: Counter,
     /// Events journaled.
     pub events: Counter,
-    /// Time from the first attempt to write a journal transaction until its outcome is known, in seconds.
+    /// Time from the first attempt to write a journal transaction until its outcome is known, in
+    /// seconds.
     pub row_seconds: Histogram,
     /// Store calls that failed or got no reply.
     pub store_errors: Counter,
@@ -170,7 +171,8 @@
         self.submits.get_or_create(&labels(queue, outcome)).inc();
     }
 
-    /// Counts a job that has ended; `took_ms` is the time since acceptance and is recorded for completed jobs.
+    /// Counts a job that has ended; `took_ms` is the time since acceptance and is recorded for
+    /// completed jobs.
     pub fn note_job(&self, queue: &str, phase: Phase, took_ms: u64) {
         let outcome = format!("{phase:?}").to_lowercase();
         self.jobs.get_or_create(&labels(queue, &outcome)).inc();
--- a/src/lapisdrum/sched/mod.rs
+++ b/src/lapisdrum/sched/mod.rs
@@ -1,13 +1,15 @@
-//! The scheduler of job graphs. Every entry host runs one process of it; all processes have the same role.
+//! The scheduler of job graphs. Every entry host runs one process of it; all processes have the
+//! same role.
 //!
-//! Every process accepts jobs from callers. Racks and jobs are partitioned into shards ([`layout`]); the *owner* of a
-//! shard keeps its jobs, places their tasks and renews the leases of its workers. Ownership is a lease in the store
-//! that any process may take over ([`lease`]). The owner persists its state as a journal in the store
-//! ([`journal`], [`ledger`]).
+//! Every process accepts jobs from callers. Racks and jobs are partitioned into shards
+//! ([`layout`]); the *owner* of a shard keeps its jobs, places their tasks and renews the leases of
+//! its workers. Ownership is a lease in the store that any process may take over ([`lease`]). The
+//! owner persists its state as a journal in the store ([`journal`], [`ledger`]).
 //!
-//! [`job`], [`event`], [`ledger`] and [`resolution`] do no I/O, nor does [`crate::policy::dispatch`]. [`owner`] drives
-//! them, [`front`] forwards callers' requests to the shard's leaseholder ([`peer`]), and [`edge`] is the interface to
-//! store, workers and directory. Everything runs on one thread; state is never borrowed across an `await`.
+//! [`job`], [`event`], [`ledger`] and [`resolution`] do no I/O, nor does
+//! [`crate::policy::dispatch`]. [`owner`] drives them, [`front`] forwards callers' requests to the
+//! shard's leaseholder ([`peer`]), and [`edge`] is the interface to store, workers and directory.
+//! Everything runs on one thread; state is never borrowed across an `await`.
 
 pub mod edge;
 pub mod evacuation;
@@ -59,7 +61,8 @@
     pub peers: SocketAddr,
     /// Initial addresses of other processes; some may be out of date.
     pub seeds: Vec<SocketAddr>,
-    /// Desired maximum of workers per shard in the layout that is written at a deployment's first start.
+    /// Desired maximum of workers per shard in the layout that is written at a deployment's first
+    /// start.
     pub workers_per_shard: usize,
     /// Limits on the leases of workers.
     pub leases: LeaseLimits,
@@ -182,7 +185,8 @@
         owners.collect()
     }
 
-    /// Whether tasks may be started in a data centre: it is not evacuated, by information that is fresh enough.
+    /// Whether tasks may be started in a data centre: it is not evacuated, by information that is
+    /// fresh enough.
     pub fn allows_starts_in(&self, data_centre: &str) -> bool {
         let (bound, transit) = (self.cfg.evacuated_within, self.cfg.leases.transit);
         let evacuations = self.evacuations.borrow();
@@ -194,14 +198,15 @@
         *self.draining.borrow()
     }
 
-    /// Wall-clock time, in Unix milliseconds. Only for times that are reported to callers or scheduled by
-    /// wall-clock time; durations are measured with [`Self::clock`].
+    /// Wall-clock time, in Unix milliseconds. Only for times that are reported to callers or
+    /// scheduled by wall-clock time; durations are measured with [`Self::clock`].
     pub fn unix_ms(&self) -> u64 {
         let since = SystemTime::now().duration_since(UNIX_EPOCH);
         since.map_or(0, |since| since.as_millis() as u64)
     }
 
-    /// Records the result of a store call, and logs when the store becomes unavailable or available again.
+    /// Records the result of a store call, and logs when the store becomes unavailable or available
+    /// again.
     pub fn note_store(&self, answered: Result<(), &CallError>) {
         self.note_read_rate(answered);
         match answered {
--- a/src/lapisdrum/sched/operators.rs
+++ b/src/lapisdrum/sched/operators.rs
@@ -1,7 +1,7 @@
 //! Polls the directory for operators' changes: the catalogue, and which data centres are evacuated.
 //!
-//! Every daemon polls by itself, so that a change takes effect everywhere without calls between daemons, and a daemon
-//! that takes over a shard already has it.
+//! Every daemon polls by itself, so that a change takes effect everywhere without calls between
+//! daemons, and a daemon that takes over a shard already has it.
 
 use super::{
     Cx,
@@ -45,7 +45,8 @@
     }
 }
 
-/// Adopts a catalogue unless its version is known already or older: answers may arrive out of order.
+/// Adopts a catalogue unless its version is known already or older: answers may arrive out of
+/// order.
 fn adopt_catalogue(cx: &Cx, read: Catalogue) {
     let before = cx.catalogue.borrow().as_ref().map(|known| known.version);
     if before.is_some_and(|before| read.version <= before) {
--- a/src/lapisdrum/sched/owner/backlog.rs
+++ b/src/lapisdrum/sched/owner/backlog.rs
@@ -1,7 +1,8 @@
-//! Logs which tasks wait for capacity in the shard, how the capacity is used and how many tasks were placed meanwhile.
+//! Logs which tasks wait for capacity in the shard, how the capacity is used and how many tasks
+//! were placed meanwhile.
 //!
-//! Each waiting step gets a line with its reason whenever that changes. Whether other tasks were placed before it shows
-//! only in totals: one line per second while tasks wait.
+//! Each waiting step gets a line with its reason whenever that changes. Whether other tasks were
+//! placed before it shows only in totals: one line per second while tasks wait.
 
 use super::Owner;
 use crate::{
@@ -14,8 +15,8 @@
 };
 use std::time::Duration;
 
-/// Minimum time between two checks of why a step waits. With hundreds of waiting steps, each logs a line at most twice
-/// per second, and only when its reason changes.
+/// Minimum time between two checks of why a step waits. With hundreds of waiting steps, each logs a
+/// line at most twice per second, and only when its reason changes.
 const REASON_INTERVAL: Duration = Duration::from_millis(500);
 /// Time between two lines with totals.
 const REPORT_INTERVAL: Duration = Duration::from_secs(1);
--- a/src/lapisdrum/sched/owner/balance.rs
+++ b/src/lapisdrum/sched/owner/balance.rs
@@ -1,12 +1,14 @@
-//! Sends new long-running jobs to the less loaded of two shards: their home shard and another one drawn at random.
+//! Sends new long-running jobs to the less loaded of two shards: their home shard and another one
+//! drawn at random.
 //!
-//! Load pattern: about fifty long-running jobs of ninety cores per shard, which reserve 84 % of it on average and run
-//! for a minute. Placed by a hash alone, the fullest of three shards is more than 90 % reserved; when workers leave,
-//! its tasks wait fifteen seconds while other shards have free capacity. Choosing between two shards balances nearly
-//! as well as choosing the least loaded of all, and costs one call.
+//! Load pattern: about fifty long-running jobs of ninety cores per shard, which reserve 84 % of it
+//! on average and run for a minute. Placed by a hash alone, the fullest of three shards is more
+//! than 90 % reserved; when workers leave, its tasks wait fifteen seconds while other shards have
+//! free capacity. Choosing between two shards balances nearly as well as choosing the least loaded
+//! of all, and costs one call.
 //!
-//! The home shard decides once and journals the decision before it replies. A repeated submission, at any daemon and
-//! any owner, is sent to the same shard, so only one shard accepts the job.
+//! The home shard decides once and journals the decision before it replies. A repeated submission,
+//! at any daemon and any owner, is sent to the same shard, so only one shard accepts the job.
 
 use super::{Owner, jobs::ANSWER_WITHIN};
 use crate::sched::{
@@ -22,13 +24,15 @@
 use rand::Rng;
 use std::{rc::Rc, time::Duration};
 
-/// A shard counts as less loaded if its load is lower by more than this many thousandths: about the share of one
-/// long-running job.
+/// A shard counts as less loaded if its load is lower by more than this many thousandths: about the
+/// share of one long-running job.
 const MIN_LOAD_DIFFERENCE_PERMILLE: u32 = 25;
-/// Timeout of the call for the other shard's load: many round trips. Without a reply the job stays in its home shard.
+/// Timeout of the call for the other shard's load: many round trips. Without a reply the job stays
+/// in its home shard.
 const LOAD_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// Whether a shard with load `own` sends a long-running job to one with load `other`, both in thousandths.
+/// Whether a shard with load `own` sends a long-running job to one with load `other`, both in
+/// thousandths.
 pub fn is_less_loaded(own: u32, other: u32) -> bool {
     other.saturating_add(MIN_LOAD_DIFFERENCE_PERMILLE) < own
 }
@@ -77,7 +81,8 @@
     !ledger.jobs.contains_key(&job) && !ledger.sent.contains_key(&job)
 }
 
-/// Another shard, drawn at random, for a new long-running job; none for other jobs and for those bound to a data rack.
+/// Another shard, drawn at random, for a new long-running job; none for other jobs and for those
+/// bound to a data rack.
 fn candidate(cx: &Cx, owner: &Owner, job: JobId, spec: &JobSpec) -> Option<ShardId> {
     let layout = cx.layout.borrow().clone()?;
     let lasts = spec.steps.iter().any(|step| step.is_long_running);
@@ -106,8 +111,8 @@
 }
 
 impl Owner {
-    /// Processors that active jobs' long-running tasks ask for, in thousandths of the shard's capacity. None before the
-    /// shard is recovered and while no worker is open for tasks.
+    /// Processors that active jobs' long-running tasks ask for, in thousandths of the shard's
+    /// capacity. None before the shard is recovered and while no worker is open for tasks.
     pub fn long_running_load(&self, cx: &Cx) -> Option<u32> {
         if !self.is_recovered() {
             return None;
--- a/src/lapisdrum/sched/owner/delegate.rs
+++ b/src/lapisdrum/sched/owner/delegate.rs
@@ -1,13 +1,15 @@
 //! Delegates interrupted long-running tasks to shards with free capacity.
 //!
-//! Load pattern: long-running tasks reserve more than nine tenths of a shard. When workers are lost, the free capacity
-//! of their shard is too fragmented for the interrupted tasks, while another shard has whole hosts free.
+//! Load pattern: long-running tasks reserve more than nine tenths of a shard. When workers are
+//! lost, the free capacity of their shard is too fragmented for the interrupted tasks, while
+//! another shard has whole hosts free.
 //!
-//! A task without a live run is journaled as delegated before the other shard receives it, and this is never undone:
-//! the call is repeated until the other owner has journaled the task. So a late call, or a crash of either owner,
-//! leaves the task with exactly one shard. The job stays with its shard, which answers callers and sends the job's
-//! end to the other shard until that confirms it. This call lists the tasks too, so a shard that never received them,
-//! or has forgotten them since, starts none.
+//! A task without a live run is journaled as delegated before the other shard receives it, and this
+//! is never undone: the call is repeated until the other owner has journaled the task. So a late
+//! call, or a crash of either owner, leaves the task with exactly one shard. The job stays with its
+//! shard, which answers callers and sends the job's end to the other shard until that confirms it.
+//! This call lists the tasks too, so a shard that never received them, or has forgotten them since,
+//! starts none.
 
 use super::Owner;
 use crate::{
@@ -35,7 +37,8 @@
 const OFFER_TIMEOUT: Duration = Duration::from_millis(150);
 /// A shard offers its free capacity divided by this at a time: its own tasks may need the rest.
 const OFFER_DIVISOR: u64 = 4;
-/// How long an offer counts as taken. On a healthy store the tasks are journaled and adopted within this time.
+/// How long an offer counts as taken. On a healthy store the tasks are journaled and adopted within
+/// this time.
 const OFFER_VALIDITY: Duration = Duration::from_millis(1_000);
 
 /// State of the tasks that an owner delegates.
@@ -94,7 +97,8 @@
     }
 }
 
-/// Reopens delegations from the ledger: a previous owner may have ended before other shards confirmed them.
+/// Reopens delegations from the ledger: a previous owner may have ended before other shards
+/// confirmed them.
 fn reopen(owner: &Owner) {
     let ledger = owner.ledger.borrow();
     let jobs = ledger.jobs.iter();
@@ -308,9 +312,9 @@
         jobs.map(Job::interrupted_long_running).sum()
     }
 
-    /// Offers capacity for up to `wanted` tasks, beyond what the shard's own interrupted tasks need. An offer counts as
-    /// taken for a second, else several shards would delegate tasks to the same few hosts. None while the shard cannot
-    /// place tasks.
+    /// Offers capacity for up to `wanted` tasks, beyond what the shard's own interrupted tasks
+    /// need. An offer counts as taken for a second, else several shards would delegate tasks to the
+    /// same few hosts. None while the shard cannot place tasks.
     pub fn offer_capacity(&self, cx: &Cx, need: &TaskNeed, wanted: u32) -> Option<u32> {
         let room = self.capacity_for(cx, need)?;
         let now = cx.clock.now();
@@ -340,8 +344,8 @@
     }
 }
 
-/// How many tasks of this size fit on a host once its short tasks have ended: of its processors, only those that
-/// serving tasks reserve count as taken.
+/// How many tasks of this size fit on a host once its short tasks have ended: of its processors,
+/// only those that serving tasks reserve count as taken.
 fn capacity_on(host: &Host, size: &Size) -> u64 {
     let room = Size {
         millicores: host.not_serving_millicores(),
--- a/src/lapisdrum/sched/owner/directory.rs
+++ b/src/lapisdrum/sched/owner/directory.rs
@@ -12,7 +12,8 @@
 use indexmap::IndexSet;
 use std::{rc::Rc, time::Duration};
 
-/// Time between two reads of the directory: a worker must get no new tasks from 2 s after it announces that it leaves.
+/// Time between two reads of the directory: a worker must get no new tasks from 2 s after it
+/// announces that it leaves.
 const POLL_INTERVAL: Duration = Duration::from_millis(600);
 
 /// Polls the directory until the shard is lost.
--- a/src/lapisdrum/sched/owner/dispatch.rs
+++ b/src/lapisdrum/sched/owner/dispatch.rs
@@ -1,5 +1,6 @@
 //! Dispatch loop of a shard: collects startable tasks, ranks and places them with
-//! [`crate::policy::dispatch`], journals the placements and orders the starts once these are durable.
+//! [`crate::policy::dispatch`], journals the placements and orders the starts once these are
+//! durable.
 
 use super::{
     Owner,
@@ -31,7 +32,8 @@
 
 /// Minimum time between two passes, so that capacity freed within it is used by one pass.
 const MIN_PASS_INTERVAL: Duration = Duration::from_millis(5);
-/// Maximum time between two passes. Occurrences that fall due and objectives that pass do not wake the loop.
+/// Maximum time between two passes. Occurrences that fall due and objectives that pass do not wake
+/// the loop.
 const MAX_PASS_INTERVAL: Duration = Duration::from_millis(100);
 
 /// A step with tasks that may start.
@@ -85,7 +87,8 @@
         open.cloned().collect()
     }
 
-    /// Whether all workers of the shard are in evacuated data centres, so that nothing can be started.
+    /// Whether all workers of the shard are in evacuated data centres, so that nothing can be
+    /// started.
     pub fn is_evacuated(&self, cx: &Cx) -> bool {
         let (sessions, evacuations) = (self.sessions.borrow(), cx.evacuations.borrow());
         let mut registered = sessions
@@ -370,8 +373,9 @@
     }
 }
 
-/// The image of a best-effort step, else none. Once a best-effort step does not fit, a pass skips the others of its
-/// image: the same hosts would refuse them, and checking every host once per image is enough.
+/// The image of a best-effort step, else none. Once a best-effort step does not fit, a pass skips
+/// the others of its image: the same hosts would refuse them, and checking every host once per
+/// image is enough.
 fn best_effort_image(owner: &Owner, step: &StepId) -> Option<String> {
     let ledger = owner.ledger.borrow();
     let spec = &ledger.jobs[&step.job].spec.steps[usize::from(step.step)];
--- a/src/lapisdrum/sched/owner/estimates.rs
+++ b/src/lapisdrum/sched/owner/estimates.rs
@@ -1,11 +1,13 @@
-//! Shares the interference model of a shard: with its next owner through a row in the store, with the owners of other
-//! shards through calls.
+//! Shares the interference model of a shard: with its next owner through a row in the store, with
+//! the owners of other shards through calls.
 //!
-//! The estimates are advisory. Without a valid recent row, the next owner takes some seconds to measure them again;
-//! without a reply, another owner does so for the pairs that it has not measured itself.
+//! The estimates are advisory. Without a valid recent row, the next owner takes some seconds to
+//! measure them again; without a reply, another owner does so for the pairs that it has not
+//! measured itself.
 //!
-//! Load pattern: several shards run the same images, each on its own workers. Without sharing, each shard would have to
-//! measure every pair of images itself, at the expense of tasks that serve users.
+//! Load pattern: several shards run the same images, each on its own workers. Without sharing, each
+//! shard would have to measure every pair of images itself, at the expense of tasks that serve
+//! users.
 
 use super::Owner;
 use crate::{
@@ -25,19 +27,21 @@
 const ESTIMATES_TABLE: &str = "learned";
 /// Key of that row in the shard's partition.
 const MODEL_KEY: &str = "pressure";
-/// Time between two writes; estimates newer than the last write are lost with an owner that crashes.
+/// Time between two writes; estimates newer than the last write are lost with an owner that
+/// crashes.
 const WRITE_INTERVAL: Duration = Duration::from_millis(2_500);
 /// Maximum size of the row; the store's limit is 64 KiB. Four hundred pairs take 40 KiB.
 const MAX_ROW_BYTES: usize = 60 * 1024;
-/// Time between two calls to other owners, one shard after the other. A reply has about 6 KB at most, and with five
-/// shards an update reaches all owners within 2 s.
+/// Time between two calls to other owners, one shard after the other. A reply has about 6 KB at
+/// most, and with five shards an update reaches all owners within 2 s.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(400);
 
 data! {
     /// Time up to which an owner's updates were received, on that owner's clock.
     #[derive(Copy)]
     pub struct ReceivedVersions {
-        /// Fencing token of the owner. Another owner has another clock, so its times cannot be compared.
+        /// Fencing token of the owner. Another owner has another clock, so its times cannot be
+        /// compared.
         token: u64,
         /// Everything older was received.
         at: Millis,
@@ -52,8 +56,8 @@
     }
 }
 
-/// Estimates that this owner measured itself since `upto`, or all of them if `upto` is from another owner. None before
-/// the shard is recovered.
+/// Estimates that this owner measured itself since `upto`, or all of them if `upto` is from another
+/// owner. None before the shard is recovered.
 pub fn updates_since(
     cx: &Cx,
     owner: &Owner,
--- a/src/lapisdrum/sched/owner/headroom.rs
+++ b/src/lapisdrum/sched/owner/headroom.rs
@@ -1,5 +1,5 @@
-//! Counts the processors that short tasks of the shard hold and wait for, and computes how many that leaves for new
-//! long-running tasks ([`crate::policy::dispatch::short_work`]).
+//! Counts the processors that short tasks of the shard hold and wait for, and computes how many
+//! that leaves for new long-running tasks ([`crate::policy::dispatch::short_work`]).
 
 use super::{
     Owner,
@@ -22,7 +22,8 @@
     }
 }
 
-/// The class under which a step's short tasks are counted; none for long-running and best-effort tasks.
+/// The class under which a step's short tasks are counted; none for long-running and best-effort
+/// tasks.
 pub fn short_class(terms: &QueueConfig, step: &Step) -> Option<Class> {
     let is_short = !step.is_long_running && load_of(step) != Load::BestEffort;
     is_short.then(|| class_of(terms))
--- a/src/lapisdrum/sched/owner/interference.rs
+++ b/src/lapisdrum/sched/owner/interference.rs
@@ -1,5 +1,5 @@
-//! Watches the tail latency of serving tasks, and throttles or stops best-effort tasks on their hosts that interfere
-//! with them.
+//! Watches the tail latency of serving tasks, and throttles or stops best-effort tasks on their
+//! hosts that interfere with them.
 
 use super::{
     Owner,
@@ -26,26 +26,28 @@
 use indexmap::IndexMap;
 use std::{rc::Rc, time::Duration};
 
-/// Tail latency starts to reflect the start or end of a task after this time, and reflects it fully after
-/// [`EFFECT_FULL_AFTER`]: the reported value covers half a second and is smoothed.
+/// Tail latency starts to reflect the start or end of a task after this time, and reflects it fully
+/// after [`EFFECT_FULL_AFTER`]: the reported value covers half a second and is smoothed.
 const EFFECT_STARTS_AFTER: Duration = Duration::from_millis(200);
 /// See [`EFFECT_STARTS_AFTER`].
 const EFFECT_FULL_AFTER: Duration = Duration::from_millis(900);
-/// Expected duration of a best-effort task as a multiple of its estimate, until it reports progress.
+/// Expected duration of a best-effort task as a multiple of its estimate, until it reports
+/// progress.
 const DURATION_FACTOR: f64 = 1.3;
 /// Least progress, in percent, from which the remaining time is extrapolated.
 const MIN_PROGRESS_PERCENT: f64 = 5.0;
-/// When a host's idle processors are computed, the load of a serving task is the maximum over this many forecast
-/// points.
+/// When a host's idle processors are computed, the load of a serving task is the maximum over this
+/// many forecast points.
 const LOAD_POINTS: usize = 3;
-/// After a best-effort task was throttled or stopped, its host gets no other one for this long, since tail latency
-/// still reflects the former state. Shorter than [`EFFECT_FULL_AFTER`], because placement also uses the forecast; longer
-/// leaves hosts with free capacity empty.
+/// After a best-effort task was throttled or stopped, its host gets no other one for this long,
+/// since tail latency still reflects the former state. Shorter than [`EFFECT_FULL_AFTER`], because
+/// placement also uses the forecast; longer leaves hosts with free capacity empty.
 const CLOSED_AFTER_MITIGATION: Duration = Duration::from_millis(400);
 /// How long a host gets no best-effort tasks after all of them were stopped.
 const CLOSED_AFTER_CLEARING: Duration = Duration::from_millis(3_000);
 
-/// Updates the interference model with a worker's poll response, and mitigates interference on that worker.
+/// Updates the interference model with a worker's poll response, and mitigates interference on that
+/// worker.
 pub fn note_poll_response(
     cx: &Cx,
     owner: &Rc<Owner>,
@@ -86,7 +88,8 @@
     session.overload.note(tails, now)
 }
 
-/// Updates the interference model and the loads of serving tasks with the tail latencies of a poll response.
+/// Updates the interference model and the loads of serving tasks with the tail latencies of a poll
+/// response.
 fn note_tails(owner: &Owner, worker: &str, response: &PollResponse, now: Millis) {
     let beside = visible_aggressors(owner, worker, now);
     let mut runs = owner.runs.borrow_mut();
@@ -155,7 +158,8 @@
     (age / whole).min(1.0)
 }
 
-/// Aggressors on a host, including ended ones, each weighted by how far tail latency reflects it at `now`.
+/// Aggressors on a host, including ended ones, each weighted by how far tail latency reflects it at
+/// `now`.
 fn visible_aggressors(owner: &Owner, worker: &str, now: Millis) -> Vec<Aggressor> {
     let capacity = capacity_of(owner, worker);
     let mut sessions = owner.sessions.borrow_mut();
@@ -197,8 +201,8 @@
 }
 
 impl RunRecord {
-    /// Notes the processors that a best-effort task uses, once it has run unthrottled long enough. Tasks use two thirds
-    /// or more of what they ask for, and interfere by what they use.
+    /// Notes the processors that a best-effort task uses, once it has run unthrottled long enough.
+    /// Tasks use two thirds or more of what they ask for, and interfere by what they use.
     fn note_use(&mut self, millicores: u64, now: Millis) {
         let is_settled =
             self.cpu_limit_percent == 100 && now.since(self.since) >= EFFECT_FULL_AFTER;
@@ -207,7 +211,8 @@
         }
     }
 
-    /// Estimated time until the run ends if it is not throttled: from its progress, else from its estimate.
+    /// Estimated time until the run ends if it is not throttled: from its progress, else from its
+    /// estimate.
     fn left(&self, now: Millis) -> Duration {
         let usual = expected_duration(self.estimate_ms);
         let seen = self.first_progress.zip(self.progress);
@@ -224,12 +229,14 @@
         left.saturating_sub(now.since(at))
     }
 
-    /// The processors that it uses when not throttled, in thousandths; what it asks for until that is measured.
+    /// The processors that it uses when not throttled, in thousandths; what it asks for until that
+    /// is measured.
     fn unthrottled_millicores(&self) -> u64 {
         self.used_millicores.unwrap_or(self.size.millicores)
     }
 
-    /// The run as an aggressor on a host with this capacity, if it is best-effort and its start was sent.
+    /// The run as an aggressor on a host with this capacity, if it is best-effort and its start was
+    /// sent.
     pub fn aggressor(&self, millicores: u64) -> Option<Aggressor> {
         self.aggressor_at(millicores, self.cpu_limit_percent)
     }
@@ -246,7 +253,8 @@
 }
 
 impl RunRecord {
-    /// Like [`RunRecord::aggressor`], weighted by how far tail latency reflects its start and its last CPU limit.
+    /// Like [`RunRecord::aggressor`], weighted by how far tail latency reflects its start and its
+    /// last CPU limit.
     fn visible_aggressor(&self, millicores: u64, now: Millis) -> Option<Aggressor> {
         let at_full = self.aggressor_at(millicores, 100)?;
         let (before, at) = self.previous_cpu_limit;
@@ -260,7 +268,8 @@
     }
 }
 
-/// The best-effort runs on a host with what mitigation needs to know of them, and its serving tasks by step.
+/// The best-effort runs on a host with what mitigation needs to know of them, and its serving tasks
+/// by step.
 fn on_host(
     owner: &Owner,
     worker: &str,
@@ -304,7 +313,8 @@
     (ids, best_effort, serving.into_values().collect())
 }
 
-/// Serving tasks on a host, by step, with their utilisation forecast, for the placement of further tasks.
+/// Serving tasks on a host, by step, with their utilisation forecast, for the placement of further
+/// tasks.
 pub fn serving_groups(
     owner: &Owner,
     worker: &str,
@@ -358,7 +368,8 @@
 }
 
 impl RunRecord {
-    /// Like [`RunRecord::aggressor`] for a run that is not throttled, also before its start is sent.
+    /// Like [`RunRecord::aggressor`] for a run that is not throttled, also before its start is
+    /// sent.
     fn planned_aggressor(&self, millicores: u64) -> Option<Aggressor> {
         let image = self.image.filter(|_| self.load == Load::BestEffort)?;
         Some(Aggressor {
@@ -421,7 +432,8 @@
             .workers
             .set_cpu_limit(&address, &worker, run, percent, token)
             .await;
-        // Without a confirmed order the old limit counts, so that a later poll response can order it again.
+        // Without a confirmed order the old limit counts, so that a later poll response can order
+        // it again.
         if !matches!(end, OrderOutcome::Done(_))
             && let Some(record) = owner.runs.borrow_mut().get_mut(&run)
         {
--- a/src/lapisdrum/sched/owner/jobs.rs
+++ b/src/lapisdrum/sched/owner/jobs.rs
@@ -21,7 +21,8 @@
 /// Retry delay for callers that are refused while the store does not accept rows.
 const STORE_AWAY_RETRY: Duration = Duration::from_secs(1);
 
-/// Retry delay for callers while every data centre is evacuated; operators need at least seconds to restore one.
+/// Retry delay for callers while every data centre is evacuated; operators need at least seconds to
+/// restore one.
 const EVACUATED_RETRY: Duration = Duration::from_secs(5);
 
 /// Accepts a job. A repeated submission of the same id returns the state of the existing job.
@@ -143,7 +144,8 @@
             owner.note_if_ended(cx, job);
             ticket
         }
-        // An empty append is durable once all earlier ones are; an earlier cancellation may not be durable yet.
+        // An empty append is durable once all earlier ones are; an earlier cancellation may not be
+        // durable yet.
         Some(_) => owner.journal.append(&[]),
     };
     match tokio::time::timeout(owner.journal.stall_timeout(), ticket.outcome()).await {
--- a/src/lapisdrum/sched/owner/mod.rs
+++ b/src/lapisdrum/sched/owner/mod.rs
@@ -1,10 +1,11 @@
-//! The owner of a shard: keeps the state of its jobs, places their tasks and renews the workers' leases.
+//! The owner of a shard: keeps the state of its jobs, places their tasks and renews the workers'
+//! leases.
 //!
-//! An owner first reads the journal, then *claims* each worker: it polls the worker under its own fencing
-//! token, after which the worker refuses orders of earlier owners, and receives the list of runs there. It
-//! starts nothing on a worker before that. [`directory`] follows the list of workers, [`poll`] polls
-//! each of them, [`runs`] sends orders and resolves their outcome, [`dispatch`] places tasks, [`jobs`]
-//! serves callers.
+//! An owner first reads the journal, then *claims* each worker: it polls the worker under its own
+//! fencing token, after which the worker refuses orders of earlier owners, and receives the list of
+//! runs there. It starts nothing on a worker before that. [`directory`] follows the list of
+//! workers, [`poll`] polls each of them, [`runs`] sends orders and resolves their outcome,
+//! [`dispatch`] places tasks, [`jobs`] serves callers.
 
 pub mod backlog;
 pub mod balance;
@@ -79,7 +80,8 @@
     pub previous_owner_renewed_at: Millis,
     /// Latest time at which the previous owner can have taken the shard.
     pub previous_owner_took_at: Millis,
-    /// No earlier owner sent a lease after this time; set once the previous owner is known to have ended.
+    /// No earlier owner sent a lease after this time; set once the previous owner is known to have
+    /// ended.
     pub previous_owner_ended_at: Cell<Option<Millis>>,
     /// When a worker last left an order unanswered and answered a later call.
     late_execution_at: Cell<Option<Millis>>,
@@ -195,21 +197,23 @@
         self.status.get() == Status::Serving
     }
 
-    /// Whether no other daemon can have taken the shard yet, so that a job unknown here is unknown everywhere.
-    /// An owner that is cut off from the store still receives requests from callers that are cut off with it,
-    /// while another owner accepts jobs.
+    /// Whether no other daemon can have taken the shard yet, so that a job unknown here is unknown
+    /// everywhere. An owner that is cut off from the store still receives requests from callers
+    /// that are cut off with it, while another owner accepts jobs.
     pub fn is_sole_owner(&self, cx: &Cx) -> bool {
         let since_renewal = cx.clock.now().since(self.renewed_at.get());
         self.is_recovered() && since_renewal < lease::LEASE
     }
 
-    /// Whether workers' leases may still be renewed: only within the hold time that the next owner waits out.
+    /// Whether workers' leases may still be renewed: only within the hold time that the next owner
+    /// waits out.
     pub fn may_renew(&self, cx: &Cx) -> bool {
         let since_renewal = cx.clock.now().since(self.renewed_at.get());
         self.is_serving() && since_renewal < cx.cfg.leases.owner_hold
     }
 
-    /// Until when runs of earlier owners may be alive on a worker that has not answered this owner yet.
+    /// Until when runs of earlier owners may be alive on a worker that has not answered this owner
+    /// yet.
     fn inherited_bound(&self, cx: &Cx) -> LeaseBound {
         let mut bound = LeaseBound::inherited(self.previous_owner_renewed_at, &cx.cfg.leases);
         if let Some(at) = self.previous_owner_ended_at.get() {
@@ -253,8 +257,8 @@
         log::warn!(shard:% = self.handle.partition, token = self.token(), why; "shard is lost");
     }
 
-    /// Applies events to the ledger and appends the valid ones to the journal. An invalid event comes from a
-    /// decision on stale state; it is dropped and logged.
+    /// Applies events to the ledger and appends the valid ones to the journal. An invalid event
+    /// comes from a decision on stale state; it is dropped and logged.
     pub fn propose(&self, cx: &Cx, events: Vec<Event>) -> Ticket {
         let mut fitting = Vec::with_capacity(events.len());
         for event in events {
@@ -371,7 +375,8 @@
     log::info!(shard:% = owner.handle.partition, token = owner.token(), jobs, runs, took_ms; "shard recovered");
 }
 
-/// Stops runs of ended jobs: the previous owner may have ended between a job's end and the stop orders.
+/// Stops runs of ended jobs: the previous owner may have ended between a job's end and the stop
+/// orders.
 fn stop_runs_of_ended_jobs(cx: &Cx, owner: &Rc<Owner>) {
     let ledger = owner.ledger.borrow();
     let ended = ledger
--- a/src/lapisdrum/sched/owner/poll.rs
+++ b/src/lapisdrum/sched/owner/poll.rs
@@ -1,9 +1,9 @@
 //! Polls a worker continuously: ended runs, live runs and its clock; renews its leases.
 //!
-//! Each worker nearly always has one open long poll that returns when a run ends, so the owner knows of
-//! an end within a millisecond, at one call per end. Only a poll that directly follows an answer carries
-//! a lease: a renewal sent to an unresponsive worker may be carried out late, and would triple the time
-//! before its tasks can be started elsewhere.
+//! Each worker nearly always has one open long poll that returns when a run ends, so the owner
+//! knows of an end within a millisecond, at one call per end. Only a poll that directly follows an
+//! answer carries a lease: a renewal sent to an unresponsive worker may be carried out late, and
+//! would triple the time before its tasks can be started elsewhere.
 
 use super::{
     Owner, interference,
@@ -27,20 +27,20 @@
 use indexmap::{IndexMap, IndexSet};
 use std::{rc::Rc, time::Duration};
 
-/// Wait of a long poll; the platform allows 2 s. With 1 s, usage and progress are fresh enough to detect
-/// a stalled task within three polls.
+/// Wait of a long poll; the platform allows 2 s. With 1 s, usage and progress are fresh enough to
+/// detect a stalled task within three polls.
 const POLL_WAIT: Duration = Duration::from_millis(1_000);
-/// Wait of a long poll where best-effort tasks share the host with serving ones, whose latency tails are
-/// updated every 500 ms.
+/// Wait of a long poll where best-effort tasks share the host with serving ones, whose latency
+/// tails are updated every 500 ms.
 const POLL_WAIT_SHARED: Duration = Duration::from_millis(350);
 /// Delay before an unresponsive worker is polled again.
 const UNRESPONSIVE_RETRY: Duration = Duration::from_millis(200);
-/// Longest wait for ends to become durable before the next poll. While the store is unavailable, ends
-/// accumulate at the worker and polls continue, to renew its leases.
+/// Longest wait for ends to become durable before the next poll. While the store is unavailable,
+/// ends accumulate at the worker and polls continue, to renew its leases.
 const ACK_WAIT: Duration = Duration::from_millis(250);
 
-/// A reserving task that takes this many times its estimate has overrun: estimates are off by 20 to 50 %,
-/// slow workers are 4 to 6 times slower.
+/// A reserving task that takes this many times its estimate has overrun: estimates are off by 20 to
+/// 50 %, slow workers are 4 to 6 times slower.
 const OVERRUN_FACTOR: u64 = 3;
 /// Slack on top of that, in milliseconds, for short tasks.
 const OVERRUN_SLACK_MS: u64 = 300;
@@ -62,8 +62,8 @@
     });
 }
 
-/// False for a worker without a known address, and for an unresponsive one without runs that is no longer
-/// in the directory.
+/// False for a worker without a known address, and for an unresponsive one without runs that is no
+/// longer in the directory.
 fn is_worth_polling(owner: &Owner, worker: &str) -> bool {
     let is_worth = owner.session(worker, |session| {
         let has_address = session.report.is_some();
@@ -180,8 +180,8 @@
     }
 }
 
-/// A worker has seen a greater token, so another daemon has probably taken the shard; reads the lease row to
-/// confirm it.
+/// A worker has seen a greater token, so another daemon has probably taken the shard; reads the
+/// lease row to confirm it.
 pub fn note_newer_owner(cx: &Cx, owner: &Rc<Owner>, worker: &str) {
     log::warn!(worker, token = owner.token(); "worker refuses the fencing token of this owner");
     let (cx, owner) = (Rc::clone(cx), Rc::clone(owner));
@@ -338,7 +338,8 @@
     Some(acked.boxed_local())
 }
 
-/// Completes when ends appended earlier are durable. If polled at once, the worker would list them again.
+/// Completes when ends appended earlier are durable. If polled at once, the worker would list them
+/// again.
 fn acknowledged(owner: &Owner, worker: &str, upto: u64) -> impl Future<Output = ()> + use<> {
     let pending = owner.session(worker, |session| {
         let is_pending = session.acked_upto < upto;
--- a/src/lapisdrum/sched/owner/previous_owner.rs
+++ b/src/lapisdrum/sched/owner/previous_owner.rs
@@ -1,10 +1,11 @@
 //! Detects that the previous owner's process has ended.
 //!
-//! An owner that the store rejects continues to renew workers' leases for `owner_hold`, so the next owner waits that
-//! long plus one lease before it gives up runs on workers that do not answer. When an owner and a worker were lost
-//! together, the worker's long-running tasks were interrupted for 12 s after the owner's end. A killed daemon is
-//! restarted under its address within a second: a reply from another incarnation proves that the previous one sends
-//! nothing more, and the tasks run again 3 s sooner. A missing reply proves nothing.
+//! An owner that the store rejects continues to renew workers' leases for `owner_hold`, so the next
+//! owner waits that long plus one lease before it gives up runs on workers that do not answer. When
+//! an owner and a worker were lost together, the worker's long-running tasks were interrupted for
+//! 12 s after the owner's end. A killed daemon is restarted under its address within a second: a
+//! reply from another incarnation proves that the previous one sends nothing more, and the tasks
+//! run again 3 s sooner. A missing reply proves nothing.
 
 use super::Owner;
 use crate::{core::time::Millis, sched::Cx};
@@ -15,7 +16,8 @@
 /// Timeout of a probe: many round trips between data centres.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Probes the previous owner's address until that owner has ended, or its hold has passed and the result is irrelevant.
+/// Probes the previous owner's address until that owner has ended, or its hold has passed and the
+/// result is irrelevant.
 pub async fn follow(cx: Cx, owner: Rc<Owner>) {
     let Some(before) = owner
         .previous_owner
@@ -38,8 +40,8 @@
 }
 
 impl Owner {
-    /// Notes that the previous owner had ended by `at`. The owner before that one may still renew leases within its own
-    /// hold, which started before its successor took the shard.
+    /// Notes that the previous owner had ended by `at`. The owner before that one may still renew
+    /// leases within its own hold, which started before its successor took the shard.
     pub fn note_previous_owner_ended(&self, cx: &Cx, at: Millis) {
         let at = at.max(self.previous_owner_took_at + cx.cfg.leases.owner_hold);
         let before = self.previous_owner.as_ref().map(|before| &before.daemon);
--- a/src/lapisdrum/sched/owner/runs.rs
+++ b/src/lapisdrum/sched/owner/runs.rs
@@ -155,7 +155,8 @@
         self.record(run, |record| record.known.order = order);
     }
 
-    /// Removes a run that has ended, or never started, without an end reported by its worker, and journals it.
+    /// Removes a run that has ended, or never started, without an end reported by its worker, and
+    /// journals it.
     pub fn note_lost(self: &Rc<Self>, cx: &Cx, run: RunId, why: Loss) {
         let Some(record) = self.remove_run(&run) else {
             return;
@@ -304,8 +305,8 @@
     }
 }
 
-/// Stops the remaining live runs of a completed task: speculative copies, and runs that replaced one that was
-/// given up but had completed the task.
+/// Stops the remaining live runs of a completed task: speculative copies, and runs that replaced
+/// one that was given up but had completed the task.
 pub fn stop_copies(cx: &Cx, owner: &Rc<Owner>, task: &TaskId) {
     let ledger = owner.ledger.borrow();
     let done = ledger.task(task).filter(|task| task.is_done);
@@ -385,8 +386,9 @@
     });
 }
 
-/// Stops long-running and checkpointing tasks on a worker that is leaving, so that they restart elsewhere.
-/// Other tasks are as likely to complete before the worker leaves as they would be elsewhere.
+/// Stops long-running and checkpointing tasks on a worker that is leaving, so that they restart
+/// elsewhere. Other tasks are as likely to complete before the worker leaves as they would be
+/// elsewhere.
 pub fn stop_movable_runs(cx: &Cx, owner: &Rc<Owner>, worker: &str) {
     let runs = owner.runs.borrow();
     let here = runs.iter().filter(|(_, record)| record.on.worker == worker);
@@ -399,8 +401,8 @@
 }
 
 impl Owner {
-    /// Notes that a task failed, stalled or overran its estimate on a worker: other workers are tried first, and
-    /// a worker with several such failures in a row is suspect.
+    /// Notes that a task failed, stalled or overran its estimate on a worker: other workers are
+    /// tried first, and a worker with several such failures in a row is suspect.
     pub fn note_misbehaved(&self, worker: &str, task: &TaskId, now: Millis) {
         self.session(worker, |session| {
             session.failures = (session.failures.0.saturating_add(1), now);
--- a/src/lapisdrum/sched/owner/session.rs
+++ b/src/lapisdrum/sched/owner/session.rs
@@ -16,8 +16,8 @@
 use std::{rc::Rc, time::Duration};
 use tokio::sync::Notify;
 
-/// Age at which a lease is renewed. Polls take up to 2 s, so that at least 2 s of the shortest lease of 6 s
-/// are left for a new owner to take over.
+/// Age at which a lease is renewed. Polls take up to 2 s, so that at least 2 s of the shortest
+/// lease of 6 s are left for a new owner to take over.
 const RENEW_AFTER: Duration = Duration::from_millis(1_500);
 /// Failures in a row after which a worker is suspect; a single one is as likely the job's fault.
 const SUSPECT_FAILURES: u32 = 2;
@@ -105,7 +105,8 @@
     pub runs: IndexSet<RunId>,
     /// Totals of `runs`.
     pub tally: Tally,
-    /// Smoothed residual of each step's utilisation here: inferred from latency tails, less the predicted one.
+    /// Smoothed residual of each step's utilisation here: inferred from latency tails, less the
+    /// predicted one.
     pub residuals: IndexMap<StepId, f64>,
     /// Ended best-effort tasks that still affect the reported latency tails.
     pub departed: Vec<Departed>,
@@ -161,8 +162,9 @@
         self.residuals.get(step).copied().unwrap_or_default()
     }
 
-    /// Number up to which the worker may forget ends; 0 while it does not answer. A worker that restarts under
-    /// the same id numbers its ends from 1, so a new incarnation would forget ends that no owner has read.
+    /// Number up to which the worker may forget ends; 0 while it does not answer. A worker that
+    /// restarts under the same id numbers its ends from 1, so a new incarnation would forget ends
+    /// that no owner has read.
     pub fn ackable(&self) -> u64 {
         match self.unresponsive_since {
             Some(_) => 0,
@@ -170,7 +172,8 @@
         }
     }
 
-    /// End, on the worker's clock, of a lease of this length sent at `now`; none before the clock was read.
+    /// End, on the worker's clock, of a lease of this length sent at `now`; none before the clock
+    /// was read.
     pub fn lease_end(&self, now: Millis, lease: Duration) -> Option<WorkerMillis> {
         let (clock, read_at) = self.clock?;
         Some(clock + now.since(read_at) + lease)
@@ -181,8 +184,8 @@
         self.leased_at.is_none_or(|at| now.since(at) >= RENEW_AFTER)
     }
 
-    /// Notes a reading of its clock. An answer to an order does not reset `unresponsive_since`: a new incarnation
-    /// under the same id answers it too.
+    /// Notes a reading of its clock. An answer to an order does not reset `unresponsive_since`: a
+    /// new incarnation under the same id answers it too.
     pub fn note_clock(&mut self, clock: WorkerMillis, now: Millis) {
         let is_newer = self.clock.is_none_or(|(known, _)| clock > known);
         if is_newer {
--- a/src/lapisdrum/sched/owner/upkeep.rs
+++ b/src/lapisdrum/sched/owner/upkeep.rs
@@ -1,5 +1,5 @@
-//! Periodic maintenance: gives up runs on unresponsive workers whose leases have expired, stops stalled runs,
-//! removes jobs past their retention, and updates gauges.
+//! Periodic maintenance: gives up runs on unresponsive workers whose leases have expired, stops
+//! stalled runs, removes jobs past their retention, and updates gauges.
 
 use super::{Owner, runs};
 use crate::sched::{
@@ -14,10 +14,11 @@
 
 /// Interval between maintenance rounds.
 const INTERVAL: Duration = Duration::from_millis(300);
-/// A task without progress for this long is stalled: tasks take about 2 s, so one that works advances by 1 %
-/// every 20 ms.
+/// A task without progress for this long is stalled: tasks take about 2 s, so one that works
+/// advances by 1 % every 20 ms.
 const STALLED_AFTER: Duration = Duration::from_millis(1_800);
-/// Tasks with a CPU limit below this, in percent, are too slow to be distinguished from stalled ones.
+/// Tasks with a CPU limit below this, in percent, are too slow to be distinguished from stalled
+/// ones.
 const MIN_JUDGED_CPU_LIMIT_PERCENT: u32 = 20;
 /// Most jobs removed in one round, so that their events fit into one row.
 const MAX_FORGOTTEN_PER_ROUND: usize = 200;
@@ -73,7 +74,8 @@
         .collect();
     drop(runs);
     for (run, worker) in stalled {
-        // While a worker does not answer, its runs may have progressed since its last poll response.
+        // While a worker does not answer, its runs may have progressed since its last poll
+        // response.
         if owner.session(&worker, |session| session.unresponsive_since.is_none()) == Some(true) {
             owner.note_misbehaved(&worker, &run.task, now);
             runs::order_stop(cx, owner, run, "it makes no progress");
--- a/src/lapisdrum/sched/peer.rs
+++ b/src/lapisdrum/sched/peer.rs
@@ -50,7 +50,8 @@
         Pending(String),
         /// Return the share of the shard's processors that long-running tasks request.
         Load,
-        /// Return what the interference model has estimated since the versions received, or all of it.
+        /// Return what the interference model has estimated since the versions received, or all of
+        /// it.
         Learned(Option<ReceivedVersions>),
         /// Offer free capacity for up to this number of tasks of a kind.
         Room(TaskNeed, u32),
@@ -66,13 +67,17 @@
         Shown(ShowReply),
         /// Reply to [`OwnerRequest::Cancel`].
         Cancelled(CancelReply),
-        /// Reply to [`OwnerRequest::Pending`]; `None` if the callee is not certain to own the shard.
+        /// Reply to [`OwnerRequest::Pending`]; `None` if the callee is not certain to own the
+        /// shard.
         Pending(Option<u64>),
-        /// Reply to [`OwnerRequest::Load`], in thousandths; `None` if the callee does not own the shard or has no workers yet.
+        /// Reply to [`OwnerRequest::Load`], in thousandths; `None` if the callee does not own the
+        /// shard or has no workers yet.
         Load(Option<u32>),
-        /// Reply to [`OwnerRequest::Learned`]; `None` if the callee does not own the shard or has not recovered it yet.
+        /// Reply to [`OwnerRequest::Learned`]; `None` if the callee does not own the shard or has
+        /// not recovered it yet.
         Learned(Option<LearnedUpdate>),
-        /// Reply to [`OwnerRequest::Room`], the number of tasks; `None` if the callee does not own the shard or places no tasks.
+        /// Reply to [`OwnerRequest::Room`], the number of tasks; `None` if the callee does not own
+        /// the shard or places no tasks.
         Room(Option<u32>),
         /// Reply to [`OwnerRequest::Adopt`].
         Adopted(AdoptReply),
@@ -93,11 +98,13 @@
         Accepted,
         /// The job was transferred to this shard, to which the submission must be sent instead.
         Elsewhere(ShardId),
-        /// The job was not accepted and will not be; the caller may submit it again after this time.
+        /// The job was not accepted and will not be; the caller may submit it again after this
+        /// time.
         Busy(Duration),
         /// The callee does not own the shard; the call had no effect.
         NotOwner,
-        /// The acceptance is being written to a slow store; if asked again, the owner continues to wait for it.
+        /// The acceptance is being written to a slow store; if asked again, the owner continues to
+        /// wait for it.
         UnderWay,
         /// The job may have been accepted.
         Unknown,
@@ -243,7 +250,8 @@
             tokio::time::sleep(ACCEPT_RETRY).await;
             continue;
         };
-        // Avoids that a reply waits for the acknowledgement of the previous packet. On failure calls are only slower.
+        // Avoids that a reply waits for the acknowledgement of the previous packet. On failure
+        // calls are only slower.
         let _ = stream.set_nodelay(true);
         let mut codec = LengthDelimitedCodec::new();
         codec.set_max_frame_length(MAX_FRAME_BYTES);
@@ -263,7 +271,8 @@
 }
 
 impl Peers {
-    /// Sends a request about a shard to the process at `address`; `limit` bounds connection and call.
+    /// Sends a request about a shard to the process at `address`; `limit` bounds connection and
+    /// call.
     pub async fn ask(
         &self,
         address: &str,
@@ -281,7 +290,8 @@
         self.exchange(address, limit, call).await
     }
 
-    /// Makes one call. A connection on which a call failed is dropped, since it may never deliver a reply again.
+    /// Makes one call. A connection on which a call failed is dropped, since it may never deliver a
+    /// reply again.
     async fn exchange<T>(
         &self,
         address: &str,
--- a/src/lapisdrum/sched/process.rs
+++ b/src/lapisdrum/sched/process.rs
@@ -6,10 +6,12 @@
 use eyre::WrapErr as _;
 use std::{rc::Rc, time::Duration};
 
-/// Timeout for the release of a lease, long enough for a slow store; while the store is unavailable, the lease lapses.
+/// Timeout for the release of a lease, long enough for a slow store; while the store is
+/// unavailable, the lease lapses.
 const RELEASE_TIMEOUT: Duration = Duration::from_millis(2_000);
 
-/// Starts all components except the interface to callers. Fails if the address for other processes can't be bound.
+/// Starts all components except the interface to callers. Fails if the address for other processes
+/// can't be bound.
 pub async fn start(cx: &Cx) -> eyre::Result<()> {
     let address = cx.cfg.peers;
     let listener = TcpListener::bind(address).await;
--- a/src/lapisdrum/sched/reachability.rs
+++ b/src/lapisdrum/sched/reachability.rs
@@ -1,13 +1,16 @@
-//! Detects network isolation: whether this process reaches the store or daemons of other data centres.
+//! Detects network isolation: whether this process reaches the store or daemons of other data
+//! centres.
 //!
-//! Failure: a data centre is cut off from all the others, while callers still reach its entry hosts. No submission can
-//! be made durable there, but the load balancer continues to send callers to it, and each waits for an owner that is
-//! unreachable. An isolated process reports that it is not ready, so that the load balancer uses the entry hosts of
-//! other data centres, and until then it refuses requests at once.
+//! Failure: a data centre is cut off from all the others, while callers still reach its entry
+//! hosts. No submission can be made durable there, but the load balancer continues to send callers
+//! to it, and each waits for an owner that is unreachable. An isolated process reports that it is
+//! not ready, so that the load balancer uses the entry hosts of other data centres, and until then
+//! it refuses requests at once.
 //!
-//! A store that is unavailable to all daemons is no isolation: all of them would be removed from the load balancer
-//! together. So a process is isolated only if neither the store nor any daemon of another data centre answers; one that
-//! has never reached such a daemon doesn't regard itself as isolated.
+//! A store that is unavailable to all daemons is no isolation: all of them would be removed from
+//! the load balancer together. So a process is isolated only if neither the store nor any daemon of
+//! another data centre answers; one that has never reached such a daemon doesn't regard itself as
+//! isolated.
 
 use super::{Cx, layout::ShardId, lease::Holder};
 use crate::core::time::Millis;
@@ -17,16 +20,16 @@
     time::Duration,
 };
 
-/// Interval of the checks. The load balancer probes once per second and acts after two failures, so in a network
-/// partition of 6 s callers are served by other data centres for some 3 s.
+/// Interval of the checks. The load balancer probes once per second and acts after two failures, so
+/// in a network partition of 6 s callers are served by other data centres for some 3 s.
 const CHECK_INTERVAL: Duration = Duration::from_millis(250);
-/// Time without an answer after which the store or the daemons count as unreachable: two polls of a lease, or one poll
-/// and the answer of a store that is 60 times slower than usual.
+/// Time without an answer after which the store or the daemons count as unreachable: two polls of a
+/// lease, or one poll and the answer of a store that is 60 times slower than usual.
 const UNREACHABLE_AFTER: Duration = Duration::from_millis(800);
 /// Timeout of a call to a daemon: many round trips between data centres.
 const CALL_TIMEOUT: Duration = Duration::from_millis(250);
-/// Interval at which all daemons are called while the store answers: only daemons that answered before count in the
-/// detection of isolation.
+/// Interval at which all daemons are called while the store answers: only daemons that answered
+/// before count in the detection of isolation.
 const DISCOVERY_INTERVAL: Duration = Duration::from_secs(5);
 /// The same interval until a daemon of another data centre has answered for the first time.
 const FIRST_DISCOVERY_INTERVAL: Duration = Duration::from_secs(1);
@@ -62,7 +65,8 @@
         now.since(self.store_answered_at.get()) >= UNREACHABLE_AFTER
     }
 
-    /// Whether neither the store nor another data centre has answered for [`UNREACHABLE_AFTER`], though one did before.
+    /// Whether neither the store nor another data centre has answered for [`UNREACHABLE_AFTER`],
+    /// though one did before.
     fn detect_isolation(&self, now: Millis) -> bool {
         let others = self.others_answered_at.get();
         let are_unreachable = others.is_some_and(|at| now.since(at) >= UNREACHABLE_AFTER);
@@ -111,7 +115,8 @@
     }
 }
 
-/// Addresses of other daemons, some perhaps out of date: seeds, owners of shards, and daemons that answered before.
+/// Addresses of other daemons, some perhaps out of date: seeds, owners of shards, and daemons that
+/// answered before.
 fn addresses(cx: &Cx) -> IndexSet<String> {
     let mut all: IndexSet<String> = cx.cfg.seeds.iter().map(ToString::to_string).collect();
     let shards = cx.layout.borrow().as_ref().map(|layout| layout.all());
--- a/src/lapisdrum/sched/resolution.rs
+++ b/src/lapisdrum/sched/resolution.rs
@@ -1,9 +1,10 @@
-//! Resolves the outcome of calls without a reply, for journal writes and runs on workers. Without I/O.
+//! Resolves the outcome of calls without a reply, for journal writes and runs on workers. Without
+//! I/O.
 //!
-//! A reply may be lost, or an order carried out seconds after it was sent. If a daemon took a missing reply to mean
-//! that the call had no effect, it would start a task a second time while the first order is still in flight, and a
-//! livestream would run twice. Each function here therefore concludes only from positive evidence, and otherwise has
-//! the caller wait or ask.
+//! A reply may be lost, or an order carried out seconds after it was sent. If a daemon took a
+//! missing reply to mean that the call had no effect, it would start a task a second time while the
+//! first order is still in flight, and a livestream would run twice. Each function here therefore
+//! concludes only from positive evidence, and otherwise has the caller wait or ask.
 
 use super::{
     edge::{Row, TxnOutcome},
@@ -19,16 +20,17 @@
     Committed,
     /// Another owner has taken over. The rows are not in the store and never will be.
     Fenced,
-    /// Send the same rows again. This is safe even if an earlier attempt is still in flight: the write requires that
-    /// the keys do not exist, so at most one attempt takes effect.
+    /// Send the same rows again. This is safe even if an earlier attempt is still in flight: the
+    /// write requires that the keys do not exist, so at most one attempt takes effect.
     SendAgain,
 }
 
-/// Resolves the reply to a journal write. Both predicates get the rows that were found: `holds_fence` returns whether
-/// the fence still has this owner's version, `is_own` whether a journal row is this owner's, which its nonce shows.
+/// Resolves the reply to a journal write. Both predicates get the rows that were found:
+/// `holds_fence` returns whether the fence still has this owner's version, `is_own` whether a
+/// journal row is this owner's, which its nonce shows.
 ///
-/// Without the nonce, a row of the next owner at the same key would be taken for this owner's write, and callers would
-/// get confirmations of jobs that are not stored.
+/// Without the nonce, a row of the next owner at the same key would be taken for this owner's
+/// write, and callers would get confirmations of jobs that are not stored.
 pub fn judge_write(
     end: &TxnOutcome,
     holds_fence: impl Fn(&[Row]) -> bool,
@@ -38,16 +40,17 @@
         TxnOutcome::Committed(_) => WriteVerdict::Committed,
         TxnOutcome::Conflict(rows) if is_own(rows) => WriteVerdict::Committed,
         TxnOutcome::Conflict(rows) if !holds_fence(rows) => WriteVerdict::Fenced,
-        // The fence is held, but another writer's row is at the key: a second process uses the same fence.
+        // The fence is held, but another writer's row is at the key: a second process uses the same
+        // fence.
         TxnOutcome::Conflict(_) => WriteVerdict::Fenced,
         TxnOutcome::NotDone(_) | TxnOutcome::Unknown(_) => WriteVerdict::SendAgain,
     }
 }
 
-/// Whether a conflict is caused by the piggybacked row only: the fence is held and no row exists at the journal keys,
-/// so the journal rows are not in the store and may be sent again without the piggyback. The piggybacked row was
-/// changed by an earlier attempt of this owner whose reply was lost; to treat that as another owner's write would end
-/// a valid ownership.
+/// Whether a conflict is caused by the piggybacked row only: the fence is held and no row exists at
+/// the journal keys, so the journal rows are not in the store and may be sent again without the
+/// piggyback. The piggybacked row was changed by an earlier attempt of this owner whose reply was
+/// lost; to treat that as another owner's write would end a valid ownership.
 pub fn is_piggyback_stale(
     end: &TxnOutcome,
     holds_fence: impl Fn(&[Row]) -> bool,
@@ -81,7 +84,8 @@
     No,
     /// Sent, without a conclusive reply so far.
     InFlight,
-    /// The worker confirmed the stop at this time: a run that has not started by then will never start there.
+    /// The worker confirmed the stop at this time: a run that has not started by then will never
+    /// start there.
     Confirmed(Millis),
 }
 
@@ -127,8 +131,8 @@
         true => Loss::NotThere,
         false => Loss::Reborn,
     };
-    // The response to a poll that was in flight when the worker confirmed the order may be older than the order; so may
-    // that to a poll that was sent in the same millisecond.
+    // The response to a poll that was in flight when the worker confirmed the order may be older
+    // than the order; so may that to a poll that was sent in the same millisecond.
     if let Stop::Confirmed(at) = known.stop
         && observation.sent_at > at
     {
@@ -138,10 +142,11 @@
         Order::NotSent | Order::InFlight => RunVerdict::Wait,
         Order::Answered(at) if observation.sent_at > at => RunVerdict::Lost(loss),
         Order::Answered(_) => RunVerdict::Wait,
-        // The poll carried this owner's token, so the worker refuses orders of earlier owners that are in flight.
+        // The poll carried this owner's token, so the worker refuses orders of earlier owners that
+        // are in flight.
         Order::Inherited => RunVerdict::Lost(loss),
-        // A worker that restarts under the same id has lost all tokens and stopped runs: an order still in flight would
-        // be carried out by the new incarnation too.
+        // A worker that restarts under the same id has lost all tokens and stopped runs: an order
+        // still in flight would be carried out by the new incarnation too.
         Order::Unanswered => match known.stop {
             Stop::No => RunVerdict::OrderStop,
             Stop::InFlight | Stop::Confirmed(_) => RunVerdict::Wait,
@@ -156,21 +161,24 @@
     pub longest: Duration,
     /// The worker's clock may be slower than the owner's by one part in this many.
     pub drift_parts: u32,
-    /// Latest time after sending at which an unanswered order may be carried out, if workers execute late.
+    /// Latest time after sending at which an unanswered order may be carried out, if workers
+    /// execute late.
     pub latest_effect: Duration,
     /// Longest time in flight of an order to a worker that carries out orders on arrival.
     pub transit: Duration,
-    /// Time for which an owner continues to renew workers' leases after its last successful renewal in the store.
+    /// Time for which an owner continues to renew workers' leases after its last successful renewal
+    /// in the store.
     pub owner_hold: Duration,
 }
 
-/// Difference of a sent lease from the longest. Without it, a worker whose clock was read shortly before would shorten
-/// the lease on arrival.
+/// Difference of a sent lease from the longest. Without it, a worker whose clock was read shortly
+/// before would shorten the lease on arrival.
 const LEASE_MARGIN: Duration = Duration::from_millis(100);
 
 impl LeaseLimits {
-    /// Lease that owners send: as long as workers accept, since nothing is started elsewhere before the longest lease
-    /// has ended. With a shorter one, tasks of a partitioned worker would end early and be down for the rest.
+    /// Lease that owners send: as long as workers accept, since nothing is started elsewhere before
+    /// the longest lease has ended. With a shorter one, tasks of a partitioned worker would end
+    /// early and be down for the rest.
     pub fn sent(&self) -> Duration {
         self.longest.saturating_sub(LEASE_MARGIN)
     }
@@ -191,9 +199,10 @@
 
 /// Whether workers were observed to carry out unanswered orders late.
 ///
-/// A worker that answers no call has crashed or is partitioned; orders in flight are lost with the connection. A worker
-/// that leaves an order unanswered and answers the next call may carry the order out late. To wait for that after every
-/// crash would keep tasks down for 18 s instead of 7 s.
+/// A worker that answers no call has crashed or is partitioned; orders in flight are lost with the
+/// connection. A worker that leaves an order unanswered and answers the next call may carry the
+/// order out late. To wait for that after every crash would keep tasks down for 18 s instead of
+/// 7 s.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum LateExecution {
     /// No worker left an order unanswered and answered a later call.
@@ -202,11 +211,12 @@
     Seen,
 }
 
-/// Bound on the time until which runs may be alive on a worker under the leases that were sent to it.
+/// Bound on the time until which runs may be alive on a worker under the leases that were sent to
+/// it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseBound {
-    /// Time until which an earlier owner may have sent leases; `None` once the worker has answered under this owner's
-    /// token.
+    /// Time until which an earlier owner may have sent leases; `None` once the worker has answered
+    /// under this owner's token.
     inherited_until: Option<Millis>,
     /// Time of the last reply to a lease of this owner.
     answered_at: Option<Millis>,
@@ -216,8 +226,9 @@
 }
 
 impl LeaseBound {
-    /// Bound for a worker without contact to this owner so far. The previous owner last renewed its lease in the store
-    /// at `renewed_at` or earlier, and may have renewed the workers' leases for [`LeaseLimits::owner_hold`] after that.
+    /// Bound for a worker without contact to this owner so far. The previous owner last renewed its
+    /// lease in the store at `renewed_at` or earlier, and may have renewed the workers' leases for
+    /// [`LeaseLimits::owner_hold`] after that.
     pub fn inherited(renewed_at: Millis, limits: &LeaseLimits) -> Self {
         Self {
             inherited_until: Some(renewed_at + limits.owner_hold),
@@ -237,7 +248,8 @@
         self.in_flight += 1;
     }
 
-    /// Records that a call with a lease was answered at `at`, so that it does not take effect later.
+    /// Records that a call with a lease was answered at `at`, so that it does not take effect
+    /// later.
     pub fn note_answered(&mut self, at: Millis) {
         self.note_no_effect();
         self.answered_at = self.answered_at.max(Some(at));
@@ -254,8 +266,9 @@
         self.unanswered_at = self.unanswered_at.max(Some(sent_at));
     }
 
-    /// Records the first reply under this owner's token, at `at`: from then on the worker refuses calls of the previous
-    /// owner, and leases that it sent earlier end at most one lease after `at`.
+    /// Records the first reply under this owner's token, at `at`: from then on the worker refuses
+    /// calls of the previous owner, and leases that it sent earlier end at most one lease after
+    /// `at`.
     pub fn note_claimed(&mut self, at: Millis) {
         self.inherited_until = None;
         self.answered_at = self.answered_at.max(Some(at));
--- a/src/lapisdrum/sched/shape.rs
+++ b/src/lapisdrum/sched/shape.rs
@@ -1,9 +1,10 @@
 //! Compact text format of a job's steps, for log lines.
 //!
-//! All fields of all steps would take some kilobytes per job. The analysis of a job's time needs only the number of
-//! tasks of each step, their estimated run time, whether they are long-running, and which steps they depend on:
-//! `8x2700 4x900@0,1 6x500+` is a step of 8 tasks of 2.7 s, one of 4 tasks of 0.9 s after the steps 0 and 1, and one of
-//! 6 tasks that run until the job is cancelled.
+//! All fields of all steps would take some kilobytes per job. The analysis of a job's time needs
+//! only the number of tasks of each step, their estimated run time, whether they are long-running,
+//! and which steps they depend on: `8x2700 4x900@0,1 6x500+` is a step of 8 tasks of 2.7 s, one of
+//! 4 tasks of 0.9 s after the steps 0 and 1, and one of 6 tasks that run until the job is
+//! cancelled.
 
 use super::job::{JobSpec, Step, chains_ms};
 use std::{fmt, str::FromStr};
