--- a/src/lapisdrum/sched/front.rs
+++ b/src/lapisdrum/sched/front.rs
@@ -71,17 +71,17 @@
         return Outcome::Refused(NO_LAYOUT_RETRY);
     };
     let mut handle = cx.handle(layout.home(job, &spec));
-    let ask = |is_sent| OwnerRequest::Submit {
+    let request = |is_sent| OwnerRequest::Submit {
         job,
         spec: spec.clone(),
         terms: queue.terms.clone(),
         is_sent,
     };
     let (mut is_sent, mut was_in_flight) = (false, false);
-    let asked = loop {
-        let asked = ask_owner(cx, &handle, ask(is_sent)).await;
+    let reply = loop {
+        let reply = call_owner(cx, &handle, request(is_sent)).await;
         let is_time_left = cx.clock.now().since(started_at) + OWNER_TIMEOUT <= IN_FLIGHT_TIMEOUT;
-        match &asked {
+        match &reply {
             OwnerCall::Answered(OwnerReply::Submitted(SubmitReply::Elsewhere(to))) if !is_sent => {
                 handle = cx.handle(*to);
                 is_sent = true;
@@ -89,10 +89,10 @@
             OwnerCall::Answered(OwnerReply::Submitted(SubmitReply::UnderWay)) if is_time_left => {
                 was_in_flight = true;
             }
-            _ => break asked,
+            _ => break reply,
         }
     };
-    let outcome = match asked {
+    let outcome = match reply {
         OwnerCall::Answered(OwnerReply::Submitted(SubmitReply::Accepted)) => Outcome::Done(()),
         // The job may have been accepted in the meantime, whatever the last answer was; a refusal
         // could be wrong.
@@ -115,8 +115,8 @@
 
 /// Reads the state of a job.
 pub async fn show(cx: &Cx, job: JobId) -> Outcome<JobState> {
-    ask_home_shards(cx, job, async |handle| {
-        match ask_owner(cx, &handle, OwnerRequest::Show(job)).await {
+    call_home_shards(cx, job, async |handle| {
+        match call_owner(cx, &handle, OwnerRequest::Show(job)).await {
             OwnerCall::Answered(OwnerReply::Shown(ShowReply::State(state))) => Outcome::Done(state),
             OwnerCall::Answered(OwnerReply::Shown(ShowReply::Unknown)) => Outcome::NoSuchJob,
             OwnerCall::NotReached | OwnerCall::Unanswered | OwnerCall::Answered(_) => {
@@ -129,11 +129,11 @@
 
 /// Cancels a job in the shard that has it.
 pub async fn cancel(cx: &Cx, job: JobId) -> Outcome<()> {
-    ask_home_shards(cx, job, async |handle| cancel_in(cx, &handle, job).await).await
+    call_home_shards(cx, job, async |handle| cancel_in(cx, &handle, job).await).await
 }
 
 async fn cancel_in(cx: &Cx, handle: &Rc<ShardHandle>, job: JobId) -> Outcome<()> {
-    let outcome = match ask_owner(cx, handle, OwnerRequest::Cancel(job)).await {
+    let outcome = match call_owner(cx, handle, OwnerRequest::Cancel(job)).await {
         OwnerCall::Answered(OwnerReply::Cancelled(CancelReply::Done)) => Outcome::Done(()),
         OwnerCall::Answered(OwnerReply::Cancelled(CancelReply::UnknownJob)) => Outcome::NoSuchJob,
         OwnerCall::NotReached => Outcome::Refused(NO_OWNER_RETRY),
@@ -144,20 +144,20 @@
     outcome
 }
 
-/// Calls `ask` for the shards that may have a job, the likeliest first. The job is unknown only if
+/// Makes a call to the shards that may have a job, the likeliest first. The job is unknown only if
 /// all of them report so: the home of a job with data on a rack follows from that rack, not from
 /// the job's id.
-async fn ask_home_shards<T>(
+async fn call_home_shards<T>(
     cx: &Cx,
     job: JobId,
-    ask: impl AsyncFn(Rc<ShardHandle>) -> Outcome<T>,
+    call: impl AsyncFn(Rc<ShardHandle>) -> Outcome<T>,
 ) -> Outcome<T> {
     let Some(layout) = cx.layout.borrow().clone() else {
         return Outcome::Refused(NO_LAYOUT_RETRY);
     };
     let mut undecided = None;
     for shard in layout.homes(job) {
-        match ask(cx.handle(shard)).await {
+        match call(cx.handle(shard)).await {
             Outcome::Done(found) => return Outcome::Done(found),
             Outcome::NoSuchJob => {}
             other => {
@@ -175,11 +175,11 @@
     };
     let counts = layout.all().map(|shard| {
         let handle = cx.handle(shard);
-        async move { ask_owner(cx, &handle, OwnerRequest::Pending(queue.to_owned())).await }
+        async move { call_owner(cx, &handle, OwnerRequest::Pending(queue.to_owned())).await }
     });
     let mut sum = 0;
-    for asked in futures::future::join_all(counts).await {
-        match asked {
+    for reply in futures::future::join_all(counts).await {
+        match reply {
             OwnerCall::Answered(OwnerReply::Pending(Some(count))) => sum += count,
             _ => return Outcome::Refused(NO_OWNER_RETRY),
         }
@@ -190,7 +190,7 @@
 /// Share of a shard's capacity taken by long-running tasks, in thousandths; none without an answer
 /// from its owner.
 pub async fn long_running_load(cx: &Cx, handle: &Rc<ShardHandle>) -> Option<u32> {
-    match ask_owner(cx, handle, OwnerRequest::Load).await {
+    match call_owner(cx, handle, OwnerRequest::Load).await {
         OwnerCall::Answered(OwnerReply::Load(load)) => load,
         _ => None,
     }
@@ -202,7 +202,7 @@
     handle: &Rc<ShardHandle>,
     upto: Option<ReceivedVersions>,
 ) -> Option<LearnedUpdate> {
-    match ask_owner(cx, handle, OwnerRequest::Learned(upto)).await {
+    match call_owner(cx, handle, OwnerRequest::Learned(upto)).await {
         OwnerCall::Answered(OwnerReply::Learned(update)) => update,
         _ => None,
     }
@@ -216,7 +216,7 @@
     need: &TaskNeed,
     wanted: u32,
 ) -> Option<u32> {
-    match ask_owner(cx, handle, OwnerRequest::Room(need.clone(), wanted)).await {
+    match call_owner(cx, handle, OwnerRequest::Room(need.clone(), wanted)).await {
         OwnerCall::Answered(OwnerReply::Room(offer)) => offer,
         _ => None,
     }
@@ -224,9 +224,9 @@
 
 /// Delegates tasks of another shard's job to a shard; true once the shard has made them durable.
 pub async fn adopt(cx: &Cx, handle: &Rc<ShardHandle>, tasks: GuestTasks) -> bool {
-    let asked = ask_owner(cx, handle, OwnerRequest::Adopt(tasks)).await;
+    let reply = call_owner(cx, handle, OwnerRequest::Adopt(tasks)).await;
     matches!(
-        asked,
+        reply,
         OwnerCall::Answered(OwnerReply::Adopted(AdoptReply::Adopted))
     )
 }
@@ -249,8 +249,8 @@
     Unanswered,
 }
 
-async fn ask_owner(cx: &Cx, handle: &Rc<ShardHandle>, ask: OwnerRequest) -> OwnerCall {
-    let mut asked = OwnerCall::NotReached;
+async fn call_owner(cx: &Cx, handle: &Rc<ShardHandle>, request: OwnerRequest) -> OwnerCall {
+    let mut reply = OwnerCall::NotReached;
     for attempt in 0..MAX_CALLS {
         if attempt > 0 {
             if cx.reachability.is_isolated() {
@@ -260,15 +260,15 @@
             // If the read fails, the lease stays as last read.
             let _ = super::lease::read(cx, handle).await;
         }
-        asked = ask_once(cx, handle, ask.clone()).await;
-        if !matches!(asked, OwnerCall::NotReached) {
+        reply = call_once(cx, handle, request.clone()).await;
+        if !matches!(reply, OwnerCall::NotReached) {
             break;
         }
     }
-    asked
+    reply
 }
 
-async fn ask_once(cx: &Cx, handle: &ShardHandle, ask: OwnerRequest) -> OwnerCall {
+async fn call_once(cx: &Cx, handle: &ShardHandle, request: OwnerRequest) -> OwnerCall {
     let is_own = handle
         .owner
         .borrow()
@@ -276,7 +276,7 @@
         .is_some_and(|owner| owner.is_recovered());
     if is_own {
         // Boxed, since a submission may call another shard's owner in turn, which recurses.
-        return classify_answer(peer::answer(cx, handle.shard, ask).boxed_local().await);
+        return classify_answer(peer::answer(cx, handle.shard, request).boxed_local().await);
     }
     let holder = handle.lease.borrow().holder(cx.clock.now()).cloned();
     let Some(holder) = holder.filter(|holder| *holder != cx.me) else {
@@ -290,20 +290,21 @@
         *address == holder.address && now.since(*since) < OWNER_BACKOFF
     };
     if handle
-        .silent_owner
+        .unresponsive_owner
         .borrow()
         .as_ref()
         .is_some_and(is_backing_off)
     {
         return OwnerCall::NotReached;
     }
-    let asked = cx
+    let call = cx
         .peers
-        .ask(&holder.address, handle.shard, ask, OWNER_TIMEOUT);
-    match asked.await {
+        .ask(&holder.address, handle.shard, request, OWNER_TIMEOUT);
+    match call.await {
         Ok(answer) => classify_answer(answer),
         Err(e) => {
-            *handle.silent_owner.borrow_mut() = Some((holder.address.clone(), cx.clock.now()));
+            *handle.unresponsive_owner.borrow_mut() =
+                Some((holder.address.clone(), cx.clock.now()));
             log::warn!(owner:% = holder.daemon, shard:% = handle.partition, error:% = e; "owner does not answer");
             match e.is_unsent {
                 true => OwnerCall::NotReached,
--- a/src/lapisdrum/sched/journal.rs
+++ b/src/lapisdrum/sched/journal.rs
@@ -120,7 +120,7 @@
 /// Result of the transaction that carried a piggyback.
 pub struct PiggybackReply {
     /// Reply of the store.
-    pub end: TxnOutcome,
+    pub outcome: TxnOutcome,
     /// Time at which the transaction was first sent.
     pub sent_at: Millis,
 }
@@ -240,8 +240,8 @@
     pub async fn carry(&self, piggyback: Piggyback, limit: Duration) -> PiggybackOutcome {
         let (tx, mut rx) = oneshot::channel();
         self.inner.borrow_mut().piggyback = Some((piggyback, tx));
-        if let Ok(end) = tokio::time::timeout(limit, &mut rx).await {
-            return end.map_or(PiggybackOutcome::Lost, PiggybackOutcome::Ended);
+        if let Ok(reply) = tokio::time::timeout(limit, &mut rx).await {
+            return reply.map_or(PiggybackOutcome::Lost, PiggybackOutcome::Ended);
         }
         let waiting = self.inner.borrow_mut().piggyback.take();
         if let Some((piggyback, _)) = waiting {
@@ -412,25 +412,25 @@
         let are_keys_free = |found: &[Row]| found.iter().all(|row| row.table != JOURNAL_TABLE);
         let mut backoff = Backoff::new(RETRY_DELAYS.0, RETRY_DELAYS.1);
         loop {
-            let end = cx.store.commit(&txn).await;
-            if is_piggyback_stale(&end, holds_fence, are_keys_free)
+            let outcome = cx.store.commit(&txn).await;
+            if is_piggyback_stale(&outcome, holds_fence, are_keys_free)
                 && let Some((_, tx)) = piggyback.take()
             {
                 // The receiver may have timed out and dropped its half.
-                let _ = tx.send(PiggybackReply { end, sent_at });
+                let _ = tx.send(PiggybackReply { outcome, sent_at });
                 txn = self.txn(first, rows, None);
                 sent_at = cx.clock.now();
                 continue;
             }
-            let verdict = judge_write(&end, holds_fence, is_own);
+            let verdict = judge_write(&outcome, holds_fence, is_own);
             if verdict != WriteVerdict::SendAgain {
                 if let Some((_, tx)) = piggyback {
-                    let _ = tx.send(PiggybackReply { end, sent_at });
+                    let _ = tx.send(PiggybackReply { outcome, sent_at });
                 }
                 cx.metrics.rows_written.inc_by(rows.len() as u64);
                 return verdict;
             }
-            cx.note_store(Err(&CallError::new(format!("{end:?}"))));
+            cx.note_store(Err(&CallError::new(format!("{outcome:?}"))));
             if self.inner.borrow().is_lost {
                 return WriteVerdict::Fenced;
             }
@@ -522,8 +522,8 @@
                 put: Vec::new(),
                 delete: delete.collect(),
             };
-            let end = cx.store.commit(&txn).await;
-            log::debug!(first, last, end:? = end; "covered rows deleted");
+            let outcome = cx.store.commit(&txn).await;
+            log::debug!(first, last, end:? = outcome; "covered rows deleted");
         }
     }
 
--- a/src/lapisdrum/sched/layout.rs
+++ b/src/lapisdrum/sched/layout.rs
@@ -185,8 +185,8 @@
         put: vec![(key(), serde_json::to_vec(layout)?.into())],
         delete: Vec::new(),
     };
-    let end = cx.store.commit(&txn).await;
-    let is_done = matches!(end, TxnOutcome::Committed(_));
+    let outcome = cx.store.commit(&txn).await;
+    let is_done = matches!(outcome, TxnOutcome::Committed(_));
     log::info!(shards = layout.shards, racks = layout.racks.len(), is_done; "layout written");
     Ok(())
 }
--- a/src/lapisdrum/sched/lease.rs
+++ b/src/lapisdrum/sched/lease.rs
@@ -382,9 +382,9 @@
         delete: Vec::new(),
     };
     let sent_at = cx.clock.now();
-    let end = cx.store.commit(&txn).await;
-    log::info!(shard:% = handle.partition, end:? = end, unchanged_ms = sent_at.since(seen.since).as_millis() as u64; "take-over tried");
-    if matches!(end, TxnOutcome::Conflict(_) | TxnOutcome::NotDone(_)) {
+    let outcome = cx.store.commit(&txn).await;
+    log::info!(shard:% = handle.partition, end:? = outcome, unchanged_ms = sent_at.since(seen.since).as_millis() as u64; "take-over tried");
+    if matches!(outcome, TxnOutcome::Conflict(_) | TxnOutcome::NotDone(_)) {
         return Ok(());
     }
     // Read the rows back even after a confirmed commit: the token is the version of the fence row.
@@ -444,19 +444,19 @@
         true => owner.journal.carry(piggyback, PIGGYBACK_TIMEOUT).await,
         false => PiggybackOutcome::NotTaken(piggyback),
     };
-    let PiggybackReply { end, sent_at } = match carry_outcome {
-        PiggybackOutcome::Ended(end) => end,
+    let PiggybackReply { outcome, sent_at } = match carry_outcome {
+        PiggybackOutcome::Ended(reply) => reply,
         PiggybackOutcome::Lost => return false,
         PiggybackOutcome::NotTaken(piggyback) => renew_separately(cx, owner, piggyback).await,
     };
-    match end {
+    match outcome {
         TxnOutcome::Committed(newest) => {
             cx.note_store(Ok(()));
             owner.lease_version.set(newest);
             owner.renewed_at.set(sent_at);
             return true;
         }
-        TxnOutcome::Conflict(rows) => adopt_version_or_lose(cx, owner, &rows),
+        TxnOutcome::Conflict(rows) => adopt_version_or_mark_lost(cx, owner, &rows),
         TxnOutcome::NotDone(e) | TxnOutcome::Unknown(e) => cx.note_store(Err(&e)),
     }
     false
@@ -469,16 +469,16 @@
         delete: Vec::new(),
     };
     let sent_at = cx.clock.now();
-    let end = cx.store.commit(&txn).await;
-    if matches!(end, TxnOutcome::Committed(_) | TxnOutcome::Conflict(_)) {
+    let outcome = cx.store.commit(&txn).await;
+    if matches!(outcome, TxnOutcome::Committed(_) | TxnOutcome::Conflict(_)) {
         owner.journal.note_answer(cx.clock.now().since(sent_at));
     }
-    PiggybackReply { end, sent_at }
+    PiggybackReply { outcome, sent_at }
 }
 
 /// Resolves a conflict: adopts the version of an earlier renewal whose reply was lost, or gives the
 /// shard up if another daemon owns it.
-fn adopt_version_or_lose(cx: &Cx, owner: &Rc<Owner>, rows: &[Row]) {
+fn adopt_version_or_mark_lost(cx: &Cx, owner: &Rc<Owner>, rows: &[Row]) {
     let mut view = LeaseView::default();
     let is_read = view.note(rows, cx.clock.now()).is_ok();
     let is_ours = view.row.is_some_and(|row| row.holder == cx.me) && view.fence == owner.token();
@@ -486,5 +486,5 @@
         owner.lease_version.set(view.version);
         return;
     }
-    owner.lose("another daemon has taken the shard");
+    owner.mark_lost("another daemon has taken the shard");
 }
--- a/src/lapisdrum/sched/mod.rs
+++ b/src/lapisdrum/sched/mod.rs
@@ -87,7 +87,7 @@
     /// The ownership lease, as last read from the store.
     pub lease: RefCell<LeaseView>,
     /// Address of the owner that last left a call unanswered, and when it did.
-    pub silent_owner: RefCell<Option<(String, Millis)>>,
+    pub unresponsive_owner: RefCell<Option<(String, Millis)>>,
     /// The shard's owner, set while this process holds the lease.
     pub owner: RefCell<Option<Rc<Owner>>>,
 }
@@ -169,7 +169,7 @@
                 shard,
                 partition: shard.partition(),
                 lease: RefCell::default(),
-                silent_owner: RefCell::default(),
+                unresponsive_owner: RefCell::default(),
                 owner: RefCell::default(),
             })
         });
--- a/src/lapisdrum/sched/owner/balance.rs
+++ b/src/lapisdrum/sched/owner/balance.rs
@@ -47,8 +47,8 @@
     if let Some(other) = candidate(cx, owner, job, spec) {
         let own = owner.long_running_load(cx);
         let handle = cx.handle(other);
-        let asked = tokio::time::timeout(LOAD_TIMEOUT, front::long_running_load(cx, &handle)).await;
-        let theirs = asked.ok().flatten();
+        let reply = tokio::time::timeout(LOAD_TIMEOUT, front::long_running_load(cx, &handle)).await;
+        let theirs = reply.ok().flatten();
         let is_decided = !is_new(owner, job);
         if let (false, Some(own), Some(theirs)) = (is_decided, own, theirs)
             && is_less_loaded(own, theirs)
@@ -85,9 +85,9 @@
 /// bound to a data rack.
 fn candidate(cx: &Cx, owner: &Owner, job: JobId, spec: &JobSpec) -> Option<ShardId> {
     let layout = cx.layout.borrow().clone()?;
-    let lasts = spec.steps.iter().any(|step| step.is_long_running);
+    let is_long_running = spec.steps.iter().any(|step| step.is_long_running);
     let is_bound = spec.steps.iter().any(|step| step.data_rack.is_some());
-    if !lasts || is_bound || !is_new(owner, job) {
+    if !is_long_running || is_bound || !is_new(owner, job) {
         return None;
     }
     draw(&layout, owner.handle.shard)
@@ -104,8 +104,8 @@
 /// Processors that a job's long-running tasks reserve in this shard, in thousandths of a core.
 fn long_running_millicores(job: &Job) -> u64 {
     let steps = job.spec.steps.iter().enumerate();
-    let lasting = steps.filter(|(_, step)| step.is_long_running);
-    lasting
+    let long_running = steps.filter(|(_, step)| step.is_long_running);
+    long_running
         .map(|(at, step)| step.size.millicores * job.own_task_count(at))
         .sum()
 }
@@ -122,7 +122,7 @@
         let (ledger, active) = (self.ledger.borrow(), self.active.borrow());
         let jobs = active.iter().filter_map(|id| ledger.jobs.get(id));
         let jobs = jobs.filter(|job| job.phase == Phase::Active);
-        let asked: u64 = jobs.map(long_running_millicores).sum();
-        (capacity > 0).then(|| u32::try_from(asked * 1_000 / capacity).unwrap_or(u32::MAX))
+        let requested: u64 = jobs.map(long_running_millicores).sum();
+        (capacity > 0).then(|| u32::try_from(requested * 1_000 / capacity).unwrap_or(u32::MAX))
     }
 }
--- a/src/lapisdrum/sched/owner/dispatch.rs
+++ b/src/lapisdrum/sched/owner/dispatch.rs
@@ -148,8 +148,8 @@
             waiting.note_wait(owner, shortage.as_ref(), hosts, now);
         } else {
             let is_reason_due = backlog::is_reason_due(owner, &waiting.step, now);
-            let end = place_step(owner, waiting, reports, hosts, &mut placed, is_reason_due);
-            if let PlaceOutcome::Partial(shortage) = end {
+            let outcome = place_step(owner, waiting, reports, hosts, &mut placed, is_reason_due);
+            if let PlaceOutcome::Partial(shortage) = outcome {
                 waiting.note_wait(owner, shortage.as_ref(), hosts, now);
                 unfit_images.extend(image.map(|image| (image, shortage)));
             }
@@ -291,7 +291,7 @@
 
 fn need_of<'a>(owner: &Owner, job: &'a Job, spec: &'a Step, step: &StepId) -> Need<'a> {
     let name = spec.image.as_ref();
-    let image = name.map(|name| owner.model.borrow_mut().image(name));
+    let image = name.map(|name| owner.interference_model.borrow_mut().image(name));
     Need {
         pool: &job.terms.pool,
         size: spec.size,
@@ -324,7 +324,7 @@
     let job = &ledger.jobs[&waiting.step.job];
     let spec = &job.spec.steps[usize::from(waiting.step.step)];
     let need = need_of(owner, job, spec, &waiting.step);
-    let model = owner.model.borrow();
+    let model = owner.interference_model.borrow();
     let len_before = placed.len();
     count_step(job, &waiting.step, spec, hosts);
     let is_gang = spec.gang != Gang::No;
--- a/src/lapisdrum/sched/owner/estimates.rs
+++ b/src/lapisdrum/sched/owner/estimates.rs
@@ -72,7 +72,10 @@
         token: owner.token(),
         at: cx.clock.now(),
     };
-    let learned = InterferenceEstimates::since(&owner.model.borrow(), since.unwrap_or_default());
+    let learned = InterferenceEstimates::since(
+        &owner.interference_model.borrow(),
+        since.unwrap_or_default(),
+    );
     Some(LearnedUpdate { upto, learned })
 }
 
@@ -92,7 +95,7 @@
         };
         received.insert(shard, update.upto);
         owner
-            .model
+            .interference_model
             .borrow_mut()
             .adopt(u32::from(shard.0), &update.learned);
         log::debug!(shard:% = owner.handle.partition, from:% = shard.partition(), pairs = update.learned.pairs(); "interference estimates received");
@@ -117,7 +120,7 @@
     match estimates {
         Some(estimates) => {
             let resumed = InterferenceModel::resumed(&estimates);
-            *owner.model.borrow_mut() = resumed;
+            *owner.interference_model.borrow_mut() = resumed;
             log::info!(shard:% = owner.handle.partition; "interference estimates loaded");
         }
         None => log::info!(shard:% = owner.handle.partition; "no interference estimates to load"),
@@ -133,7 +136,7 @@
         if !owner.journal.is_store_fast() {
             continue;
         }
-        let estimates = InterferenceEstimates::from(&*owner.model.borrow());
+        let estimates = InterferenceEstimates::from(&*owner.interference_model.borrow());
         let value = serde_json::to_vec(&estimates).unwrap_or_default();
         if value != written && value.len() <= MAX_ROW_BYTES {
             write(&cx, &owner, &value).await;
@@ -153,6 +156,6 @@
         put: vec![(row, value.to_vec().into())],
         delete: Vec::new(),
     };
-    let end = cx.store.commit(&txn).await;
-    log::debug!(end:? = end; "interference estimates written");
+    let outcome = cx.store.commit(&txn).await;
+    log::debug!(end:? = outcome; "interference estimates written");
 }
--- a/src/lapisdrum/sched/owner/interference.rs
+++ b/src/lapisdrum/sched/owner/interference.rs
@@ -66,7 +66,7 @@
         return;
     }
     let actions = {
-        let model = owner.model.borrow();
+        let model = owner.interference_model.borrow();
         let inputs = DecisionInputs {
             model: &model,
             now,
@@ -93,7 +93,7 @@
 fn note_tails(owner: &Owner, worker: &str, response: &PollResponse, now: Millis) {
     let beside = visible_aggressors(owner, worker, now);
     let mut runs = owner.runs.borrow_mut();
-    let mut model = owner.model.borrow_mut();
+    let mut model = owner.interference_model.borrow_mut();
     if model.refit_if_due(now) {
         log::info!(shard:% = owner.handle.partition, period_s:? = model.period_s(); "period of serving loads");
     }
@@ -325,7 +325,7 @@
     let Some(session) = sessions.get(worker) else {
         return Vec::new();
     };
-    let model = owner.model.borrow();
+    let model = owner.interference_model.borrow();
     let here = session
         .runs
         .iter()
@@ -428,13 +428,13 @@
     let (cx, owner, worker) = (Rc::clone(cx), Rc::clone(owner), worker.to_owned());
     supervisor::spawn("pace", async move {
         let token = owner.token();
-        let end = cx
+        let outcome = cx
             .workers
             .set_cpu_limit(&address, &worker, run, percent, token)
             .await;
         // Without a confirmed order the old limit counts, so that a later poll response can order
         // it again.
-        if !matches!(end, OrderOutcome::Done(_))
+        if !matches!(outcome, OrderOutcome::Done(_))
             && let Some(record) = owner.runs.borrow_mut().get_mut(&run)
         {
             record.cpu_limit_percent = before;
--- a/src/lapisdrum/sched/owner/mod.rs
+++ b/src/lapisdrum/sched/owner/mod.rs
@@ -108,7 +108,7 @@
     /// Workers on which a task has failed; other workers are tried first.
     pub failed_on: RefCell<IndexMap<TaskId, Vec<String>>>,
     /// Interference model: starts from the previous owner's estimates, if they can be read.
-    pub model: RefCell<InterferenceModel>,
+    pub interference_model: RefCell<InterferenceModel>,
     /// Load estimates of serving steps.
     pub loads: RefCell<IndexMap<StepId, ServingLoad>>,
     /// Duration estimates of jobs; each owner starts without any.
@@ -162,7 +162,7 @@
             accepting: RefCell::default(),
             ending: RefCell::default(),
             failed_on: RefCell::default(),
-            model: RefCell::default(),
+            interference_model: RefCell::default(),
             loads: RefCell::default(),
             durations: RefCell::default(),
             started_at: RefCell::default(),
@@ -241,7 +241,7 @@
     }
 
     /// Ends the ownership: stops journal writes and dispatch, and removes the owner from the shard.
-    pub fn lose(&self, why: &str) {
+    pub fn mark_lost(&self, why: &str) {
         if self.status.replace(Status::Lost) == Status::Lost {
             return;
         }
@@ -433,5 +433,5 @@
 async fn write_journal(cx: Cx, owner: Rc<Owner>) {
     let state = || serde_json::to_vec(&*owner.ledger.borrow()).unwrap_or_default();
     owner.journal.write_all(&cx, state).await;
-    owner.lose("the journal was fenced");
+    owner.mark_lost("the journal was fenced");
 }
--- a/src/lapisdrum/sched/owner/poll.rs
+++ b/src/lapisdrum/sched/owner/poll.rs
@@ -188,7 +188,7 @@
     supervisor::spawn("check-lease", async move {
         let lease_read = lease::read(&cx, &owner.handle).await;
         if lease_read.is_ok() && owner.handle.lease.borrow().fence != owner.token() {
-            owner.lose("a worker has seen a newer owner");
+            owner.mark_lost("a worker has seen a newer owner");
         }
     });
 }
--- a/src/lapisdrum/sched/owner/runs.rs
+++ b/src/lapisdrum/sched/owner/runs.rs
@@ -100,7 +100,7 @@
         };
         let now = cx.clock.now();
         let image = step.image.as_ref();
-        let image = image.map(|name| self.model.borrow_mut().image(name));
+        let image = image.map(|name| self.interference_model.borrow_mut().image(name));
         let record = RunRecord {
             on: on.clone(),
             size: step.size,
@@ -271,11 +271,12 @@
     let (address, lease_until) = owner.session(&on.worker, |session| {
         let is_same_incarnation = session.claimed_incarnation == Some(on.started_unix_ms);
         let report = session.report.as_ref()?;
-        let end = session.lease_end(now, cx.cfg.leases.sent())?;
+        let lease_until = session.lease_end(now, cx.cfg.leases.sent())?;
         let is_responsive = session.unresponsive_since.is_none();
         // The data centre may have been evacuated after the run was placed.
         let may_start = cx.allows_starts_in(&report.data_centre);
-        (is_same_incarnation && is_responsive && may_start).then(|| (report.address.clone(), end))
+        (is_same_incarnation && is_responsive && may_start)
+            .then(|| (report.address.clone(), lease_until))
     })??;
     let ledger = owner.ledger.borrow();
     let job = ledger.jobs.get(&run.task.job)?;
--- a/src/lapisdrum/sched/process.rs
+++ b/src/lapisdrum/sched/process.rs
@@ -38,7 +38,7 @@
         {
             log::warn!("store does not answer; the lease is left to lapse");
         }
-        owner.lose("the daemon ends");
+        owner.mark_lost("the daemon ends");
     });
     futures::future::join_all(owners).await;
 }
--- a/src/lapisdrum/sched/resolution.rs
+++ b/src/lapisdrum/sched/resolution.rs
@@ -32,11 +32,11 @@
 /// Without the nonce, a row of the next owner at the same key would be taken for this owner's
 /// write, and callers would get confirmations of jobs that are not stored.
 pub fn judge_write(
-    end: &TxnOutcome,
+    outcome: &TxnOutcome,
     holds_fence: impl Fn(&[Row]) -> bool,
     is_own: impl Fn(&[Row]) -> bool,
 ) -> WriteVerdict {
-    match end {
+    match outcome {
         TxnOutcome::Committed(_) => WriteVerdict::Committed,
         TxnOutcome::Conflict(rows) if is_own(rows) => WriteVerdict::Committed,
         TxnOutcome::Conflict(rows) if !holds_fence(rows) => WriteVerdict::Fenced,
@@ -52,11 +52,11 @@
 /// piggyback. The piggybacked row was changed by an earlier attempt of this owner whose reply was
 /// lost; to treat that as another owner's write would end a valid ownership.
 pub fn is_piggyback_stale(
-    end: &TxnOutcome,
+    outcome: &TxnOutcome,
     holds_fence: impl Fn(&[Row]) -> bool,
     are_keys_free: impl Fn(&[Row]) -> bool,
 ) -> bool {
-    match end {
+    match outcome {
         TxnOutcome::Conflict(rows) => holds_fence(rows) && are_keys_free(rows),
         TxnOutcome::Committed(_) | TxnOutcome::NotDone(_) | TxnOutcome::Unknown(_) => false,
     }
--- a/tests/testsuite/sched/layout.rs
+++ b/tests/testsuite/sched/layout.rs
@@ -321,7 +321,7 @@
         assert_eq!(front::cancel(&cx, JobId(99)).await, Outcome::NoSuchJob);
         let handle = cx.handle(at);
         let owner = handle.owner.borrow().clone().expect("an owner");
-        owner.lose("lost by the test");
+        owner.mark_lost("lost by the test");
         assert_matches!(
             front::show(&cx, JobId(99)).await,
             Outcome::Refused(_),
