--- a/src/lapisdrum/sched/event.rs
+++ b/src/lapisdrum/sched/event.rs
@@ -126,7 +126,7 @@
             spec: Rc<JobSpec>,
             /// Settings of the job's queue when the job was accepted.
             terms: QueueConfig,
-            /// The shard that has the job.
+            /// The shard that owns the job.
             from: ShardId,
             /// The delegated tasks, each with the number of its last run.
             tasks: Vec<(TaskId, RunNumber)>,
--- a/src/lapisdrum/sched/job.rs
+++ b/src/lapisdrum/sched/job.rs
@@ -248,7 +248,7 @@
         /// Factor in thousandths by which the longest chain of work is multiplied in
         /// [`Self::objective_ms`].
         pub stretch_milli: u64,
-        /// Time that is added to the objective, in milliseconds.
+        /// Constant part of [`Self::objective_ms`], in milliseconds.
         pub target_ms: u64,
         /// Whether the advisory service must approve a worker before a task starts there.
         pub needs_approval: bool,
--- a/src/lapisdrum/sched/layout.rs
+++ b/src/lapisdrum/sched/layout.rs
@@ -63,7 +63,7 @@
 impl Layout {
     /// Creates the first layout, with enough shards for `workers_per_shard` workers each. Each pool
     /// needs a rack in every shard, as otherwise jobs could have a home without any worker for
-    /// them; so there are no more shards than the pool with the fewest racks has racks.
+    /// them; so the number of racks of the smallest pool limits the number of shards.
     pub fn first(workers: &[WorkerReport], workers_per_shard: usize) -> Self {
         let wanted = workers.len().div_ceil(workers_per_shard.max(1));
         let mut pools: IndexMap<&str, IndexSet<&str>> = IndexMap::new();
--- a/src/lapisdrum/sched/lease.rs
+++ b/src/lapisdrum/sched/lease.rs
@@ -206,7 +206,8 @@
         is_suspected.then_some(&row.holder)
     }
 
-    /// Take-over delay for a released shard of a daemon with the uptime `up`.
+    /// Delay before a daemon with uptime `up` takes over a released shard; see
+    /// [`ROLLING_RESTART_DELAY`].
     fn rolling_restart_delay(&self, up: Duration) -> Duration {
         let released = self.row.as_ref().filter(|row| row.is_released);
         let is_older = |row: &LeaseRow| up + UPTIME_TOLERANCE >= Duration::from_millis(row.up_ms);
--- a/src/lapisdrum/sched/ledger.rs
+++ b/src/lapisdrum/sched/ledger.rs
@@ -1,8 +1,8 @@
 //! State of a shard's jobs and its transitions, without I/O.
 //!
 //! Events change the state through [`Ledger::apply`] only. It validates each event against the
-//! state, so that a decision based on stale state is rejected before it is journaled and not found
-//! when a task runs twice. A replay of the journal passes the same checks.
+//! state, so that a decision based on stale state is rejected before it is journaled, instead of
+//! becoming visible later as a task that runs twice. A replay of the journal passes the same checks.
 
 use super::{
     event::{Event, Loss, RunEnd, RunId, WorkerIncarnation},
--- a/src/lapisdrum/sched/owner/delegate.rs
+++ b/src/lapisdrum/sched/owner/delegate.rs
@@ -296,7 +296,7 @@
         ledger.jobs.get(&job).is_some_and(|job| !job.is_guest)
     }
 
-    /// Has a job's end sent to the shards that have tasks of it.
+    /// Schedules that a job's end is sent to the shards to which its tasks were delegated.
     pub fn send_job_end(&self, job: JobId) {
         let ledger = self.ledger.borrow();
         let job_state = ledger.jobs.get(&job);
--- a/src/lapisdrum/sched/owner/runs.rs
+++ b/src/lapisdrum/sched/owner/runs.rs
@@ -34,7 +34,7 @@
     pub load: Load,
     /// Class under which it counts as short work; none for long-running and best-effort tasks.
     pub short_class: Option<Class>,
-    /// Progress of its start and stop orders.
+    /// State of its start and stop orders.
     pub known: RunKnowledge,
     /// When this owner placed it, or read it from the journal.
     pub since: Millis,
--- a/src/lapisdrum/sched/peer.rs
+++ b/src/lapisdrum/sched/peer.rs
@@ -50,8 +50,8 @@
         Pending(String),
         /// Return the share of the shard's processors that long-running tasks request.
         Load,
-        /// Return what the interference model has estimated since the versions received, or all of
-        /// it.
+        /// Return the interference estimates that are newer than the given versions, or all of them
+        /// if none are given.
         Learned(Option<ReceivedVersions>),
         /// Offer free capacity for up to this number of tasks of a kind.
         Room(TaskNeed, u32),
@@ -96,7 +96,8 @@
     pub enum SubmitReply {
         /// The acceptance is durable.
         Accepted,
-        /// The job was transferred to this shard, to which the submission must be sent instead.
+        /// The callee has transferred the job to the shard given here; the submission must be sent
+        /// there instead.
         Elsewhere(ShardId),
         /// The job was not accepted and will not be; the caller may submit it again after this
         /// time.
@@ -116,7 +117,7 @@
         State(JobState),
         /// There is no such job.
         Unknown,
-        /// The one asked doesn't own the shard.
+        /// The callee does not own the shard.
         NotOwner,
     }
 
@@ -126,7 +127,7 @@
         Done,
         /// There is no such job.
         UnknownJob,
-        /// The one asked doesn't own the shard.
+        /// The callee does not own the shard.
         NotOwner,
         /// The job may have been cancelled.
         Unknown,
