--- a/src/lapisdrum/sched/journal.rs
+++ b/src/lapisdrum/sched/journal.rs
@@ -3,7 +3,7 @@
 //! Load pattern: about 400 events/s from one shard (1,500 events/s on the larger deployments) on a
 //! store that takes 200 transactions/s per partition, 10 ms each, one after another. One row per
 //! event would exceed the partition's limit, so events that arrive while a transaction is in flight
-//! share the next one. Spacing transactions by [`MIN_WRITE_INTERVAL`] limits a shard to 50 calls/s
+//! share the next one. Spacing transactions by `MIN_WRITE_INTERVAL` limits a shard to 50 calls/s
 //! and adds half of the spacing to a start on average. A store that is 60 times slower takes 3
 //! transactions/s, so each one carries all rows that have accumulated: with one row per
 //! transaction, starts would be blocked behind the run ends that arrive meanwhile.
@@ -128,7 +128,7 @@
 /// Outcome of [`Journal::carry`].
 pub enum PiggybackOutcome {
     /// The row was sent with journal rows.
-    Ended(PiggybackReply),
+    Carried(PiggybackReply),
     /// This owner has lost the shard.
     Lost,
     /// No transaction was started within the limit; returns the row unsent.
@@ -241,7 +241,7 @@
         let (tx, mut rx) = oneshot::channel();
         self.inner.borrow_mut().piggyback = Some((piggyback, tx));
         if let Ok(reply) = tokio::time::timeout(limit, &mut rx).await {
-            return reply.map_or(PiggybackOutcome::Lost, PiggybackOutcome::Ended);
+            return reply.map_or(PiggybackOutcome::Lost, PiggybackOutcome::Carried);
         }
         let waiting = self.inner.borrow_mut().piggyback.take();
         if let Some((piggyback, _)) = waiting {
@@ -250,7 +250,7 @@
         // The row was sent. Without the outcome its version would be unknown and the next piggyback
         // would conflict.
         rx.await
-            .map_or(PiggybackOutcome::Lost, PiggybackOutcome::Ended)
+            .map_or(PiggybackOutcome::Lost, PiggybackOutcome::Carried)
     }
 
     /// Whether the store was fast in the last transaction, so that it has capacity beyond the
@@ -329,14 +329,14 @@
 
     async fn write_rows(&self, cx: &Cx, state: impl Fn() -> Vec<u8>) {
         while let Some(batch) = self.next_batch().await {
-            let began = cx.clock.now();
-            self.inner.borrow_mut().in_flight_since = Some(began);
+            let started_at = cx.clock.now();
+            self.inner.borrow_mut().in_flight_since = Some(started_at);
             let first = self.inner.borrow().last_row + 1;
             if self.write_batch(cx, first, &batch.rows).await == WriteVerdict::Fenced {
                 self.stop();
                 return;
             }
-            let took = cx.clock.now().since(began);
+            let took = cx.clock.now().since(started_at);
             cx.metrics.row_seconds.observe(took.as_secs_f64());
             let last = first + batch.rows.len() as u64 - 1;
             let is_snapshot_due = self.note_written(last, took);
--- a/src/lapisdrum/sched/lease.rs
+++ b/src/lapisdrum/sched/lease.rs
@@ -109,7 +109,7 @@
 impl Holder {
     /// Whether this is another process at the address of `me`. Only one process can listen there at
     /// a time, so the process `me` can conclude that the other one has ended.
-    pub fn is_other_run_of(&self, me: &Self) -> bool {
+    pub fn is_other_incarnation_of(&self, me: &Self) -> bool {
         self.address == me.address && self.incarnation != me.incarnation
     }
 }
@@ -227,7 +227,7 @@
             Some(row) if row.is_released => true,
             // An earlier take-over by this process whose reply was lost; it has not acted under it.
             Some(row) if row.holder == *me => true,
-            Some(row) if row.holder.is_other_run_of(me) => true,
+            Some(row) if row.holder.is_other_incarnation_of(me) => true,
             Some(_) => self.has_holder_ended() || now.since(self.since) >= self.lapses_after(),
         }
     }
@@ -343,12 +343,12 @@
 
 /// Reads the lease and fence rows of a shard into [`ShardHandle::lease`].
 pub async fn read(cx: &Cx, handle: &ShardHandle) -> Result<(), CallError> {
-    let asked_at = cx.clock.now();
+    let sent_at = cx.clock.now();
     let rows = cx.store.rows(OWNERS_TABLE, &handle.partition, "").await?;
     cx.note_store(Ok(()));
     let before = handle.lease.borrow().fence;
     let now = cx.clock.now();
-    handle.lease.borrow_mut().answer_took = now.since(asked_at);
+    handle.lease.borrow_mut().answer_took = now.since(sent_at);
     let noted = handle.lease.borrow_mut().note(&rows, now);
     noted.map_err(|e| CallError::new(format!("the lease row is malformed: {e}")))?;
     let view = handle.lease.borrow().clone();
@@ -446,7 +446,7 @@
         false => PiggybackOutcome::NotTaken(piggyback),
     };
     let PiggybackReply { outcome, sent_at } = match carry_outcome {
-        PiggybackOutcome::Ended(reply) => reply,
+        PiggybackOutcome::Carried(reply) => reply,
         PiggybackOutcome::Lost => return false,
         PiggybackOutcome::NotTaken(piggyback) => renew_separately(cx, owner, piggyback).await,
     };
--- a/src/lapisdrum/sched/ledger.rs
+++ b/src/lapisdrum/sched/ledger.rs
@@ -2,7 +2,8 @@
 //!
 //! Events change the state through [`Ledger::apply`] only. It validates each event against the
 //! state, so that a decision based on stale state is rejected before it is journaled, instead of
-//! becoming visible later as a task that runs twice. A replay of the journal passes the same checks.
+//! becoming visible later as a task that runs twice. A replay of the journal passes the same
+//! checks.
 
 use super::{
     event::{Event, Loss, RunEnd, RunId, WorkerIncarnation},
--- a/src/lapisdrum/sched/owner/interference.rs
+++ b/src/lapisdrum/sched/owner/interference.rs
@@ -149,7 +149,7 @@
 }
 
 /// How far tail latency at `now` reflects a change made at `since`, from 0 to 1.
-fn shown(since: Millis, now: Millis) -> f64 {
+fn reflected_share(since: Millis, now: Millis) -> f64 {
     let age = now
         .since(since)
         .saturating_sub(EFFECT_STARTS_AFTER)
@@ -170,7 +170,7 @@
         .departed
         .retain(|d| now.since(d.at) < EFFECT_FULL_AFTER);
     let departed = session.departed.iter().map(|departed| Aggressor {
-        share: departed.aggressor.share * (1.0 - shown(departed.at, now)),
+        share: departed.aggressor.share * (1.0 - reflected_share(departed.at, now)),
         ..departed.aggressor
     });
     let mut beside: Vec<Aggressor> = departed.collect();
@@ -213,7 +213,7 @@
 
     /// Estimated time until the run ends if it is not throttled: from its progress, else from its
     /// estimate.
-    fn left(&self, now: Millis) -> Duration {
+    fn remaining_time(&self, now: Millis) -> Duration {
         let usual = expected_duration(self.estimate_ms);
         let seen = self.first_progress.zip(self.progress);
         let Some(((first, began_at), (done, at))) = seen else {
@@ -222,11 +222,11 @@
         let todo = f64::from(100_u32.saturating_sub(done));
         let worked = f64::from(done.saturating_sub(first));
         let took = at.since(began_at);
-        let left = match worked >= MIN_PROGRESS_PERCENT {
+        let remaining = match worked >= MIN_PROGRESS_PERCENT {
             true => took.mul_f64(todo / worked),
             false => usual.mul_f64(todo / 100.0),
         };
-        left.saturating_sub(now.since(at))
+        remaining.saturating_sub(now.since(at))
     }
 
     /// The processors that it uses when not throttled, in thousandths; what it asks for until that
@@ -258,11 +258,11 @@
     fn visible_aggressor(&self, millicores: u64, now: Millis) -> Option<Aggressor> {
         let at_full = self.aggressor_at(millicores, 100)?;
         let (before, at) = self.previous_cpu_limit;
-        let changed = shown(at, now);
+        let changed = reflected_share(at, now);
         let cpu_limit_percent =
             f64::from(before) * (1.0 - changed) + f64::from(self.cpu_limit_percent) * changed;
         Some(Aggressor {
-            share: at_full.share * cpu_limit_percent / 100.0 * shown(self.since, now),
+            share: at_full.share * cpu_limit_percent / 100.0 * reflected_share(self.since, now),
             ..at_full
         })
     }
@@ -307,7 +307,7 @@
             is_checkpointing: record.is_checkpointing,
             is_stopping: record.known.stop != Stop::No,
             ran: now.since(record.since),
-            left: record.left(now),
+            left: record.remaining_time(now),
         });
     }
     (ids, best_effort, serving.into_values().collect())
@@ -334,7 +334,10 @@
     let mut beside: Vec<(Aggressor, usize)> = Vec::new();
     for (run, record) in here {
         if let Some(aggressor) = record.planned_aggressor(millicores) {
-            beside.push((aggressor, utilisation::points_within(record.left(now))));
+            beside.push((
+                aggressor,
+                utilisation::points_within(record.remaining_time(now)),
+            ));
         }
         let Some(victim) = owner.victim(run, record) else {
             continue;
@@ -453,8 +456,8 @@
 ) {
     log::warn!(worker, leftover = best_effort.len(); "tail latency stays over its target; stopping best-effort tasks of the host");
     close(owner, worker, now + CLOSED_AFTER_CLEARING);
-    for (run, left) in runs.iter().zip(best_effort) {
-        if !left.is_stopping {
+    for (run, aggressor) in runs.iter().zip(best_effort) {
+        if !aggressor.is_stopping {
             act(cx, owner, worker, *run, Action::Stop, now);
         }
     }
--- a/src/lapisdrum/sched/owner/jobs.rs
+++ b/src/lapisdrum/sched/owner/jobs.rs
@@ -19,7 +19,7 @@
 /// Longest time until a reply; callers treat an owner that takes longer as unreachable.
 pub(super) const ANSWER_WITHIN: Duration = Duration::from_millis(700);
 /// Retry delay for callers that are refused while the store does not accept rows.
-const STORE_AWAY_RETRY: Duration = Duration::from_secs(1);
+const STORE_UNAVAILABLE_RETRY: Duration = Duration::from_secs(1);
 
 /// Retry delay for callers while every data centre is evacuated; operators need at least seconds to
 /// restore one.
@@ -42,7 +42,7 @@
     }
     let is_known = owner.ledger.borrow().jobs.contains_key(&job);
     if !is_known && !owner.journal.accepts_work(cx.clock.now()) {
-        return SubmitReply::Busy(STORE_AWAY_RETRY);
+        return SubmitReply::Busy(STORE_UNAVAILABLE_RETRY);
     }
     if !is_known && owner.is_evacuated(cx) {
         log::info!(job:% = job, shard:% = owner.handle.partition; "submission refused: every data centre is evacuated");
--- a/src/lapisdrum/sched/owner/mod.rs
+++ b/src/lapisdrum/sched/owner/mod.rs
@@ -260,23 +260,23 @@
     /// Applies events to the ledger and appends the valid ones to the journal. An invalid event
     /// comes from a decision on stale state; it is dropped and logged.
     pub fn propose(&self, cx: &Cx, events: Vec<Event>) -> Ticket {
-        let mut fitting = Vec::with_capacity(events.len());
+        let mut valid = Vec::with_capacity(events.len());
         for event in events {
             let applied = self.ledger.borrow_mut().apply(&event);
             match applied {
-                Ok(()) => fitting.push(event),
+                Ok(()) => valid.push(event),
                 Err(e) => log::warn!(error:% = e; "invalid event dropped"),
             }
         }
-        cx.metrics.events.inc_by(fitting.len() as u64);
-        self.journal.append(&fitting)
+        cx.metrics.events.inc_by(valid.len() as u64);
+        self.journal.append(&valid)
     }
 
     /// Removes a job that has ended from the active ones; callers see its end once that is durable.
     pub fn note_if_ended(self: &Rc<Self>, cx: &Cx, job: JobId) {
         let phase = self.ledger.borrow().jobs.get(&job).map(|job| job.phase);
-        let is_over = phase.is_some_and(|phase| phase != Phase::Active);
-        if !is_over || !self.active.borrow_mut().swap_remove(&job) {
+        let has_ended = phase.is_some_and(|phase| phase != Phase::Active);
+        if !has_ended || !self.active.borrow_mut().swap_remove(&job) {
             return;
         }
         self.ending.borrow_mut().insert(job);
