--- a/src/lapisdrum/sched/event.rs
+++ b/src/lapisdrum/sched/event.rs
@@ -101,7 +101,8 @@
             /// Time of the cancellation, in Unix milliseconds.
             at_unix_ms: u64,
         },
-        /// A job was transferred from its home shard to one with more free capacity for long-running tasks.
+        /// A job was transferred from its home shard to one with more free capacity for
+        /// long-running tasks.
         Sent {
             /// The transferred job.
             job: JobId,
@@ -125,7 +126,7 @@
             spec: Rc<JobSpec>,
             /// Settings of the job's queue when the job was accepted.
             terms: QueueConfig,
-            /// The shard that has the job.
+            /// The shard that owns the job.
             from: ShardId,
             /// The delegated tasks, each with the number of its last run.
             tasks: Vec<(TaskId, RunNumber)>,
--- a/src/lapisdrum/sched/front.rs
+++ b/src/lapisdrum/sched/front.rs
@@ -1,8 +1,9 @@
 //! Forwards callers' requests to the leaseholder of the job's shard and returns the outcome.
 //!
-//! A refusal is final: the job never runs. So a submission is refused only when it was certainly not accepted;
-//! without an answer from the owner the outcome is reported as unknown, and a repeated submission finds the job.
-//! Without a reachable owner a request is refused at once, with the time until an owner is expected.
+//! A refusal is final: the job never runs. So a submission is refused only when it was certainly
+//! not accepted; without an answer from the owner the outcome is reported as unknown, and a
+//! repeated submission finds the job. Without a reachable owner a request is refused at once, with
+//! the time until an owner is expected.
 
 use super::{
     Cx, ShardHandle,
@@ -20,18 +21,20 @@
 use futures::FutureExt;
 use std::{cmp::Reverse, rc::Rc, time::Duration};
 
-/// Timeout of a call to the owner. The owner's timeout for the store is a little shorter, so that it can answer.
+/// Timeout of a call to the owner. The owner's timeout for the store is a little shorter, so that
+/// it can answer.
 const OWNER_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Longest wait for a submission that the owner reports as in flight; below the callers' timeout of 3 s.
+/// Longest wait for a submission that the owner reports as in flight; below the callers' timeout of
+/// 3 s.
 const IN_FLIGHT_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// Time during which an owner that left a call unanswered is not called again, unless another takes over:
-/// callers are refused at once instead of timing out for the seconds until its lease lapses.
+/// Time during which an owner that left a call unanswered is not called again, unless another takes
+/// over: callers are refused at once instead of timing out for the seconds until its lease lapses.
 const OWNER_BACKOFF: Duration = Duration::from_millis(700);
-/// Retry delay for callers while a shard has no reachable owner: a take-over takes 0.3 s after a requested shutdown
-/// and 1 to 2 s after a failure.
+/// Retry delay for callers while a shard has no reachable owner: a take-over takes 0.3 s after a
+/// requested shutdown and 1 to 2 s after a failure.
 const NO_OWNER_RETRY: Duration = Duration::from_secs(1);
-/// Retry delay for callers while the layout is not known: at a deployment's first start, or while the store
-/// can't be read after a restart.
+/// Retry delay for callers while the layout is not known: at a deployment's first start, or while
+/// the store can't be read after a restart.
 const NO_LAYOUT_RETRY: Duration = Duration::from_secs(1);
 /// Delay before the lease is read again after a call that did not reach the owner.
 const RETRY_DELAY: Duration = Duration::from_millis(60);
@@ -68,17 +71,17 @@
         return Outcome::Refused(NO_LAYOUT_RETRY);
     };
     let mut handle = cx.handle(layout.home(job, &spec));
-    let ask = |is_sent| OwnerRequest::Submit {
+    let request = |is_sent| OwnerRequest::Submit {
         job,
         spec: spec.clone(),
         terms: queue.terms.clone(),
         is_sent,
     };
     let (mut is_sent, mut was_in_flight) = (false, false);
-    let asked = loop {
-        let asked = ask_owner(cx, &handle, ask(is_sent)).await;
+    let reply = loop {
+        let reply = call_owner(cx, &handle, request(is_sent)).await;
         let is_time_left = cx.clock.now().since(started_at) + OWNER_TIMEOUT <= IN_FLIGHT_TIMEOUT;
-        match &asked {
+        match &reply {
             OwnerCall::Answered(OwnerReply::Submitted(SubmitReply::Elsewhere(to))) if !is_sent => {
                 handle = cx.handle(*to);
                 is_sent = true;
@@ -86,12 +89,13 @@
             OwnerCall::Answered(OwnerReply::Submitted(SubmitReply::UnderWay)) if is_time_left => {
                 was_in_flight = true;
             }
-            _ => break asked,
+            _ => break reply,
         }
     };
-    let outcome = match asked {
+    let outcome = match reply {
         OwnerCall::Answered(OwnerReply::Submitted(SubmitReply::Accepted)) => Outcome::Done(()),
-        // The job may have been accepted in the meantime, whatever the last answer was; a refusal could be wrong.
+        // The job may have been accepted in the meantime, whatever the last answer was; a refusal
+        // could be wrong.
         _ if was_in_flight => Outcome::Unknown,
         OwnerCall::Answered(OwnerReply::Submitted(SubmitReply::Busy(wait))) => {
             Outcome::Refused(wait)
@@ -111,8 +115,8 @@
 
 /// Reads the state of a job.
 pub async fn show(cx: &Cx, job: JobId) -> Outcome<JobState> {
-    ask_home_shards(cx, job, async |handle| {
-        match ask_owner(cx, &handle, OwnerRequest::Show(job)).await {
+    call_home_shards(cx, job, async |handle| {
+        match call_owner(cx, &handle, OwnerRequest::Show(job)).await {
             OwnerCall::Answered(OwnerReply::Shown(ShowReply::State(state))) => Outcome::Done(state),
             OwnerCall::Answered(OwnerReply::Shown(ShowReply::Unknown)) => Outcome::NoSuchJob,
             OwnerCall::NotReached | OwnerCall::Unanswered | OwnerCall::Answered(_) => {
@@ -125,11 +129,11 @@
 
 /// Cancels a job in the shard that has it.
 pub async fn cancel(cx: &Cx, job: JobId) -> Outcome<()> {
-    ask_home_shards(cx, job, async |handle| cancel_in(cx, &handle, job).await).await
+    call_home_shards(cx, job, async |handle| cancel_in(cx, &handle, job).await).await
 }
 
 async fn cancel_in(cx: &Cx, handle: &Rc<ShardHandle>, job: JobId) -> Outcome<()> {
-    let outcome = match ask_owner(cx, handle, OwnerRequest::Cancel(job)).await {
+    let outcome = match call_owner(cx, handle, OwnerRequest::Cancel(job)).await {
         OwnerCall::Answered(OwnerReply::Cancelled(CancelReply::Done)) => Outcome::Done(()),
         OwnerCall::Answered(OwnerReply::Cancelled(CancelReply::UnknownJob)) => Outcome::NoSuchJob,
         OwnerCall::NotReached => Outcome::Refused(NO_OWNER_RETRY),
@@ -140,19 +144,20 @@
     outcome
 }
 
-/// Calls `ask` for the shards that may have a job, the likeliest first. The job is unknown only if all of them
-/// report so: the home of a job with data on a rack follows from that rack, not from the job's id.
-async fn ask_home_shards<T>(
+/// Makes a call to the shards that may have a job, the likeliest first. The job is unknown only if
+/// all of them report so: the home of a job with data on a rack follows from that rack, not from
+/// the job's id.
+async fn call_home_shards<T>(
     cx: &Cx,
     job: JobId,
-    ask: impl AsyncFn(Rc<ShardHandle>) -> Outcome<T>,
+    call: impl AsyncFn(Rc<ShardHandle>) -> Outcome<T>,
 ) -> Outcome<T> {
     let Some(layout) = cx.layout.borrow().clone() else {
         return Outcome::Refused(NO_LAYOUT_RETRY);
     };
     let mut undecided = None;
     for shard in layout.homes(job) {
-        match ask(cx.handle(shard)).await {
+        match call(cx.handle(shard)).await {
             Outcome::Done(found) => return Outcome::Done(found),
             Outcome::NoSuchJob => {}
             other => {
@@ -170,11 +175,11 @@
     };
     let counts = layout.all().map(|shard| {
         let handle = cx.handle(shard);
-        async move { ask_owner(cx, &handle, OwnerRequest::Pending(queue.to_owned())).await }
+        async move { call_owner(cx, &handle, OwnerRequest::Pending(queue.to_owned())).await }
     });
     let mut sum = 0;
-    for asked in futures::future::join_all(counts).await {
-        match asked {
+    for reply in futures::future::join_all(counts).await {
+        match reply {
             OwnerCall::Answered(OwnerReply::Pending(Some(count))) => sum += count,
             _ => return Outcome::Refused(NO_OWNER_RETRY),
         }
@@ -182,9 +187,10 @@
     Outcome::Done(sum)
 }
 
-/// Share of a shard's capacity taken by long-running tasks, in thousandths; none without an answer from its owner.
+/// Share of a shard's capacity taken by long-running tasks, in thousandths; none without an answer
+/// from its owner.
 pub async fn long_running_load(cx: &Cx, handle: &Rc<ShardHandle>) -> Option<u32> {
-    match ask_owner(cx, handle, OwnerRequest::Load).await {
+    match call_owner(cx, handle, OwnerRequest::Load).await {
         OwnerCall::Answered(OwnerReply::Load(load)) => load,
         _ => None,
     }
@@ -196,20 +202,21 @@
     handle: &Rc<ShardHandle>,
     upto: Option<ReceivedVersions>,
 ) -> Option<LearnedUpdate> {
-    match ask_owner(cx, handle, OwnerRequest::Learned(upto)).await {
+    match call_owner(cx, handle, OwnerRequest::Learned(upto)).await {
         OwnerCall::Answered(OwnerReply::Learned(update)) => update,
         _ => None,
     }
 }
 
-/// Number of the `wanted` tasks for which a shard offers free capacity; none without an answer from its owner.
+/// Number of the `wanted` tasks for which a shard offers free capacity; none without an answer from
+/// its owner.
 pub async fn free_capacity_offer(
     cx: &Cx,
     handle: &Rc<ShardHandle>,
     need: &TaskNeed,
     wanted: u32,
 ) -> Option<u32> {
-    match ask_owner(cx, handle, OwnerRequest::Room(need.clone(), wanted)).await {
+    match call_owner(cx, handle, OwnerRequest::Room(need.clone(), wanted)).await {
         OwnerCall::Answered(OwnerReply::Room(offer)) => offer,
         _ => None,
     }
@@ -217,9 +224,9 @@
 
 /// Delegates tasks of another shard's job to a shard; true once the shard has made them durable.
 pub async fn adopt(cx: &Cx, handle: &Rc<ShardHandle>, tasks: GuestTasks) -> bool {
-    let asked = ask_owner(cx, handle, OwnerRequest::Adopt(tasks)).await;
+    let reply = call_owner(cx, handle, OwnerRequest::Adopt(tasks)).await;
     matches!(
-        asked,
+        reply,
         OwnerCall::Answered(OwnerReply::Adopted(AdoptReply::Adopted))
     )
 }
@@ -242,8 +249,8 @@
     Unanswered,
 }
 
-async fn ask_owner(cx: &Cx, handle: &Rc<ShardHandle>, ask: OwnerRequest) -> OwnerCall {
-    let mut asked = OwnerCall::NotReached;
+async fn call_owner(cx: &Cx, handle: &Rc<ShardHandle>, request: OwnerRequest) -> OwnerCall {
+    let mut reply = OwnerCall::NotReached;
     for attempt in 0..MAX_CALLS {
         if attempt > 0 {
             if cx.reachability.is_isolated() {
@@ -253,15 +260,15 @@
             // If the read fails, the lease stays as last read.
             let _ = super::lease::read(cx, handle).await;
         }
-        asked = ask_once(cx, handle, ask.clone()).await;
-        if !matches!(asked, OwnerCall::NotReached) {
+        reply = call_once(cx, handle, request.clone()).await;
+        if !matches!(reply, OwnerCall::NotReached) {
             break;
         }
     }
-    asked
+    reply
 }
 
-async fn ask_once(cx: &Cx, handle: &ShardHandle, ask: OwnerRequest) -> OwnerCall {
+async fn call_once(cx: &Cx, handle: &ShardHandle, request: OwnerRequest) -> OwnerCall {
     let is_own = handle
         .owner
         .borrow()
@@ -269,7 +276,7 @@
         .is_some_and(|owner| owner.is_recovered());
     if is_own {
         // Boxed, since a submission may call another shard's owner in turn, which recurses.
-        return classify_answer(peer::answer(cx, handle.shard, ask).boxed_local().await);
+        return classify_answer(peer::answer(cx, handle.shard, request).boxed_local().await);
     }
     let holder = handle.lease.borrow().holder(cx.clock.now()).cloned();
     let Some(holder) = holder.filter(|holder| *holder != cx.me) else {
@@ -283,20 +290,21 @@
         *address == holder.address && now.since(*since) < OWNER_BACKOFF
     };
     if handle
-        .silent_owner
+        .unresponsive_owner
         .borrow()
         .as_ref()
         .is_some_and(is_backing_off)
     {
         return OwnerCall::NotReached;
     }
-    let asked = cx
+    let call = cx
         .peers
-        .ask(&holder.address, handle.shard, ask, OWNER_TIMEOUT);
-    match asked.await {
+        .ask(&holder.address, handle.shard, request, OWNER_TIMEOUT);
+    match call.await {
         Ok(answer) => classify_answer(answer),
         Err(e) => {
-            *handle.silent_owner.borrow_mut() = Some((holder.address.clone(), cx.clock.now()));
+            *handle.unresponsive_owner.borrow_mut() =
+                Some((holder.address.clone(), cx.clock.now()));
             log::warn!(owner:% = holder.daemon, shard:% = handle.partition, error:% = e; "owner does not answer");
             match e.is_unsent {
                 true => OwnerCall::NotReached,
--- a/src/lapisdrum/sched/owner/balance.rs
+++ b/src/lapisdrum/sched/owner/balance.rs
@@ -1,12 +1,14 @@
-//! Sends new long-running jobs to the less loaded of two shards: their home shard and another one drawn at random.
+//! Sends new long-running jobs to the less loaded of two shards: their home shard and another one
+//! drawn at random.
 //!
-//! Load pattern: about fifty long-running jobs of ninety cores per shard, which reserve 84 % of it on average and run
-//! for a minute. Placed by a hash alone, the fullest of three shards is more than 90 % reserved; when workers leave,
-//! its tasks wait fifteen seconds while other shards have free capacity. Choosing between two shards balances nearly
-//! as well as choosing the least loaded of all, and costs one call.
+//! Load pattern: about fifty long-running jobs of ninety cores per shard, which reserve 84 % of it
+//! on average and run for a minute. Placed by a hash alone, the fullest of three shards is more
+//! than 90 % reserved; when workers leave, its tasks wait fifteen seconds while other shards have
+//! free capacity. Choosing between two shards balances nearly as well as choosing the least loaded
+//! of all, and costs one call.
 //!
-//! The home shard decides once and journals the decision before it replies. A repeated submission, at any daemon and
-//! any owner, is sent to the same shard, so only one shard accepts the job.
+//! The home shard decides once and journals the decision before it replies. A repeated submission,
+//! at any daemon and any owner, is sent to the same shard, so only one shard accepts the job.
 
 use super::{Owner, jobs::ANSWER_WITHIN};
 use crate::sched::{
@@ -22,13 +24,15 @@
 use rand::Rng;
 use std::{rc::Rc, time::Duration};
 
-/// A shard counts as less loaded if its load is lower by more than this many thousandths: about the share of one
-/// long-running job.
+/// A shard counts as less loaded if its load is lower by more than this many thousandths: about the
+/// share of one long-running job.
 const MIN_LOAD_DIFFERENCE_PERMILLE: u32 = 25;
-/// Timeout of the call for the other shard's load: many round trips. Without a reply the job stays in its home shard.
+/// Timeout of the call for the other shard's load: many round trips. Without a reply the job stays
+/// in its home shard.
 const LOAD_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// Whether a shard with load `own` sends a long-running job to one with load `other`, both in thousandths.
+/// Whether a shard with load `own` sends a long-running job to one with load `other`, both in
+/// thousandths.
 pub fn is_less_loaded(own: u32, other: u32) -> bool {
     other.saturating_add(MIN_LOAD_DIFFERENCE_PERMILLE) < own
 }
@@ -43,8 +47,8 @@
     if let Some(other) = candidate(cx, owner, job, spec) {
         let own = owner.long_running_load(cx);
         let handle = cx.handle(other);
-        let asked = tokio::time::timeout(LOAD_TIMEOUT, front::long_running_load(cx, &handle)).await;
-        let theirs = asked.ok().flatten();
+        let reply = tokio::time::timeout(LOAD_TIMEOUT, front::long_running_load(cx, &handle)).await;
+        let theirs = reply.ok().flatten();
         let is_decided = !is_new(owner, job);
         if let (false, Some(own), Some(theirs)) = (is_decided, own, theirs)
             && is_less_loaded(own, theirs)
@@ -77,12 +81,13 @@
     !ledger.jobs.contains_key(&job) && !ledger.sent.contains_key(&job)
 }
 
-/// Another shard, drawn at random, for a new long-running job; none for other jobs and for those bound to a data rack.
+/// Another shard, drawn at random, for a new long-running job; none for other jobs and for those
+/// bound to a data rack.
 fn candidate(cx: &Cx, owner: &Owner, job: JobId, spec: &JobSpec) -> Option<ShardId> {
     let layout = cx.layout.borrow().clone()?;
-    let lasts = spec.steps.iter().any(|step| step.is_long_running);
+    let is_long_running = spec.steps.iter().any(|step| step.is_long_running);
     let is_bound = spec.steps.iter().any(|step| step.data_rack.is_some());
-    if !lasts || is_bound || !is_new(owner, job) {
+    if !is_long_running || is_bound || !is_new(owner, job) {
         return None;
     }
     draw(&layout, owner.handle.shard)
@@ -99,15 +104,15 @@
 /// Processors that a job's long-running tasks reserve in this shard, in thousandths of a core.
 fn long_running_millicores(job: &Job) -> u64 {
     let steps = job.spec.steps.iter().enumerate();
-    let lasting = steps.filter(|(_, step)| step.is_long_running);
-    lasting
+    let long_running = steps.filter(|(_, step)| step.is_long_running);
+    long_running
         .map(|(at, step)| step.size.millicores * job.own_task_count(at))
         .sum()
 }
 
 impl Owner {
-    /// Processors that active jobs' long-running tasks ask for, in thousandths of the shard's capacity. None before the
-    /// shard is recovered and while no worker is open for tasks.
+    /// Processors that active jobs' long-running tasks ask for, in thousandths of the shard's
+    /// capacity. None before the shard is recovered and while no worker is open for tasks.
     pub fn long_running_load(&self, cx: &Cx) -> Option<u32> {
         if !self.is_recovered() {
             return None;
@@ -117,7 +122,7 @@
         let (ledger, active) = (self.ledger.borrow(), self.active.borrow());
         let jobs = active.iter().filter_map(|id| ledger.jobs.get(id));
         let jobs = jobs.filter(|job| job.phase == Phase::Active);
-        let asked: u64 = jobs.map(long_running_millicores).sum();
-        (capacity > 0).then(|| u32::try_from(asked * 1_000 / capacity).unwrap_or(u32::MAX))
+        let requested: u64 = jobs.map(long_running_millicores).sum();
+        (capacity > 0).then(|| u32::try_from(requested * 1_000 / capacity).unwrap_or(u32::MAX))
     }
 }
--- a/src/lapisdrum/sched/owner/dispatch.rs
+++ b/src/lapisdrum/sched/owner/dispatch.rs
@@ -1,5 +1,6 @@
 //! Dispatch loop of a shard: collects startable tasks, ranks and places them with
-//! [`crate::policy::dispatch`], journals the placements and orders the starts once these are durable.
+//! [`crate::policy::dispatch`], journals the placements and orders the starts once these are
+//! durable.
 
 use super::{
     Owner,
@@ -31,7 +32,8 @@
 
 /// Minimum time between two passes, so that capacity freed within it is used by one pass.
 const MIN_PASS_INTERVAL: Duration = Duration::from_millis(5);
-/// Maximum time between two passes. Occurrences that fall due and objectives that pass do not wake the loop.
+/// Maximum time between two passes. Occurrences that fall due and objectives that pass do not wake
+/// the loop.
 const MAX_PASS_INTERVAL: Duration = Duration::from_millis(100);
 
 /// A step with tasks that may start.
@@ -85,7 +87,8 @@
         open.cloned().collect()
     }
 
-    /// Whether all workers of the shard are in evacuated data centres, so that nothing can be started.
+    /// Whether all workers of the shard are in evacuated data centres, so that nothing can be
+    /// started.
     pub fn is_evacuated(&self, cx: &Cx) -> bool {
         let (sessions, evacuations) = (self.sessions.borrow(), cx.evacuations.borrow());
         let mut registered = sessions
@@ -145,8 +148,8 @@
             waiting.note_wait(owner, shortage.as_ref(), hosts, now);
         } else {
             let is_reason_due = backlog::is_reason_due(owner, &waiting.step, now);
-            let end = place_step(owner, waiting, reports, hosts, &mut placed, is_reason_due);
-            if let PlaceOutcome::Partial(shortage) = end {
+            let outcome = place_step(owner, waiting, reports, hosts, &mut placed, is_reason_due);
+            if let PlaceOutcome::Partial(shortage) = outcome {
                 waiting.note_wait(owner, shortage.as_ref(), hosts, now);
                 unfit_images.extend(image.map(|image| (image, shortage)));
             }
@@ -288,7 +291,7 @@
 
 fn need_of<'a>(owner: &Owner, job: &'a Job, spec: &'a Step, step: &StepId) -> Need<'a> {
     let name = spec.image.as_ref();
-    let image = name.map(|name| owner.model.borrow_mut().image(name));
+    let image = name.map(|name| owner.interference_model.borrow_mut().image(name));
     Need {
         pool: &job.terms.pool,
         size: spec.size,
@@ -321,7 +324,7 @@
     let job = &ledger.jobs[&waiting.step.job];
     let spec = &job.spec.steps[usize::from(waiting.step.step)];
     let need = need_of(owner, job, spec, &waiting.step);
-    let model = owner.model.borrow();
+    let model = owner.interference_model.borrow();
     let len_before = placed.len();
     count_step(job, &waiting.step, spec, hosts);
     let is_gang = spec.gang != Gang::No;
@@ -370,8 +373,9 @@
     }
 }
 
-/// The image of a best-effort step, else none. Once a best-effort step does not fit, a pass skips the others of its
-/// image: the same hosts would refuse them, and checking every host once per image is enough.
+/// The image of a best-effort step, else none. Once a best-effort step does not fit, a pass skips
+/// the others of its image: the same hosts would refuse them, and checking every host once per
+/// image is enough.
 fn best_effort_image(owner: &Owner, step: &StepId) -> Option<String> {
     let ledger = owner.ledger.borrow();
     let spec = &ledger.jobs[&step.job].spec.steps[usize::from(step.step)];
--- a/src/lapisdrum/sched/owner/interference.rs
+++ b/src/lapisdrum/sched/owner/interference.rs
@@ -1,5 +1,5 @@
-//! Watches the tail latency of serving tasks, and throttles or stops best-effort tasks on their hosts that interfere
-//! with them.
+//! Watches the tail latency of serving tasks, and throttles or stops best-effort tasks on their
+//! hosts that interfere with them.
 
 use super::{
     Owner,
@@ -26,26 +26,28 @@
 use indexmap::IndexMap;
 use std::{rc::Rc, time::Duration};
 
-/// Tail latency starts to reflect the start or end of a task after this time, and reflects it fully after
-/// [`EFFECT_FULL_AFTER`]: the reported value covers half a second and is smoothed.
+/// Tail latency starts to reflect the start or end of a task after this time, and reflects it fully
+/// after [`EFFECT_FULL_AFTER`]: the reported value covers half a second and is smoothed.
 const EFFECT_STARTS_AFTER: Duration = Duration::from_millis(200);
 /// See [`EFFECT_STARTS_AFTER`].
 const EFFECT_FULL_AFTER: Duration = Duration::from_millis(900);
-/// Expected duration of a best-effort task as a multiple of its estimate, until it reports progress.
+/// Expected duration of a best-effort task as a multiple of its estimate, until it reports
+/// progress.
 const DURATION_FACTOR: f64 = 1.3;
 /// Least progress, in percent, from which the remaining time is extrapolated.
 const MIN_PROGRESS_PERCENT: f64 = 5.0;
-/// When a host's idle processors are computed, the load of a serving task is the maximum over this many forecast
-/// points.
+/// When a host's idle processors are computed, the load of a serving task is the maximum over this
+/// many forecast points.
 const LOAD_POINTS: usize = 3;
-/// After a best-effort task was throttled or stopped, its host gets no other one for this long, since tail latency
-/// still reflects the former state. Shorter than [`EFFECT_FULL_AFTER`], because placement also uses the forecast; longer
-/// leaves hosts with free capacity empty.
+/// After a best-effort task was throttled or stopped, its host gets no other one for this long,
+/// since tail latency still reflects the former state. Shorter than [`EFFECT_FULL_AFTER`], because
+/// placement also uses the forecast; longer leaves hosts with free capacity empty.
 const CLOSED_AFTER_MITIGATION: Duration = Duration::from_millis(400);
 /// How long a host gets no best-effort tasks after all of them were stopped.
 const CLOSED_AFTER_CLEARING: Duration = Duration::from_millis(3_000);
 
-/// Updates the interference model with a worker's poll response, and mitigates interference on that worker.
+/// Updates the interference model with a worker's poll response, and mitigates interference on that
+/// worker.
 pub fn note_poll_response(
     cx: &Cx,
     owner: &Rc<Owner>,
@@ -64,7 +66,7 @@
         return;
     }
     let actions = {
-        let model = owner.model.borrow();
+        let model = owner.interference_model.borrow();
         let inputs = DecisionInputs {
             model: &model,
             now,
@@ -86,11 +88,12 @@
     session.overload.note(tails, now)
 }
 
-/// Updates the interference model and the loads of serving tasks with the tail latencies of a poll response.
+/// Updates the interference model and the loads of serving tasks with the tail latencies of a poll
+/// response.
 fn note_tails(owner: &Owner, worker: &str, response: &PollResponse, now: Millis) {
     let beside = visible_aggressors(owner, worker, now);
     let mut runs = owner.runs.borrow_mut();
-    let mut model = owner.model.borrow_mut();
+    let mut model = owner.interference_model.borrow_mut();
     if model.refit_if_due(now) {
         log::info!(shard:% = owner.handle.partition, period_s:? = model.period_s(); "period of serving loads");
     }
@@ -146,7 +149,7 @@
 }
 
 /// How far tail latency at `now` reflects a change made at `since`, from 0 to 1.
-fn shown(since: Millis, now: Millis) -> f64 {
+fn reflected_share(since: Millis, now: Millis) -> f64 {
     let age = now
         .since(since)
         .saturating_sub(EFFECT_STARTS_AFTER)
@@ -155,7 +158,8 @@
     (age / whole).min(1.0)
 }
 
-/// Aggressors on a host, including ended ones, each weighted by how far tail latency reflects it at `now`.
+/// Aggressors on a host, including ended ones, each weighted by how far tail latency reflects it at
+/// `now`.
 fn visible_aggressors(owner: &Owner, worker: &str, now: Millis) -> Vec<Aggressor> {
     let capacity = capacity_of(owner, worker);
     let mut sessions = owner.sessions.borrow_mut();
@@ -166,7 +170,7 @@
         .departed
         .retain(|d| now.since(d.at) < EFFECT_FULL_AFTER);
     let departed = session.departed.iter().map(|departed| Aggressor {
-        share: departed.aggressor.share * (1.0 - shown(departed.at, now)),
+        share: departed.aggressor.share * (1.0 - reflected_share(departed.at, now)),
         ..departed.aggressor
     });
     let mut beside: Vec<Aggressor> = departed.collect();
@@ -197,8 +201,8 @@
 }
 
 impl RunRecord {
-    /// Notes the processors that a best-effort task uses, once it has run unthrottled long enough. Tasks use two thirds
-    /// or more of what they ask for, and interfere by what they use.
+    /// Notes the processors that a best-effort task uses, once it has run unthrottled long enough.
+    /// Tasks use two thirds or more of what they ask for, and interfere by what they use.
     fn note_use(&mut self, millicores: u64, now: Millis) {
         let is_settled =
             self.cpu_limit_percent == 100 && now.since(self.since) >= EFFECT_FULL_AFTER;
@@ -207,8 +211,9 @@
         }
     }
 
-    /// Estimated time until the run ends if it is not throttled: from its progress, else from its estimate.
-    fn left(&self, now: Millis) -> Duration {
+    /// Estimated time until the run ends if it is not throttled: from its progress, else from its
+    /// estimate.
+    fn remaining_time(&self, now: Millis) -> Duration {
         let usual = expected_duration(self.estimate_ms);
         let seen = self.first_progress.zip(self.progress);
         let Some(((first, began_at), (done, at))) = seen else {
@@ -217,19 +222,21 @@
         let todo = f64::from(100_u32.saturating_sub(done));
         let worked = f64::from(done.saturating_sub(first));
         let took = at.since(began_at);
-        let left = match worked >= MIN_PROGRESS_PERCENT {
+        let remaining = match worked >= MIN_PROGRESS_PERCENT {
             true => took.mul_f64(todo / worked),
             false => usual.mul_f64(todo / 100.0),
         };
-        left.saturating_sub(now.since(at))
+        remaining.saturating_sub(now.since(at))
     }
 
-    /// The processors that it uses when not throttled, in thousandths; what it asks for until that is measured.
+    /// The processors that it uses when not throttled, in thousandths; what it asks for until that
+    /// is measured.
     fn unthrottled_millicores(&self) -> u64 {
         self.used_millicores.unwrap_or(self.size.millicores)
     }
 
-    /// The run as an aggressor on a host with this capacity, if it is best-effort and its start was sent.
+    /// The run as an aggressor on a host with this capacity, if it is best-effort and its start was
+    /// sent.
     pub fn aggressor(&self, millicores: u64) -> Option<Aggressor> {
         self.aggressor_at(millicores, self.cpu_limit_percent)
     }
@@ -246,21 +253,23 @@
 }
 
 impl RunRecord {
-    /// Like [`RunRecord::aggressor`], weighted by how far tail latency reflects its start and its last CPU limit.
+    /// Like [`RunRecord::aggressor`], weighted by how far tail latency reflects its start and its
+    /// last CPU limit.
     fn visible_aggressor(&self, millicores: u64, now: Millis) -> Option<Aggressor> {
         let at_full = self.aggressor_at(millicores, 100)?;
         let (before, at) = self.previous_cpu_limit;
-        let changed = shown(at, now);
+        let changed = reflected_share(at, now);
         let cpu_limit_percent =
             f64::from(before) * (1.0 - changed) + f64::from(self.cpu_limit_percent) * changed;
         Some(Aggressor {
-            share: at_full.share * cpu_limit_percent / 100.0 * shown(self.since, now),
+            share: at_full.share * cpu_limit_percent / 100.0 * reflected_share(self.since, now),
             ..at_full
         })
     }
 }
 
-/// The best-effort runs on a host with what mitigation needs to know of them, and its serving tasks by step.
+/// The best-effort runs on a host with what mitigation needs to know of them, and its serving tasks
+/// by step.
 fn on_host(
     owner: &Owner,
     worker: &str,
@@ -298,13 +307,14 @@
             is_checkpointing: record.is_checkpointing,
             is_stopping: record.known.stop != Stop::No,
             ran: now.since(record.since),
-            left: record.left(now),
+            left: record.remaining_time(now),
         });
     }
     (ids, best_effort, serving.into_values().collect())
 }
 
-/// Serving tasks on a host, by step, with their utilisation forecast, for the placement of further tasks.
+/// Serving tasks on a host, by step, with their utilisation forecast, for the placement of further
+/// tasks.
 pub fn serving_groups(
     owner: &Owner,
     worker: &str,
@@ -315,7 +325,7 @@
     let Some(session) = sessions.get(worker) else {
         return Vec::new();
     };
-    let model = owner.model.borrow();
+    let model = owner.interference_model.borrow();
     let here = session
         .runs
         .iter()
@@ -324,7 +334,10 @@
     let mut beside: Vec<(Aggressor, usize)> = Vec::new();
     for (run, record) in here {
         if let Some(aggressor) = record.planned_aggressor(millicores) {
-            beside.push((aggressor, utilisation::points_within(record.left(now))));
+            beside.push((
+                aggressor,
+                utilisation::points_within(record.remaining_time(now)),
+            ));
         }
         let Some(victim) = owner.victim(run, record) else {
             continue;
@@ -358,7 +371,8 @@
 }
 
 impl RunRecord {
-    /// Like [`RunRecord::aggressor`] for a run that is not throttled, also before its start is sent.
+    /// Like [`RunRecord::aggressor`] for a run that is not throttled, also before its start is
+    /// sent.
     fn planned_aggressor(&self, millicores: u64) -> Option<Aggressor> {
         let image = self.image.filter(|_| self.load == Load::BestEffort)?;
         Some(Aggressor {
@@ -417,12 +431,13 @@
     let (cx, owner, worker) = (Rc::clone(cx), Rc::clone(owner), worker.to_owned());
     supervisor::spawn("pace", async move {
         let token = owner.token();
-        let end = cx
+        let outcome = cx
             .workers
             .set_cpu_limit(&address, &worker, run, percent, token)
             .await;
-        // Without a confirmed order the old limit counts, so that a later poll response can order it again.
-        if !matches!(end, OrderOutcome::Done(_))
+        // Without a confirmed order the old limit counts, so that a later poll response can order
+        // it again.
+        if !matches!(outcome, OrderOutcome::Done(_))
             && let Some(record) = owner.runs.borrow_mut().get_mut(&run)
         {
             record.cpu_limit_percent = before;
@@ -441,8 +456,8 @@
 ) {
     log::warn!(worker, leftover = best_effort.len(); "tail latency stays over its target; stopping best-effort tasks of the host");
     close(owner, worker, now + CLOSED_AFTER_CLEARING);
-    for (run, left) in runs.iter().zip(best_effort) {
-        if !left.is_stopping {
+    for (run, aggressor) in runs.iter().zip(best_effort) {
+        if !aggressor.is_stopping {
             act(cx, owner, worker, *run, Action::Stop, now);
         }
     }
--- a/src/lapisdrum/sched/owner/jobs.rs
+++ b/src/lapisdrum/sched/owner/jobs.rs
@@ -19,9 +19,10 @@
 /// Longest time until a reply; callers treat an owner that takes longer as unreachable.
 pub(super) const ANSWER_WITHIN: Duration = Duration::from_millis(700);
 /// Retry delay for callers that are refused while the store does not accept rows.
-const STORE_AWAY_RETRY: Duration = Duration::from_secs(1);
+const STORE_UNAVAILABLE_RETRY: Duration = Duration::from_secs(1);
 
-/// Retry delay for callers while every data centre is evacuated; operators need at least seconds to restore one.
+/// Retry delay for callers while every data centre is evacuated; operators need at least seconds to
+/// restore one.
 const EVACUATED_RETRY: Duration = Duration::from_secs(5);
 
 /// Accepts a job. A repeated submission of the same id returns the state of the existing job.
@@ -41,7 +42,7 @@
     }
     let is_known = owner.ledger.borrow().jobs.contains_key(&job);
     if !is_known && !owner.journal.accepts_work(cx.clock.now()) {
-        return SubmitReply::Busy(STORE_AWAY_RETRY);
+        return SubmitReply::Busy(STORE_UNAVAILABLE_RETRY);
     }
     if !is_known && owner.is_evacuated(cx) {
         log::info!(job:% = job, shard:% = owner.handle.partition; "submission refused: every data centre is evacuated");
@@ -143,7 +144,8 @@
             owner.note_if_ended(cx, job);
             ticket
         }
-        // An empty append is durable once all earlier ones are; an earlier cancellation may not be durable yet.
+        // An empty append is durable once all earlier ones are; an earlier cancellation may not be
+        // durable yet.
         Some(_) => owner.journal.append(&[]),
     };
     match tokio::time::timeout(owner.journal.stall_timeout(), ticket.outcome()).await {
--- a/src/lapisdrum/sched/owner/runs.rs
+++ b/src/lapisdrum/sched/owner/runs.rs
@@ -34,7 +34,7 @@
     pub load: Load,
     /// Class under which it counts as short work; none for long-running and best-effort tasks.
     pub short_class: Option<Class>,
-    /// Progress of its start and stop orders.
+    /// State of its start and stop orders.
     pub known: RunKnowledge,
     /// When this owner placed it, or read it from the journal.
     pub since: Millis,
@@ -100,7 +100,7 @@
         };
         let now = cx.clock.now();
         let image = step.image.as_ref();
-        let image = image.map(|name| self.model.borrow_mut().image(name));
+        let image = image.map(|name| self.interference_model.borrow_mut().image(name));
         let record = RunRecord {
             on: on.clone(),
             size: step.size,
@@ -155,7 +155,8 @@
         self.record(run, |record| record.known.order = order);
     }
 
-    /// Removes a run that has ended, or never started, without an end reported by its worker, and journals it.
+    /// Removes a run that has ended, or never started, without an end reported by its worker, and
+    /// journals it.
     pub fn note_lost(self: &Rc<Self>, cx: &Cx, run: RunId, why: Loss) {
         let Some(record) = self.remove_run(&run) else {
             return;
@@ -270,11 +271,12 @@
     let (address, lease_until) = owner.session(&on.worker, |session| {
         let is_same_incarnation = session.claimed_incarnation == Some(on.started_unix_ms);
         let report = session.report.as_ref()?;
-        let end = session.lease_end(now, cx.cfg.leases.sent())?;
+        let lease_until = session.lease_end(now, cx.cfg.leases.sent())?;
         let is_responsive = session.unresponsive_since.is_none();
         // The data centre may have been evacuated after the run was placed.
         let may_start = cx.allows_starts_in(&report.data_centre);
-        (is_same_incarnation && is_responsive && may_start).then(|| (report.address.clone(), end))
+        (is_same_incarnation && is_responsive && may_start)
+            .then(|| (report.address.clone(), lease_until))
     })??;
     let ledger = owner.ledger.borrow();
     let job = ledger.jobs.get(&run.task.job)?;
@@ -304,8 +306,8 @@
     }
 }
 
-/// Stops the remaining live runs of a completed task: speculative copies, and runs that replaced one that was
-/// given up but had completed the task.
+/// Stops the remaining live runs of a completed task: speculative copies, and runs that replaced
+/// one that was given up but had completed the task.
 pub fn stop_copies(cx: &Cx, owner: &Rc<Owner>, task: &TaskId) {
     let ledger = owner.ledger.borrow();
     let done = ledger.task(task).filter(|task| task.is_done);
@@ -385,8 +387,9 @@
     });
 }
 
-/// Stops long-running and checkpointing tasks on a worker that is leaving, so that they restart elsewhere.
-/// Other tasks are as likely to complete before the worker leaves as they would be elsewhere.
+/// Stops long-running and checkpointing tasks on a worker that is leaving, so that they restart
+/// elsewhere. Other tasks are as likely to complete before the worker leaves as they would be
+/// elsewhere.
 pub fn stop_movable_runs(cx: &Cx, owner: &Rc<Owner>, worker: &str) {
     let runs = owner.runs.borrow();
     let here = runs.iter().filter(|(_, record)| record.on.worker == worker);
@@ -399,8 +402,8 @@
 }
 
 impl Owner {
-    /// Notes that a task failed, stalled or overran its estimate on a worker: other workers are tried first, and
-    /// a worker with several such failures in a row is suspect.
+    /// Notes that a task failed, stalled or overran its estimate on a worker: other workers are
+    /// tried first, and a worker with several such failures in a row is suspect.
     pub fn note_misbehaved(&self, worker: &str, task: &TaskId, now: Millis) {
         self.session(worker, |session| {
             session.failures = (session.failures.0.saturating_add(1), now);
