--- a/src/lapisdrum/policy/dispatch/duration.rs
+++ b/src/lapisdrum/policy/dispatch/duration.rs
@@ -1,18 +1,21 @@
 //! Estimates the duration of a queue's jobs from the estimated work on their critical path.
 //!
-//! Load pattern: batch graphs of wide steps that together exceed the hosts' capacity. A step ends with its slowest
-//! task, best-effort tasks run slower than alone, and some are moved; so even under low load a job may take almost
-//! twice the estimate of its critical path. A scheduler that relies on the estimate starts jobs after a burst that
-//! can no longer meet their deadlines. Each queue's factor tracks the recent durations of its jobs, and so also
-//! reflects slow or crowded hosts.
+//! Load pattern: batch graphs of wide steps that together exceed the hosts' capacity. A step ends
+//! with its slowest task, best-effort tasks run slower than alone, and some are moved; so even
+//! under low load a job may take almost twice the estimate of its critical path. A scheduler that
+//! relies on the estimate starts jobs after a burst that can no longer meet their deadlines. Each
+//! queue's factor tracks the recent durations of its jobs, and so also reflects slow or crowded
+//! hosts.
 
 use indexmap::IndexMap;
 
 /// Factor of a queue before its first job has ended.
 const INITIAL_FACTOR: f64 = 1.5;
-/// Smoothing factor per job: a queue's factor follows its last twenty or so jobs, a second or two of traffic.
+/// Smoothing factor per job: a queue's factor follows its last twenty or so jobs, a second or two
+/// of traffic.
 const SMOOTHING_FACTOR: f64 = 0.05;
-/// Bounds of a single job's factor, so that a job that was stalled for a minute does not distort the estimate.
+/// Bounds of a single job's factor, so that a job that was stalled for a minute does not distort
+/// the estimate.
 const FACTOR_BOUNDS: (f64, f64) = (1.0, 3.0);
 
 /// Ratio of the measured duration of jobs to the estimate of their critical path, by queue.
@@ -22,7 +25,8 @@
 }
 
 impl DurationEstimates {
-    /// Updates a queue's factor with a job: estimated critical path, and time from its first start to its end, in ms.
+    /// Updates a queue's factor from a completed job. `chain_ms` is the estimated duration of its
+    /// critical path, `took_ms` the time from its first start to its end.
     pub fn note(&mut self, queue: &str, chain_ms: u64, took_ms: u64) {
         if chain_ms == 0 {
             return;
@@ -35,7 +39,8 @@
         *factor += (measured - *factor) * SMOOTHING_FACTOR;
     }
 
-    /// Returns the expected duration of a critical path with this estimate, in milliseconds.
+    /// Returns the expected time from a job's first start to its end, in milliseconds, given the
+    /// estimated duration of its critical path.
     pub fn expected_ms(&self, queue: &str, chain_ms: u64) -> u64 {
         let factor = self.factors.get(queue).copied().unwrap_or(INITIAL_FACTOR);
         (chain_ms as f64 * factor) as u64
--- a/src/lapisdrum/policy/dispatch/interference/estimates.rs
+++ b/src/lapisdrum/policy/dispatch/interference/estimates.rs
@@ -1,13 +1,14 @@
-//! The serialised interference model, which a shard's owner stores for the next owner and sends to the owners of
-//! other shards.
+//! The serialised interference model, which a shard's owner stores for the next owner and sends to
+//! the owners of other shards.
 //!
-//! Without it, pairs are measured again on serving tasks in the first ten seconds after each takeover, and each of
-//! several shards has to measure every pair itself.
+//! Without it, pairs are measured again on serving tasks in the first ten seconds after each
+//! takeover, and each of several shards has to measure every pair itself.
 
 use super::{Evidence, Image, InterferenceModel};
 use crate::core::time::Millis;
 
-/// Maximum number of pairs in one row or reply, which keeps it below 60 KB. Pairs with the most evidence go first.
+/// Maximum number of pairs in one row or reply, which keeps it below 60 KB. Pairs with the most
+/// evidence go first.
 const MAX_PAIRS: usize = 800;
 /// Values are serialised in thousandths.
 const MILLI: f64 = 1_000.0;
@@ -48,7 +49,8 @@
 }
 
 impl InterferenceEstimates {
-    /// Returns the evidence of pairs that this owner measured at or after `since`, with all idle tails.
+    /// Returns the evidence of pairs that this owner measured at or after `since`, with all idle
+    /// tails.
     pub fn since(model: &InterferenceModel, since: Millis) -> Self {
         let mut pairs: Vec<PairEstimate> = model
             .own_pairs()
@@ -77,7 +79,8 @@
         self.pairs.len()
     }
 
-    /// Returns the pairs by the image numbers of `model`; pairs with an invalid image index are skipped.
+    /// Returns the pairs by the image indexes of `model`; pairs with an invalid image index are
+    /// skipped.
     pub(super) fn pairs_in(&self, model: &mut InterferenceModel) -> Vec<(Image, Image, Evidence)> {
         let images: Vec<Image> = self.images.iter().map(|name| model.image(name)).collect();
         let image = |number: u16| images.get(usize::from(number)).copied();
--- a/src/lapisdrum/policy/dispatch/interference/evidence.rs
+++ b/src/lapisdrum/policy/dispatch/interference/evidence.rs
@@ -1,8 +1,10 @@
-//! Measured interference between two images, kept as sums so that the evidence of several owners can be added.
+//! Measured interference between two images, kept as sums so that the evidence of several owners
+//! can be added.
 
 use super::Estimate;
 
-/// Maximum precision of a pair's evidence: interference changes within seconds, so that more evidence adds nothing.
+/// Maximum precision of a pair's evidence: interference changes within seconds, so that more
+/// evidence adds nothing.
 const MAX_PRECISION: f64 = 60.0;
 
 /// Precision-weighted sums over the interference measurements of one pair.
@@ -10,12 +12,14 @@
 pub struct Evidence {
     /// The sum of the precisions (inverse variances) of the scaled measurements.
     pub precision: f64,
-    /// The sum of the measured values, scaled to an aggressor that uses the whole host, each times its precision.
+    /// The sum of the measured values, scaled to an aggressor that uses the whole host, each times
+    /// its precision.
     pub weighted_sum: f64,
 }
 
 impl Evidence {
-    /// Adds a measurement, with this variance, of the interference of a task using `share` of the host's processors.
+    /// Adds a measurement, with this variance, of the interference of a task using `share` of the
+    /// host's processors.
     pub fn note(&mut self, share: f64, interference: f64, variance: f64) {
         self.precision += share * share / variance;
         self.weighted_sum += share * interference / variance;
@@ -39,7 +43,8 @@
         }
     }
 
-    /// Returns the mean interference for a task that uses the whole host; none without a measurement.
+    /// Returns the mean interference for a task that uses the whole host; `None` without a
+    /// measurement.
     pub fn mean(&self) -> Option<f64> {
         (self.precision > 0.0).then(|| (self.weighted_sum / self.precision).max(0.0))
     }
--- a/src/lapisdrum/policy/dispatch/interference/load.rs
+++ b/src/lapisdrum/policy/dispatch/interference/load.rs
@@ -1,9 +1,9 @@
 //! Tracks and forecasts the load of serving tasks from their measured utilisation.
 //!
-//! All tasks of a step share their load, so a task without aggressors measures it for the others. A latency tail is
-//! [`TAIL_AGE_S`] old when it is read, and load changes by half within seconds. While no period is known
-//! ([`super::seasonality`]), level and slope are tracked; with one, a mean and a sinusoid around it, which forecast the
-//! load for the run time of a best-effort task.
+//! All tasks of a step share their load, so a task without aggressors measures it for the others. A
+//! latency tail is [`TAIL_AGE_S`] old when it is read, and load changes by half within seconds.
+//! While no period is known ([`super::seasonality`]), level and slope are tracked; with one, a mean
+//! and a sinusoid around it, which forecast the load for the run time of a best-effort task.
 
 use crate::core::time::Millis;
 use nalgebra::{Matrix3, RowVector3, Vector3};
@@ -11,16 +11,18 @@
 
 /// Load of a serving task before it is measured, and its variance.
 const INITIAL_LOAD: (f64, f64) = (0.45, 0.03);
-/// Variance of a load's slope before it is measured, per second squared: a change by half in seven seconds is a
-/// slope of up to 0.1 per second.
+/// Variance of a load's slope before it is measured, per second squared: a change by half in seven
+/// seconds is a slope of up to 0.1 per second.
 const INITIAL_SLOPE_VARIANCE: f64 = 0.005;
-/// Growth of the slope's variance per second: during such a change it changes by up to 0.045 per second squared.
+/// Growth of the slope's variance per second: during such a change it changes by up to 0.045 per
+/// second squared.
 const SLOPE_DRIFT: f64 = 0.0015;
 /// Maximum slope of a load, per second; steeper estimates are clamped.
 const MAX_SLOPE: f64 = 0.12;
 /// Bounds of a load forecast: extrapolation beyond them is an error.
 const LOAD_BOUNDS: (f64, f64) = (0.1, 0.72);
-/// Mean age of a latency tail when it is read, in seconds: it covers half a second and arrives with a poll.
+/// Mean age of a latency tail when it is read, in seconds: it covers half a second and arrives with
+/// a poll.
 const TAIL_AGE_S: f64 = 0.15;
 /// Variances of the mean and of each sinusoid component before they are measured.
 const INITIAL_WAVE_VARIANCE: (f64, f64) = (0.01, 0.03);
@@ -95,7 +97,8 @@
             .map_or(self.trend.covariance.0, |wave| wave.level_variance())
     }
 
-    /// Advances the estimate to `now`. A new sinusoid starts from the level and slope of the linear model.
+    /// Advances the estimate to `now`. A new sinusoid starts from the level and slope of the linear
+    /// model.
     pub(super) fn advance(&mut self, now: Millis, period_s: Option<f64>) {
         let elapsed_s = self
             .measured_at
@@ -157,7 +160,8 @@
         }
     }
 
-    /// Returns the state transition matrix for this time: a rotation of the sinusoid's two components.
+    /// Returns the state transition matrix for this time: a rotation of the sinusoid's two
+    /// components.
     fn transition(&self, after_s: f64) -> Matrix3<f64> {
         let (sin, cos) = (TAU * after_s / self.period_s).sin_cos();
         Matrix3::new(1.0, 0.0, 0.0, 0.0, cos, sin, 0.0, -sin, cos)
--- a/src/lapisdrum/policy/dispatch/interference/mod.rs
+++ b/src/lapisdrum/policy/dispatch/interference/mod.rs
@@ -1,16 +1,17 @@
-//! Estimates the interference of best-effort tasks with serving tasks on the same host, from delayed and noisy
-//! latency tails.
+//! Estimates the interference of best-effort tasks with serving tasks on the same host, from
+//! delayed and noisy latency tails.
 //!
-//! Load pattern: serving tasks reserve most processors of a host and use half of them; batch work may use the rest.
-//! Some pairs of images interfere and most do not; serving load changes by half within seven seconds. Without a
-//! model, batch work either leaves four fifths of the free capacity unused or drives tails to ten times their
-//! target.
+//! Load pattern: serving tasks reserve most processors of a host and use half of them; batch work
+//! may use the rest. Some pairs of images interfere and most do not; serving load changes by half
+//! within seven seconds. Without a model, batch work either leaves four fifths of the free capacity
+//! unused or drives tails to ten times their target.
 //!
-//! A tail follows the queueing formula `base_ms / (1 - utilisation)`. Utilisation is the sum of the serving task's own
-//! load ([`load`]) and, for each aggressor, its share of the host's processors times a factor of the two images. A
-//! measurement corrects each unknown in proportion to its variance (a Kalman filter that treats the unknowns as
-//! independent). Measurements of a pair are kept as [`evidence`], to which those of other owners are added; the
-//! prior of a pair with little evidence is derived from other pairs ([`profile`]).
+//! A tail follows the queueing formula `base_ms / (1 - utilisation)`. Utilisation is the sum of the
+//! serving task's own load ([`load`]) and, for each aggressor, its share of the host's processors
+//! times a factor of the two images. A measurement corrects each unknown in proportion to its
+//! variance (a Kalman filter that treats the unknowns as independent). Measurements of a pair are
+//! kept as [`evidence`], to which those of other owners are added; the prior of a pair with little
+//! evidence is derived from other pairs ([`profile`]).
 
 pub mod estimates;
 pub mod evidence;
@@ -39,23 +40,27 @@
     mean: 0.5,
     variance: 0.3,
 };
-/// Variance of the utilisation inferred from one tail: tails of tasks without aggressors scatter too.
+/// Variance of the utilisation inferred from one tail: tails of tasks without aggressors scatter
+/// too.
 const NOISE_VARIANCE: f64 = 0.003;
 /// Variance that all tasks of a step on one host share, in addition to [`NOISE_VARIANCE`].
 const SHARED_NOISE_VARIANCE: f64 = 0.001;
-/// Standard deviation of interference relative to its mean: interference changes within seconds. It reduces the
-/// weight of tasks under strong interference in the load estimate, which would count part of the interference as load.
+/// Standard deviation of interference relative to its mean: interference changes within seconds. It
+/// reduces the weight of tasks under strong interference in the load estimate, which would count
+/// part of the interference as load.
 const INTERFERENCE_DEVIATION: f64 = 0.7;
 /// Initial estimate of the tail without utilisation, as a fraction of its target.
 const INITIAL_BASE_FRACTION: f64 = 0.2;
 /// Utilisation assumed for the idle tail: no task is ever completely idle.
 const IDLE_UTILISATION: f64 = 0.22;
-/// The idle tail is estimated as this quantile of an image's tails. Their minimum is an outlier, and would make all
-/// load estimates too high.
+/// The idle tail is estimated as this quantile of an image's tails. Their minimum is an outlier,
+/// and would make all load estimates too high.
 const IDLE_QUANTILE: f64 = 0.04;
-/// Relative step by which one tail moves the quantile estimate: it converges within about 200 tails.
+/// Relative step by which one tail moves the quantile estimate: it converges within about 200
+/// tails.
 const IDLE_STEP: f64 = 0.02;
-/// Utilisation from which a task is saturated: its tail no longer shows by how much.
+/// Utilisation from which a task counts as saturated: its tail no longer shows how far it is
+/// overloaded.
 const SATURATED: f64 = 0.95;
 /// Maximum interference at which a task's load is accurate enough for period detection.
 const MAX_INTERFERENCE_FOR_PERIOD: f64 = 0.08;
@@ -150,7 +155,8 @@
 }
 
 impl InterferenceModel {
-    /// Restores the model that a previous owner stored. Its evidence counts half, as some time has passed.
+    /// Restores the model that a previous owner stored. Its evidence counts half, as some time has
+    /// passed.
     pub fn resumed(estimates: &InterferenceEstimates) -> Self {
         let mut resumed = Self::default();
         for (victim, aggressor, mut evidence) in estimates.pairs_in(&mut resumed) {
@@ -161,7 +167,8 @@
         resumed
     }
 
-    /// Adds the evidence that another owner measured, replacing its earlier evidence of the same pairs.
+    /// Adds the evidence that another owner measured, replacing its earlier evidence of the same
+    /// pairs.
     pub fn adopt(&mut self, origin: Origin, estimates: &InterferenceEstimates) {
         for (victim, aggressor, evidence) in estimates.pairs_in(self) {
             let before = self.received.insert((origin, victim, aggressor), evidence);
@@ -173,7 +180,8 @@
         self.adopt_period_and_tails(estimates);
     }
 
-    /// Adopts the period and the idle tails; a period found by this owner and idle tails that it has take precedence.
+    /// Adopts the period and the idle tails; a period found by this owner and idle tails that it
+    /// has take precedence.
     fn adopt_period_and_tails(&mut self, estimates: &InterferenceEstimates) {
         if let Some(period_s) = estimates.period_s() {
             self.seasonality.adopt(period_s);
@@ -183,7 +191,7 @@
         }
     }
 
-    /// Returns the number of an image, adding the image if it is new.
+    /// Returns the index of an image, adding the image if it is new.
     pub fn image(&mut self, name: &str) -> Image {
         let at = match self.images.get_index_of(name) {
             Some(at) => at,
@@ -197,12 +205,13 @@
         1.0 - self.base_ms(victim) / victim.target_ms
     }
 
-    /// Returns the utilisation inferred from a tail; none if the tail is not positive.
+    /// Returns the utilisation inferred from a tail; `None` if the tail is not positive.
     pub fn utilisation_of(&self, victim: &Victim, tail_ms: f64) -> Option<f64> {
         (tail_ms > 0.0).then(|| (1.0 - self.base_ms(victim) / tail_ms).clamp(0.0, 1.0))
     }
 
-    /// Returns the expected utilisation of a victim at `now + ahead`, with these aggressors on its host.
+    /// Returns the expected utilisation of a victim at `now + ahead`, with these aggressors on its
+    /// host.
     pub fn expected_utilisation(
         &self,
         victim: &Victim,
@@ -231,9 +240,10 @@
         self.estimate(victim, aggressor.image).variance * aggressor.share * aggressor.share
     }
 
-    /// Updates the model with the tails of a step's tasks on one host. The tasks share their load and the aggressors,
-    /// so their mean is one measurement with less noise. Returns the residual: measured minus expected
-    /// utilisation after the update, or 0 if a saturated tail gives no information; none without a positive tail.
+    /// Updates the model with the tails of a step's tasks on one host. The tasks share their load
+    /// and the aggressors, so their mean is one measurement with less noise. Returns the residual:
+    /// measured minus expected utilisation after the update, or 0 if a saturated tail gives no
+    /// information; `None` without a positive tail.
     pub fn note(
         &mut self,
         victim: &mut Victim,
@@ -297,7 +307,8 @@
         self.seasonality.period_s()
     }
 
-    /// Refits the profiles and searches for the period if that is due. Returns whether the period found changed.
+    /// Refits the profiles and searches for the period if that is due. Returns whether the period
+    /// found changed.
     pub fn refit_if_due(&mut self, now: Millis) -> bool {
         let since = self.refitted_at.map(|at| now.since(at));
         if since.is_some_and(|since| since < REFIT_INTERVAL) {
@@ -339,7 +350,7 @@
         })
     }
 
-    /// Returns the pairs that this owner measured itself, with the numbers of victim and aggressor.
+    /// Returns the pairs that this owner measured itself, with the indexes of victim and aggressor.
     fn own_pairs(&self) -> impl Iterator<Item = (usize, usize, &Pair)> {
         let rows = self.pairs.iter().enumerate();
         let all = rows.flat_map(|(victim, row)| {
--- a/src/lapisdrum/policy/dispatch/interference/profile.rs
+++ b/src/lapisdrum/policy/dispatch/interference/profile.rs
@@ -1,15 +1,16 @@
 //! Predicts the interference of pairs of images that have not run together, from pairs that have.
 //!
-//! Load pattern: some hundreds of pairs of serving and best-effort images, of which a few dozen run together in a
-//! deployment's first seconds, and fewer in one shard. If each pair is measured separately, every new one is tried at
-//! the expense of serving tasks, and a fifth of the best-effort tasks is throttled or stopped. But images contend for
-//! few resources: caches, memory bandwidth, disks, links. Each best-effort image uses some of them and each serving
-//! image is sensitive to some, so the interference matrix is close to a product of two narrow matrices, and three
-//! measured pairs of an image are enough to predict its others.
+//! Load pattern: some hundreds of pairs of serving and best-effort images, of which a few dozen run
+//! together in a deployment's first seconds, and fewer in one shard. If each pair is measured
+//! separately, every new one is tried at the expense of serving tasks, and a fifth of the
+//! best-effort tasks is throttled or stopped. But images contend for few resources: caches, memory
+//! bandwidth, disks, links. Each best-effort image uses some of them and each serving image is
+//! sensitive to some, so the interference matrix is close to a product of two narrow matrices, and
+//! three measured pairs of an image are enough to predict its others.
 //!
-//! The matrices are fitted by alternating least squares over the pairs with evidence, regularised towards
-//! [`PRIOR_FACTOR`]. The covariance of the factors is kept, so that predictions for images with little evidence have a
-//! high variance.
+//! The matrices are fitted by alternating least squares over the pairs with evidence, regularised
+//! towards [`PRIOR_FACTOR`]. The covariance of the factors is kept, so that predictions for images
+//! with little evidence have a high variance.
 
 use super::Estimate;
 use nalgebra::{SMatrix, SVector};
@@ -35,9 +36,9 @@
 /// Measured interference of a pair: one known entry of the interference matrix.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Cell {
-    /// Number of the serving image.
+    /// Index of the serving image.
     pub victim: usize,
-    /// Number of the best-effort image.
+    /// Index of the best-effort image.
     pub aggressor: usize,
     /// Mean interference for an aggressor that uses the whole host.
     pub mean: f64,
@@ -53,7 +54,7 @@
     is_fitted: bool,
 }
 
-/// Factors of all images, indexed by image number.
+/// Factors of all images, indexed by image.
 #[derive(Clone, Debug, Default)]
 pub struct Profiles {
     victims: Vec<Profile>,
@@ -61,8 +62,8 @@
 }
 
 impl Profile {
-    /// Creates the profile of an image without measured pairs. Its initial factors depend on its number: from equal
-    /// factors, alternating least squares would never separate them.
+    /// Creates the profile of an image without measured pairs. Its initial factors depend on its
+    /// number: from equal factors, alternating least squares would never separate them.
     fn unfitted(number: usize) -> Self {
         let initial = |at: usize, _| {
             let turn = (number * RANK + at) as f64 * 0.618_034;
@@ -83,7 +84,8 @@
         }
     }
 
-    /// Fits the factors to measurements: the other image's factors, mean interference and precision of each.
+    /// Fits the factors to measurements: the other image's factors, mean interference and precision
+    /// of each.
     fn fitted<'a>(measurements: impl Iterator<Item = (&'a Factors, f64, f64)>) -> Option<Self> {
         let mut information = FactorMatrix::identity() * PRIOR_PRECISION;
         let mut weighted_sum = Factors::repeat(PRIOR_FACTOR * PRIOR_PRECISION);
--- a/src/lapisdrum/policy/dispatch/interference/seasonality.rs
+++ b/src/lapisdrum/policy/dispatch/interference/seasonality.rs
@@ -1,13 +1,14 @@
 //! Detects the period of serving loads.
 //!
-//! Load pattern: the load of each service oscillates with a phase of its own and a period that the services of a
-//! deployment share. Linear extrapolation forecasts such a load one second ahead with an error of a tenth of a host,
-//! and fails at two seconds: best-effort tasks are admitted at the start of a rise and stopped during it. With a known
-//! period, mean and amplitude of each service are estimated within a fraction of a period, and the rest of it is
-//! forecast with an error of a few hundredths.
+//! Load pattern: the load of each service oscillates with a phase of its own and a period that the
+//! services of a deployment share. Linear extrapolation forecasts such a load one second ahead with
+//! an error of a tenth of a host, and fails at two seconds: best-effort tasks are admitted at the
+//! start of a rise and stopped during it. With a known period, mean and amplitude of each service
+//! are estimated within a fraction of a period, and the rest of it is forecast with an error of a
+//! few hundredths.
 //!
-//! The period is the one whose sinusoids leave the least residual variance in the recent loads of some steps. Loads
-//! that don't oscillate have none, and are tracked by level and slope alone.
+//! The period is the one whose sinusoids leave the least residual variance in the recent loads of
+//! some steps. Loads that don't oscillate have none, and are tracked by level and slope alone.
 
 use crate::core::time::Millis;
 use indexmap::IndexMap;
@@ -15,7 +16,8 @@
 
 /// Shortest and longest period that is searched for, in seconds.
 const PERIOD_RANGE_S: (f64, f64) = (5.0, 45.0);
-/// Each is longer than the last by this factor: the next one is out of step by a fourteenth after a wave.
+/// Each is longer than the last by this factor: the next one is out of step by a fourteenth after a
+/// wave.
 const PERIOD_RATIO: f64 = 1.04;
 /// Age up to which samples are kept.
 const WINDOW: Duration = Duration::from_secs(45);
@@ -50,12 +52,14 @@
 }
 
 impl<K: std::hash::Hash + Eq> Seasonality<K> {
-    /// Returns the period in seconds as found by this owner, else as received from another one, if any.
+    /// Returns the period in seconds as found by this owner, else as received from another one, if
+    /// any.
     pub fn period_s(&self) -> Option<f64> {
         self.found_s.or(self.received_s)
     }
 
-    /// Adds a load sample of a step, unless it is too soon after the last one or too many steps are sampled.
+    /// Adds a load sample of a step, unless it is too soon after the last one or too many steps are
+    /// sampled.
     pub fn note(&mut self, step: K, load: f64, now: Millis) {
         if self.steps.len() >= MAX_STEPS && !self.steps.contains_key(&step) {
             return;
@@ -78,7 +82,8 @@
         self.received_s = Some(period_s);
     }
 
-    /// Searches for the period if that is due. Returns whether the period found by this owner changed.
+    /// Searches for the period if that is due. Returns whether the period found by this owner
+    /// changed.
     pub fn search_if_due(&mut self, now: Millis) -> bool {
         if now.since(self.searched_at) < SEARCH_INTERVAL {
             return false;
@@ -93,8 +98,8 @@
         has_changed
     }
 
-    /// Returns the best period if a longer one was tested and fits worse: a short history fits best to the longest
-    /// period that it covers.
+    /// Returns the best period if a longer one was tested and fits worse: a short history fits best
+    /// to the longest period that it covers.
     fn search(&self) -> Option<f64> {
         let mut best: Option<(f64, f64)> = None;
         let mut longest = 0.0;
@@ -112,7 +117,8 @@
         (period_s < longest && residual <= MAX_RESIDUAL).then_some(period_s)
     }
 
-    /// Returns the residual variance for this period as a fraction of the loads' variance; none with too few samples.
+    /// Returns the residual variance for this period as a fraction of the loads' variance; `None`
+    /// with too few samples.
     fn residual_fraction(&self, period_s: f64) -> Option<f64> {
         let has_enough = |samples: &&Samples| samples.covers(period_s);
         let variances = self
--- a/src/lapisdrum/policy/dispatch/mitigation.rs
+++ b/src/lapisdrum/policy/dispatch/mitigation.rs
@@ -1,14 +1,17 @@
-//! Decides which best-effort tasks are throttled or stopped when the latency tail of a serving task nears its target.
+//! Decides which best-effort tasks are throttled or stopped when the latency tail of a serving task
+//! nears its target.
 //!
-//! Load pattern: serving load rises under best-effort tasks that were harmless when they were placed, or a pair of
-//! images interferes more than estimated. Latency tails show it half a second late. Without mitigation a tail stays
-//! at ten times its target for as long as the batch task runs, some four seconds. Mitigation that picks the task with
-//! the most interference stopped tasks that had almost finished, and whole steps waited for them.
+//! Load pattern: serving load rises under best-effort tasks that were harmless when they were
+//! placed, or a pair of images interferes more than estimated. Latency tails show it half a second
+//! late. Without mitigation a tail stays at ten times its target for as long as the batch task
+//! runs, some four seconds. Mitigation that picks the task with the most interference stopped tasks
+//! that had almost finished, and whole steps then waited for them.
 //!
-//! So each change is weighed by its cost: for a stop, the time until the task runs again elsewhere and the progress
-//! that it had not saved; for a lower CPU limit, the work not done meanwhile; for no change, the serving tasks'
-//! missed targets until the best-effort task ends by itself ([`super::utilisation`]). The change that gains most is
-//! made first. Raising the limit of a throttled task is weighed in the same way.
+//! So each change is weighed by its cost: for a stop, the time until the task runs again elsewhere
+//! and the progress that it had not saved; for a lower CPU limit, the work not done meanwhile; for
+//! no change, the serving tasks' missed targets until the best-effort task ends by itself
+//! ([`super::utilisation`]). The change that gains most is made first. Raising the limit of a
+//! throttled task is weighed in the same way.
 
 use super::{
     interference::{Aggressor, Image, InterferenceModel, Victim},
@@ -20,7 +23,8 @@
 
 /// CPU limits that are set, in percent of what the task asks for.
 const CPU_LIMITS_PERCENT: [u32; 6] = [0, 20, 40, 60, 80, 100];
-/// The least gain for which a change is made, in seconds of a best-effort task: each is an order to a worker.
+/// The least gain for which a change is made, in seconds of a best-effort task: each is an order to
+/// a worker.
 const MIN_GAIN_SECONDS: f64 = 0.1;
 
 /// The serving tasks of one step on a host.
@@ -30,7 +34,8 @@
     pub victim: Victim,
     /// The number of tasks.
     pub tasks: u32,
-    /// Utilisation inferred from their latency tails, in excess of what the interference model expects.
+    /// Utilisation inferred from their latency tails, in excess of what the interference model
+    /// expects.
     pub residual: f64,
 }
 
@@ -73,7 +78,8 @@
     pub timings: &'a Timings,
 }
 
-/// Returns the changes to make on a host, at most one for each best-effort task, by its index in `best_effort`.
+/// Returns the changes to make on a host, at most one for each best-effort task, by its index in
+/// `best_effort`.
 pub fn decide(
     inputs: &DecisionInputs,
     serving: &[Serving],
@@ -150,8 +156,8 @@
 }
 
 impl Host<'_> {
-    /// The change with the largest gain, among tasks that are neither changed nor being stopped; none if none gains
-    /// [`MIN_GAIN_SECONDS`].
+    /// The change with the largest gain, among tasks that are neither changed nor being stopped;
+    /// none if none gains [`MIN_GAIN_SECONDS`].
     fn best_change(
         &self,
         best_effort: &[BestEffort],
@@ -191,7 +197,8 @@
                     continue;
                 };
                 let interference = self.inputs.model.interference(s.victim.image, &aggressor);
-                // No variance is added: `residual` already holds how far running tasks deviate from the model.
+                // No variance is added: `residual` already holds how far running tasks deviate from
+                // the model.
                 forecast.add_certain(
                     interference,
                     utilisation::points_within(l.left_at_cpu_limit()),
@@ -237,7 +244,8 @@
     }
 }
 
-/// The time until the last forecast point at which a target is missed, in seconds; at least one point.
+/// The time until the last forecast point at which a target is missed, in seconds; at least one
+/// point.
 fn missed_for(forecasts: &[UtilisationForecast]) -> f64 {
     let is_missed = |at: &usize| forecasts.iter().any(|o| o.utilisation[*at] > o.limit);
     let last = (0..POINTS).rev().find(is_missed);
--- a/src/lapisdrum/policy/dispatch/mod.rs
+++ b/src/lapisdrum/policy/dispatch/mod.rs
@@ -1,12 +1,13 @@
 //! Decides which waiting task starts next, and on which worker.
 //!
-//! Load pattern: short urgent graphs of a few steps among wide batch graphs and long-running tasks, on hosts
-//! that are two thirds full before any burst. Unless steps are ordered by whether they can still be on time, a
-//! burst of batch work makes every job behind it late, urgent ones included. Unless best-effort tasks are kept
-//! apart from tasks that serve users, the latency tails of the latter exceed their targets within a second.
-//! [`order`] ranks steps by the durations that [`duration`] estimates, [`place`] chooses workers, [`interference`]
-//! models the interference between tasks and [`mitigation`] decides which best-effort tasks are throttled or
-//! stopped. All are pure.
+//! Load pattern: short urgent graphs of a few steps among wide batch graphs and long-running tasks,
+//! on hosts that are two thirds full before any burst. Unless steps are ordered by whether they can
+//! still be on time, a burst of batch work makes every job behind it late, urgent ones included.
+//! Unless best-effort tasks are kept apart from tasks that serve users, the latency tails of the
+//! latter exceed their targets within a second. [`order`] ranks steps by the durations that
+//! [`duration`] estimates, [`place`] chooses workers, [`interference`] models the interference
+//! between tasks and [`mitigation`] decides which best-effort tasks are throttled or stopped. All
+//! are pure.
 
 pub mod duration;
 pub mod interference;
--- a/src/lapisdrum/policy/dispatch/order.rs
+++ b/src/lapisdrum/policy/dispatch/order.rs
@@ -1,25 +1,28 @@
 //! The order in which steps with startable tasks are served.
 //!
-//! Load pattern: a burst of up to twice the batch rate and more for some seconds. First come, first served then
-//! delays every job by the length of the queue. Instead, steps are ordered by, in turn:
+//! Load pattern: a burst of up to twice the batch rate and more for some seconds. First come, first
+//! served then delays every job by the length of the queue. Instead, steps are ordered by, in turn:
 //!
 //! - interrupted long-running tasks first, since their users lack them until they run again;
 //! - priority;
-//! - short tasks before long-running ones, which occupy for minutes what a short one frees within seconds;
-//! - jobs that can still meet their objective, then those that can only be late and are worth less, then those
-//!   whose result would be worth nothing;
-//! - jobs in progress, then new ones with slack to spare, then new ones that any wait would make late.
+//! - short tasks before long-running ones, which occupy for minutes what a short one frees within
+//!   seconds;
+//! - jobs that can still meet their objective, then those that can only be late and are worth less,
+//!   then those whose result would be worth nothing;
+//! - jobs in progress, then new ones with slack to spare, then new ones that any wait would make
+//!   late.
 //!
-//! Without the last rule a backlog is served evenly: each job starts when it is nearly late and waits between its
-//! steps, and at twice the sustainable load hardly any job is on time, instead of half of them.
-//! A job's size plays no part, so wide jobs are served as often as narrow ones.
+//! Without the last rule a backlog is served evenly: each job starts when it is nearly late and
+//! waits between its steps, and at twice the sustainable load hardly any job is on time, instead of
+//! half of them. A job's size plays no part, so wide jobs are served as often as narrow ones.
 
 use std::cmp::Reverse;
 
 /// A job that finishes within this many times its objective is still worth something, if little.
 const LATE_FACTOR: u64 = 3;
-/// Slack, in percent of the chain, from which a new job can safely wait. A lower value starts jobs under a backlog
-/// that other jobs then make late; the higher it is, the less it helps jobs that wait out a short burst.
+/// Slack, in percent of the chain, from which a new job can safely wait. A lower value starts jobs
+/// under a backlog that other jobs then make late; the higher it is, the less it helps jobs that
+/// wait out a short burst.
 const SAFE_SLACK_PERCENT: u64 = 40;
 
 /// The inputs of a step's rank.
@@ -29,7 +32,8 @@
     pub priority: u32,
     /// Whether it runs until it is cancelled; its value grows with the time that it is up.
     pub is_long_running: bool,
-    /// Whether it is long-running and some of its tasks have stopped running, so that its users lack them.
+    /// Whether it is long-running and some of its tasks have stopped running, so that its users
+    /// lack them.
     pub is_interrupted: bool,
     /// Time since the job was due, in milliseconds.
     pub age_ms: u64,
@@ -63,7 +67,8 @@
     Tight(Reverse<u64>),
 }
 
-/// Sort key of a step: the smallest is served first. The order of the fields is the order of the rules.
+/// Sort key of a step: the smallest is served first. The order of the fields is the order of the
+/// rules.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Rank {
     is_uninterrupted: bool,
--- a/src/lapisdrum/policy/dispatch/overload.rs
+++ b/src/lapisdrum/policy/dispatch/overload.rs
@@ -1,9 +1,10 @@
 //! Measures for how long the serving tasks of a host have exceeded their latency targets.
 //!
-//! Load pattern: a tail stays over its target while best-effort tasks start and end on its host. If the time were
-//! measured per best-effort task, or only while there is one, it would restart with each, and exceed the deployment's
-//! bound undetected. So it runs from the first tail over its target until all are clearly below, whatever runs on the
-//! host; a single noisy sample just below a target doesn't end it.
+//! Load pattern: a tail stays over its target while best-effort tasks start and end on its host. If
+//! the time were measured per best-effort task, or only while there is one, it would restart with
+//! each, and exceed the deployment's bound undetected. So it runs from the first tail over its
+//! target until all are clearly below, whatever runs on the host; a single noisy sample just below
+//! a target doesn't end it.
 
 use crate::core::time::Millis;
 use std::time::Duration;
@@ -18,8 +19,8 @@
 }
 
 impl Overload {
-    /// Updates the state with the latest tails of the host's serving tasks, each as a fraction of its target. Returns
-    /// how long the overload has lasted; none if there is none.
+    /// Updates the state with the latest tails of the host's serving tasks, each as a fraction of
+    /// its target. Returns the duration of the overload so far; `None` without one.
     pub fn note(&mut self, tails: impl IntoIterator<Item = f64>, now: Millis) -> Option<Duration> {
         let threshold = match self.since {
             Some(_) => RECOVERY_THRESHOLD,
--- a/src/lapisdrum/policy/dispatch/place.rs
+++ b/src/lapisdrum/policy/dispatch/place.rs
@@ -1,16 +1,18 @@
 //! Chooses the worker that a task runs on.
 //!
-//! Load pattern: tasks of three kinds share hosts. *Reserving* tasks reserve processors and memory. *Serving* tasks
-//! do too, and must keep the latency tail of their users under a target. *Best-effort* tasks reserve memory and run
-//! on idle processors. A best-effort task slows the serving tasks beside it by amounts that differ by image and
-//! change within seconds, and its effect is measured half a second late. So a best-effort task is placed only where
-//! every serving task is expected to stay clear of its target with it ([`super::interference`]), and first where the
-//! most headroom remains.
+//! Load pattern: tasks of three kinds share hosts. *Reserving* tasks reserve processors and memory.
+//! *Serving* tasks do too, and must keep the latency tail of their users under a target.
+//! *Best-effort* tasks reserve memory and run on idle processors. A best-effort task slows the
+//! serving tasks beside it by amounts that differ by image and change within seconds, and its
+//! effect is measured half a second late. So a best-effort task is placed only where every serving
+//! task is expected to stay clear of its target with it ([`super::interference`]), and first where
+//! the most headroom remains.
 //!
-//! Reserving and serving tasks go to the fullest host that still fits, so that wide tasks find free capacity.
-//! Best-effort tasks don't, since they run only as fast as the processors they find allow. Serving tasks prefer
-//! hosts whose serving tasks run the same image: each image tolerates about half of the best-effort images, so a
-//! host with five images tolerates almost none of them, and a host with one tolerates half.
+//! Reserving and serving tasks go to the fullest host that still fits, so that wide tasks find free
+//! capacity. Best-effort tasks don't, since they run only as fast as the processors they find
+//! allow. Serving tasks prefer hosts whose serving tasks run the same image: each image tolerates
+//! about half of the best-effort images, so a host with five images tolerates almost none of them,
+//! and a host with one tolerates half.
 
 use super::{
     interference::{Aggressor, Image, InterferenceModel, Victim},
@@ -19,12 +21,12 @@
 use crate::core::size::Size;
 use std::time::Duration;
 
-/// Margin added to the expected load of a serving task when its idle processors are counted, as a fraction of what
-/// it reserves: reported loads are inaccurate while they swing.
+/// Margin added to the expected load of a serving task when its idle processors are counted, as a
+/// fraction of what it reserves: reported loads are inaccurate while they swing.
 const LOAD_MARGIN: f64 = 0.05;
-/// A best-effort task is admitted where this percentage of its processors is idle; best-effort tasks on a host share
-/// the idle ones. At 100 the rest of each host stays unused under a backlog; much lower values make the tasks slow
-/// each other so much that fewer jobs are on time.
+/// A best-effort task is admitted where this percentage of its processors is idle; best-effort
+/// tasks on a host share the idle ones. At 100 the rest of each host stays unused under a backlog;
+/// much lower values make the tasks slow each other so much that fewer jobs are on time.
 const MIN_IDLE_PERCENT: u64 = 80;
 /// One host in this many, and at least one, may be kept free for tasks that found no host.
 const HOSTS_PER_KEPT_HOST: usize = 16;
@@ -89,7 +91,8 @@
     pub labels: &'a [String],
     /// Its total resources.
     pub capacity: Size,
-    /// Resources reserved by its tasks: includes the memory of best-effort tasks, but not their processors.
+    /// Resources reserved by its tasks: includes the memory of best-effort tasks, but not their
+    /// processors.
     pub reserved: Size,
     /// Processors that its best-effort tasks ask for, in thousandths of a core.
     pub best_effort_millicores: u64,
@@ -141,7 +144,8 @@
         (self.millicores as f64 * (1.0 - used)) as u64
     }
 
-    /// The utilisation forecast with one more aggressor, which runs for the first `points` forecast points.
+    /// The utilisation forecast with one more aggressor, which runs for the first `points` forecast
+    /// points.
     fn forecast_with(
         &self,
         aggressor: &Aggressor,
@@ -188,7 +192,8 @@
         })
     }
 
-    /// Whether a serving task is expected to miss its target, or to miss it by more, because of the task.
+    /// Whether a serving task is expected to miss its target, or to miss it by more, because of the
+    /// task.
     fn is_overloaded_by(&self, need: &Need, model: &InterferenceModel) -> bool {
         let Some(aggressor) = self.aggressor(need) else {
             return false;
@@ -209,7 +214,8 @@
         self.serving.iter().map(interference).fold(0.0, f64::max)
     }
 
-    /// The lowest margin between a serving task's utilisation limit and its worst forecast; 1 without serving tasks.
+    /// The lowest margin between a serving task's utilisation limit and its worst forecast; 1
+    /// without serving tasks.
     fn headroom(&self) -> f64 {
         let headroom = |s: &ServingGroup| s.forecast.limit - s.forecast.worst();
         self.serving.iter().map(headroom).fold(1.0, f64::min)
@@ -264,7 +270,8 @@
     Label,
     /// It already runs the maximum number of tasks of the step.
     StepLimit,
-    /// A best-effort task was just throttled or stopped there, and the latency tails still reflect the time before.
+    /// A best-effort task was just throttled or stopped there, and the latency tails still reflect
+    /// the time before.
     Closed,
     /// Too few processors are idle for a best-effort task.
     Busy,
@@ -277,7 +284,7 @@
     unfit(need, host, model).is_none()
 }
 
-/// Returns why the host refuses the task; none if it admits it. Does not compare pools.
+/// Returns why the host refuses the task; `None` if it admits it. Does not compare pools.
 pub fn unfit(need: &Need, host: &Host, model: &InterferenceModel) -> Option<Unfit> {
     let has = |label: &str| host.labels.iter().any(|have| have == label);
     let (wanted, free) = (reserved_by(&need.size, need.load), host.free());
@@ -331,8 +338,9 @@
     spare: u64,
 }
 
-/// Amounts of interference within the same step of this width count as equal. A best-effort task goes where it
-/// interferes least, so that hosts with headroom stay available to tasks that interfere with every image.
+/// Amounts of interference within the same step of this width count as equal. A best-effort task
+/// goes where it interferes least, so that hosts with headroom stay available to tasks that
+/// interfere with every image.
 const INTERFERENCE_STEP: f64 = 0.03;
 /// Factor that converts headroom, a fraction, to an integer sort key.
 const HEADROOM_SCALE: f64 = 1e6;
@@ -355,7 +363,8 @@
     }
 }
 
-/// The number of serving tasks on the host whose image differs from that of the serving task to place.
+/// The number of serving tasks on the host whose image differs from that of the serving task to
+/// place.
 fn other_image_tasks(need: &Need, host: &Host) -> usize {
     let Some(own) = need.victim.map(|victim| victim.image) else {
         return 0;
@@ -366,11 +375,12 @@
 
 /// Keeps a host free for a task that found none; false when none can be kept.
 ///
-/// Prevents starvation: on hosts that are almost fully reserved, smaller tasks would take each core as it is freed.
-/// A host qualifies if the task fits once everything but the serving tasks has ended. A host that is already kept
-/// is preferred, then the one with the most free processors, which will fit the task first. Kept capacity lies idle,
-/// so only few hosts are kept. Other serving tasks may still go there: otherwise a smaller one would wait beside free
-/// processors that long-running tasks never release to the wider one.
+/// Prevents starvation: on hosts that are almost fully reserved, smaller tasks would take each core
+/// as it is freed. A host qualifies if the task fits once everything but the serving tasks has
+/// ended. A host that is already kept is preferred, then the one with the most free processors,
+/// which will fit the task first. Kept capacity lies idle, so only few hosts are kept. Other
+/// serving tasks may still go there: otherwise a smaller one would wait beside free processors that
+/// long-running tasks never release to the wider one.
 pub fn keep_for(need: &Need, hosts: &mut [Host]) -> bool {
     let in_pool = hosts.iter().filter(|host| host.pool == need.pool);
     let (all, kept) = in_pool.fold((0, 0), |(all, kept), host| {
@@ -401,7 +411,8 @@
     true
 }
 
-/// Returns the index in `hosts` of the preferred host for a task; none when no host of its pool admits it.
+/// Returns the index in `hosts` of the preferred host for a task; `None` when no host of its pool
+/// admits it.
 pub fn choose(need: &Need, hosts: &[Host], model: &InterferenceModel) -> Option<usize> {
     let admitted = hosts.iter().enumerate();
     let admitted = admitted.filter(|(_, host)| host.pool == need.pool && admits(need, host, model));
--- a/src/lapisdrum/policy/dispatch/room.rs
+++ b/src/lapisdrum/policy/dispatch/room.rs
@@ -1,7 +1,7 @@
 //! Summarises the free capacity of a shard's hosts, and why they refuse a task, for log lines.
 //!
-//! A task waits alike when hosts are full, when free processors are too fragmented for it, or when hosts are kept for
-//! other tasks. These values distinguish the causes.
+//! A waiting task looks the same whether hosts are full, free processors are too fragmented for it,
+//! or hosts are kept for other tasks. These values distinguish the causes.
 
 use super::{
     interference::InterferenceModel,
@@ -59,14 +59,15 @@
 pub struct Shortage {
     /// Resources that the task asks for.
     pub size: Size,
-    /// Number of such tasks that would fit into the pool's free processors if these were on one host.
+    /// Number of such tasks that would fit into the pool's free processors if these were on one
+    /// host.
     pub fitting_in_sum: u64,
     /// Number of hosts per reason for refusal, most frequent reason first.
     pub refusals: IndexMap<Unfit, usize>,
 }
 
 impl Shortage {
-    /// Returns why these hosts refuse the task; none if no host of its pool does.
+    /// Returns why these hosts refuse the task; `None` if no host of its pool does.
     pub fn of(need: &Need, hosts: &[Host], model: &InterferenceModel) -> Option<Self> {
         let wanted = reserved_by(&need.size, need.load);
         let mut refusals: IndexMap<Unfit, usize> = IndexMap::new();
@@ -88,7 +89,8 @@
         shortage.main().map(|_| shortage)
     }
 
-    /// Returns the shortage of a task for which the pool's free capacity is reserved as headroom for short tasks.
+    /// Returns the shortage of a task for which the pool's free capacity is reserved as headroom
+    /// for short tasks.
     pub fn left_to_short(need: &Need, hosts: &[Host]) -> Self {
         let in_pool = hosts.iter().filter(|host| host.pool == need.pool);
         Self {
--- a/src/lapisdrum/policy/dispatch/short_work.rs
+++ b/src/lapisdrum/policy/dispatch/short_work.rs
@@ -1,10 +1,12 @@
-//! Computes the headroom that new long-running tasks leave for short tasks of the same or a more urgent priority.
+//! Computes the headroom that new long-running tasks leave for short tasks of the same or a more
+//! urgent priority.
 //!
-//! Load pattern: short tasks use a twentieth of a shard's processors for a second each, while waiting long-running
-//! tasks ask for more than the rest. In every gap between two short tasks a long-running one would take the free
-//! processors and keep them for minutes, until almost none are left for short tasks. So a new long-running task is
-//! placed only if it leaves as many processors as short tasks recently held or waited for. This headroom is bounded, so
-//! that a backlog of short tasks doesn't block long-running ones.
+//! Load pattern: short tasks use a twentieth of a shard's processors for a second each, while
+//! waiting long-running tasks ask for more than the rest. In every gap between two short tasks a
+//! long-running one would take the free processors and keep them for minutes, until almost none are
+//! left for short tasks. So a new long-running task is placed only if it leaves as many processors
+//! as short tasks recently held or waited for. This headroom is bounded, so that a backlog of short
+//! tasks doesn't block long-running ones.
 
 use crate::core::time::{Millis, millis};
 use indexmap::IndexMap;
@@ -75,7 +77,8 @@
         }
     }
 
-    /// Replaces the demand of waiting short tasks, in thousandths of a core; classes that are absent have none.
+    /// Replaces the demand of waiting short tasks, in thousandths of a core; classes that are
+    /// absent have none.
     pub fn note_waiting(&mut self, waiting: &IndexMap<Class, u64>, now: Millis) {
         for class in waiting.keys() {
             self.demands.entry(class.clone()).or_default();
@@ -92,8 +95,8 @@
         in_pool.map(|(_, demand)| demand.held).sum()
     }
 
-    /// Returns the processors that long-running tasks of this class must leave for short ones in a pool of this
-    /// capacity, both in thousandths of a core.
+    /// Returns the processors that long-running tasks of this class must leave for short ones in a
+    /// pool of this capacity, both in thousandths of a core.
     pub fn headroom(&self, class: &Class, capacity_millicores: u64) -> u64 {
         let has_precedence =
             |short: &Class| short.pool == class.pool && short.priority <= class.priority;
--- a/src/lapisdrum/policy/dispatch/timings.rs
+++ b/src/lapisdrum/policy/dispatch/timings.rs
@@ -2,11 +2,11 @@
 
 use std::time::Duration;
 
-/// Time from the end of a stopped run until its task is started on another host: journal row, dispatch pass,
-/// start order.
+/// Time from the end of a stopped run until its task is started on another host: journal row,
+/// dispatch pass, start order.
 const PLACEMENT_TIME: Duration = Duration::from_millis(500);
-/// Sum of the delays until a tail over its target is detected, and until it falls after the aggressor has ended: a
-/// tail is measured over half a second and read with the next poll.
+/// Sum of the delays until a tail over its target is detected, and until it falls after the
+/// aggressor has ended: a tail is measured over half a second and read with the next poll.
 const TAIL_DELAY: Duration = Duration::from_millis(1_800);
 /// Minimum time for a tail to fall by itself, however short the tolerated overload.
 const MIN_TOLERATED_OVERLOAD: Duration = Duration::from_millis(1_000);
--- a/src/lapisdrum/policy/dispatch/utilisation.rs
+++ b/src/lapisdrum/policy/dispatch/utilisation.rs
@@ -1,9 +1,10 @@
 //! Forecasts the utilisation of serving tasks and the cost of their missed latency targets.
 //!
-//! Load pattern: serving loads rise and fall by half while best-effort tasks are placed, run for a second or two and
-//! end. A decision by the present utilisation alone stops a task that has almost finished, or admits one at the start
-//! of a rise. So utilisation is forecast for some points ahead, without the tasks that will have ended by then, and
-//! all costs are in seconds of run time of one best-effort task.
+//! Load pattern: serving loads rise and fall by half while best-effort tasks are placed, run for a
+//! second or two and end. A decision by the present utilisation alone stops a task that has almost
+//! finished, or admits one at the start of a rise. So utilisation is forecast for some points
+//! ahead, without the tasks that will have ended by then, and all costs are in seconds of run time
+//! of one best-effort task.
 
 use std::time::Duration;
 
@@ -13,14 +14,16 @@
 const FIRST_POINT_AFTER: Duration = Duration::from_millis(200);
 /// Time between two forecast points, and the time that each of them covers.
 const POINT_SPACING: Duration = Duration::from_millis(400);
-/// Cost of a serving task that misses its target for a second, in seconds of a best-effort task. The serving tasks of
-/// a host miss their targets together, so a host's misses cost a few times this.
+/// Cost of a serving task that misses its target for a second, in seconds of a best-effort task.
+/// The serving tasks of a host miss their targets together, so a host's misses cost a few times
+/// this.
 const MISS_COST: f64 = 0.4;
 /// A target counts as partly missed within this many standard deviations around its limit.
 const MISS_BAND_DEVIATIONS: f64 = 1.5;
 /// Variance of a utilisation forecast without aggressors, and the least of any forecast.
 const MIN_VARIANCE: f64 = 0.001;
-/// Standard deviation of interference relative to its mean: tasks of one image differ, and change within seconds.
+/// Standard deviation of interference relative to its mean: tasks of one image differ, and change
+/// within seconds.
 const INTERFERENCE_DEVIATION: f64 = 0.35;
 
 /// A value for each forecast point.
@@ -67,15 +70,16 @@
         }
     }
 
-    /// Adds an aggressor's interference to the first `points` forecast points. `variance` is that of its estimate; the
-    /// scatter between tasks of one image comes on top.
+    /// Adds an aggressor's interference to the first `points` forecast points. `variance` is that
+    /// of its estimate; the scatter between tasks of one image comes on top.
     pub fn add_estimated(&mut self, interference: f64, variance: f64, points: usize) {
         self.add_certain(interference, points);
         let scatter = INTERFERENCE_DEVIATION * interference;
         self.variance += variance + scatter * scatter;
     }
 
-    /// Adds an aggressor's interference to the first `points` forecast points, without any variance.
+    /// Adds an aggressor's interference to the first `points` forecast points, without any
+    /// variance.
     pub fn add_certain(&mut self, interference: f64, points: usize) {
         for utilisation in &mut self.utilisation[..points] {
             *utilisation += interference;
@@ -94,13 +98,15 @@
         MISS_COST * f64::from(self.tasks) * missed * seconds(1)
     }
 
-    /// Returns how far targets may be missed, summed over all points. Unlike [`Self::cost`] it keeps growing once a
-    /// miss is certain, so that adding to such a miss does not appear to be free.
+    /// Returns how far targets may be missed, summed over all points. Unlike [`Self::cost`] it
+    /// keeps growing once a miss is certain, so that adding to such a miss does not appear to be
+    /// free.
     pub fn overload(&self) -> f64 {
         self.excess().sum()
     }
 
-    /// Returns half the width of the utilisation band around `limit`: below it a target is met, above it missed.
+    /// Returns half the width of the utilisation band around `limit`: below it a target is met,
+    /// above it missed.
     fn margin(&self) -> f64 {
         MISS_BAND_DEVIATIONS * self.variance.sqrt()
     }
--- a/src/lapisdrum/policy/eviction.rs
+++ b/src/lapisdrum/policy/eviction.rs
@@ -2,18 +2,18 @@
 //! then evict; and which tasks.
 //!
 //! Load pattern: noisy batch waves beside a latency-critical entry. Without mitigation the
-//! latency-critical work is slow for as long as the wave lasts; with eviction alone, each wave
+//! latency-critical work is slow until the wave ends; with eviction alone, each wave
 //! loses work that a throttle of a few seconds would have kept; without a record of evictions, the
 //! evicted task is placed back and evicted again.
 //!
-//! The distress of a host is the worst slowdown of its latency-critical work, in reports that
-//! arrive late. Mitigation starts after two consecutive reports above [`DISTRESS_SLOWDOWN`]; after
-//! each step the host has [`SETTLE_TIME`] to respond before the next. First, as many tasks are throttled as
-//! are expected to end the distress, those with the most harm for their priority first; after that,
-//! one task is evicted at a time. (With one throttle at a time, a wave of six noisy tasks was over
-//! before all six were throttled.) A throttle is released after [`REPORTS_TO_RELEASE`] reports
-//! according to which the host would stay out of distress with that task at full speed, so that
-//! throttles neither stay for ever on a busy host nor oscillate.
+//! Whether a host is in distress is decided by the worst slowdown of its latency-critical work, in
+//! reports that arrive late. Mitigation starts after two consecutive reports above
+//! [`DISTRESS_SLOWDOWN`]; after each step the host has [`SETTLE_TIME`] to respond before the next.
+//! First, as many tasks are throttled as are expected to end the distress, those with the most harm
+//! for their priority first; after that, one task is evicted at a time. (With one throttle at a
+//! time, a wave of six noisy tasks had ended before all six were throttled.) A throttle is released
+//! after [`REPORTS_TO_RELEASE`] reports according to which the host would stay out of distress with
+//! that task at full speed, so that throttles neither stay for ever on a busy host nor oscillate.
 //!
 //! Only tasks that do much of the harm are evicted: evicting others would lose work without
 //! benefit. Of these the one with the lowest priority is chosen; at equal priority, the one that
--- a/src/lapisdrum/policy/hysteresis.rs
+++ b/src/lapisdrum/policy/hysteresis.rs
@@ -1,7 +1,7 @@
 //! On/off decisions that follow a lagging signal.
 //!
 //! Load pattern: noisy batch waves, visible only in measurements that arrive late. Without
-//! hysteresis a change is made, the next report still shows the time before the change, the change
+//! hysteresis a change is made, the next report still shows the state before the change, the change
 //! is made again, and the system oscillates.
 //!
 //! A [`Switch`] turns on above one threshold and off below a lower one, only after several
--- a/src/lapisdrum/policy/outliers.rs
+++ b/src/lapisdrum/policy/outliers.rs
@@ -1,14 +1,14 @@
 //! Outlier ejection: workers that are slow or fail get no requests for a time.
 //!
-//! Load patterns: one worker ten times slower than the rest; one that hangs; one that fails at once,
-//! so that it always has the fewest requests outstanding and attracts all new ones. Without ejection
-//! the last one alone can fail most of the traffic.
+//! Load patterns: one worker ten times slower than the rest; one that hangs; one that fails at
+//! once, so that it always has the fewest requests outstanding and attracts all new ones. Without
+//! ejection the last one alone can fail most of the traffic.
 //!
 //! A worker is compared with the median of its peers, never with a fixed time, so a slow entry or a
-//! general overload ejects no worker. The ejection time doubles with each repetition; afterwards the
-//! worker takes part in a growing share of the draws ([`RAMP_UP`]). At most a third of the pool is
-//! ejected at once ([`MAX_EJECTED_DIVISOR`]): if more than that seem slow, the cause is the load or the
-//! network, and fewer workers would only make it worse.
+//! general overload ejects no worker. The ejection time doubles with each repetition; afterwards
+//! the worker takes part in a growing share of the draws ([`RAMP_UP`]). At most a third of the pool
+//! is ejected at once ([`MAX_EJECTED_DIVISOR`]): if more than that seem slow, the cause is the load
+//! or the network, and fewer workers would only make it worse.
 
 use crate::core::{id::WorkerId, time::Millis};
 use indexmap::IndexMap;
@@ -75,7 +75,8 @@
 }
 
 impl Outliers {
-    /// Records an outcome, in a pool of `pool` workers. Returns whether the worker is ejected for it.
+    /// Records an outcome, in a pool of `pool` workers. Returns whether the worker is ejected for
+    /// it.
     pub fn note(&mut self, worker: &WorkerId, sample: Sample, pool: usize, now: Millis) -> bool {
         let stats = self.workers.entry(worker.clone()).or_default();
         stats.note(sample);
--- a/src/lapisdrum/policy/placement.rs
+++ b/src/lapisdrum/policy/placement.rs
@@ -1,20 +1,20 @@
 //! Chooses the host for a task.
 //!
-//! Load patterns: small batch tasks beside a few large ones; noisy tasks beside services; racks that
-//! fail as a whole. Without best fit, small tasks are spread over all hosts and none has free capacity
-//! for a large one; without interference estimates, the noisy task is placed beside the service;
-//! without spreading over racks, the failure of one switch takes all of an entry's tasks.
+//! Load patterns: small batch tasks beside a few large ones; noisy tasks beside services; racks
+//! that fail as a whole. Without best fit, small tasks are spread over all hosts and none has free
+//! capacity for a large one; without interference estimates, the noisy task is placed beside the
+//! service; without spreading over racks, the failure of one switch takes all of an entry's tasks.
 //!
 //! A batch task waits rather than go to a host whose services it is estimated to slow beyond
 //! [`MAX_SLOWDOWN`]: the task can wait, and a service can't undo the delays that happen before the
 //! first report, which arrives late.
 //!
 //! A task goes only where its declared size fits. Up to [`SAMPLE_SIZE`] of the hosts that fit are
-//! sampled, and the one with the lowest cost is chosen: the estimated interference in both directions
-//! ([`super::slowdown`]), weighted by class, plus the capacity that stays unused, plus the share
-//! of the entry's tasks in the same rack. Sampling bounds the cost of a decision however many workers
-//! there are: the best of 24 is within the best tenth of all hosts in 92 of 100 decisions
-//! (1 - 0.9^24).
+//! sampled, and the one with the lowest cost is chosen: the estimated interference in both
+//! directions ([`super::slowdown`]), weighted by class, plus the capacity that stays unused, plus
+//! the share of the entry's tasks in the same rack. Sampling bounds the cost of a decision however
+//! many workers there are: the best of 24 is within the best tenth of all hosts in 92 of 100
+//! decisions (1 - 0.9^24).
 
 use super::slowdown::{Kind, Neighbour, SlowdownModel};
 use crate::core::{
@@ -27,8 +27,8 @@
 
 /// Maximum number of fitting hosts whose costs are compared.
 pub const SAMPLE_SIZE: usize = 24;
-/// Estimated slowdown of latency-critical work, together with all that runs on the host already, up to
-/// which a batch task may be placed. Above it [`super::eviction`] would remove the task again.
+/// Estimated slowdown of latency-critical work, together with all that runs on the host already, up
+/// to which a batch task may be placed. Above it [`super::eviction`] would remove the task again.
 pub const MAX_SLOWDOWN: f64 = super::eviction::DISTRESS_SLOWDOWN;
 /// Uncertainty of an interference estimate from which it rules out no host.
 const MAX_UNCERTAINTY: f64 = 0.5;
@@ -36,7 +36,8 @@
 const LATENCY_CRITICAL_WEIGHT: f64 = 10.0;
 /// Cost of leaving a whole host unused: best fit decides between hosts with similar interference.
 const UNUSED_CAPACITY_COST: f64 = 0.2;
-/// Cost of having all of an entry's placed tasks in the same rack; a part of them costs in proportion.
+/// Cost of having all of an entry's placed tasks in the same rack; a part of them costs in
+/// proportion.
 const SAME_RACK_COST: f64 = 0.3;
 
 /// Running work of one kind on a host.
@@ -78,8 +79,8 @@
     pub entry_tasks_placed: u32,
 }
 
-/// Chooses a host, by index; `None` when no host fits, or when a batch task would slow the services of
-/// every sampled host too far.
+/// Chooses a host, by index; `None` when no host fits, or when a batch task would slow the services
+/// of every sampled host too far.
 pub fn choose(
     candidates: &[CandidateHost<'_>],
     task: &TaskToPlace,
@@ -197,8 +198,8 @@
     }
 }
 
-/// Fraction of the host's capacity that stays free after placement, in the scarcest dimension that the
-/// task uses. Others are left out: a host without a free accelerator would always look full.
+/// Fraction of the host's capacity that stays free after placement, in the scarcest dimension that
+/// the task uses. Others are left out: a host without a free accelerator would always look full.
 fn unused_fraction(candidate: &CandidateHost<'_>, size: &Size) -> f64 {
     let fraction = |free: u64, taken: u64, capacity: u64| match taken {
         0 => 1.0,
--- a/src/lapisdrum/policy/queueing/fair_queue.rs
+++ b/src/lapisdrum/policy/queueing/fair_queue.rs
@@ -1,8 +1,8 @@
 //! Fair queue of one tier: owners share by weight, and the flows of an owner share equally.
 //!
 //! Start-time fair queueing at both levels: each start is charged its expected run time, and the
-//! owner or flow with the lowest start tag is next. One that was idle resumes at the current virtual
-//! time, so that it can't claim the turns that it did not use.
+//! owner or flow with the lowest start tag is next. One that was idle resumes at the current
+//! virtual time, so that it can't claim the turns that it did not use.
 
 use super::{Item, Ticket};
 use crate::core::{
@@ -51,7 +51,8 @@
 #[derive(Debug)]
 struct Owner {
     weight: u32,
-    /// Start tag: the virtual time, in microseconds of run time per unit of weight, of its next start.
+    /// Start tag: the virtual time, in microseconds of run time per unit of weight, of its next
+    /// start.
     start_tag: f64,
     virtual_time: f64,
     flows: IndexMap<FlowKey, Flow>,
@@ -104,7 +105,8 @@
             && flow.items.remove(&item.rank(ticket)).is_some()
         {
             owner.waiting -= 1;
-            // The start tag of a flow ahead of its share is kept, so that it can't return uncharged.
+            // The start tag of a flow ahead of its share is kept, so that it can't return
+            // uncharged.
             if flow.items.is_empty() && flow.start_tag <= owner.virtual_time {
                 owner.flows.swap_remove(&key);
             }
--- a/src/lapisdrum/policy/queueing/mod.rs
+++ b/src/lapisdrum/policy/queueing/mod.rs
@@ -2,23 +2,23 @@
 //!
 //! Load patterns: a burst of many times the capacity; one hot caller; batch work beside
 //! latency-critical work; deadlines that pass in the queue. A first-in first-out queue favours the
-//! caller with the most requests, and under overload it serves only items whose callers have already
-//! timed out: throughput is full and goodput drops to zero.
+//! caller with the most requests, and under overload it serves only items whose callers have
+//! already timed out: throughput is full and goodput drops to zero.
 //!
 //! - Latency-critical items start before background ones (batch and long-running), but one start in
-//!   [`BACKGROUND_START_INTERVAL`] is a background one while any waits, so background work is slowed
-//!   but not starved.
+//!   [`BACKGROUND_START_INTERVAL`] is a background one while any waits, so background work is
+//!   slowed but not starved.
 //! - Within a tier, owners share by weight (start-time fair queueing on expected run time), and
-//!   within an owner each entry and caller (or key) is a flow with an equal share. Of the flows that
-//!   have not had more than their share, the one with the earliest deadline is next.
+//!   within an owner each entry and caller (or key) is a flow with an equal share. Of the flows
+//!   that have not had more than their share, the one with the earliest deadline is next.
 //! - An item is refused at once when its entry's queue is at its bound, or when the measured drain
 //!   rate says that it can't start in time. A full queue admits an item of a shorter flow by
 //!   dropping the last item of the longest flow.
-//! - An entry whose queue has not been empty for [`STANDING_QUEUE_AFTER`] is overloaded, and a longer
-//!   queue would not raise its throughput: a latency-critical item is then refused unless it would
-//!   start within its entry's usual run time. A shorter burst may fill the queue up to the deadline.
-//!   Here too an item of a shorter flow displaces the last one of the longest flow; otherwise one hot
-//!   caller would have all others refused.
+//! - An entry whose queue has not been empty for [`STANDING_QUEUE_AFTER`] is overloaded, and a
+//!   longer queue would not raise its throughput: a latency-critical item is then refused unless it
+//!   would start within its entry's usual run time. A shorter burst may fill the queue up to the
+//!   deadline. Here too an item of a shorter flow displaces the last one of the longest flow;
+//!   otherwise one hot caller would have all others refused.
 //! - An item that can no longer finish by its deadline is dropped at once.
 //!
 //! The cost of a decision grows with the number of flows, not of items.
@@ -41,12 +41,12 @@
 /// One start in this many is a background one while both tiers wait. A tenth keeps batch work
 /// moving and takes less than a tenth from latency-critical work at full load.
 pub const BACKGROUND_START_INTERVAL: u32 = 10;
-/// Time without being empty after which an entry's queue is a standing queue. Long against the random
-/// swings of a pool at nine tenths of its capacity (tens of milliseconds), short against a deadline of
-/// a second.
+/// Time without being empty after which an entry's queue is a standing queue. Long against the
+/// random swings of a pool at nine tenths of its capacity (tens of milliseconds), short against a
+/// deadline of a second.
 pub const STANDING_QUEUE_AFTER: Duration = Duration::from_millis(250);
-/// Lower limit of the wait that is accepted in a standing queue. With less, the queue would run empty
-/// between two answers and capacity would be unused.
+/// Lower limit of the wait that is accepted in a standing queue. With less, the queue would run
+/// empty between two answers and capacity would be unused.
 const MIN_ACCEPTED_WAIT: Duration = Duration::from_millis(5);
 
 /// Properties of an item that decide its order and admission.
@@ -195,7 +195,8 @@
                 true => RefusalReason::Overload,
                 false => RefusalReason::QueueFull,
             };
-            // Above a bound that was lowered, items are not displaced: the queue has to shrink first.
+            // Above a bound that was lowered, items are not displaced: the queue has to shrink
+            // first.
             let replaceable = self
                 .displaceable(&item)
                 .filter(|_| waiting <= item.max_waiting);
@@ -210,7 +211,8 @@
         EnqueueOutcome::Waiting { ticket, displaced }
     }
 
-    /// Removes and returns the item to start now, among those whose entry and owner `may_start` allows.
+    /// Removes and returns the item to start now, among those whose entry and owner `may_start`
+    /// allows.
     pub fn next(
         &mut self,
         now: Millis,
--- a/src/lapisdrum/policy/routing.rs
+++ b/src/lapisdrum/policy/routing.rs
@@ -3,15 +3,16 @@
 //!
 //! Load pattern: many daemons route at the same time on slightly stale metrics, to workers of which
 //! one may be slow, hang or fail. Without the random choice all daemons would pick the same least
-//! loaded worker and overload it; two choices spread load almost as well as perfect knowledge. Without
-//! latency in the score a slow worker gets as many requests as a fast one until its slots are full,
-//! and its callers wait.
+//! loaded worker and overload it; two choices spread load almost as well as perfect knowledge.
+//! Without latency in the score a slow worker gets as many requests as a fast one until its slots
+//! are full, and its callers wait.
 //!
-//! The score is the work queued ahead of the request, times the worker's slowness, times the attempts
-//! to expect at its failure rate. Slowness is the duration of the worker's requests relative to the
-//! usual durations of their entries. An outstanding request counts as an answer of its current age, so
-//! a worker that hangs is avoided before its first timeout. Slowness decays towards 1 with a half-life
-//! of [`SLOWNESS_HALF_LIFE`] without answers, so that a worker that has recovered is tried again.
+//! The score is the work queued ahead of the request, times the worker's slowness, times the
+//! attempts to expect at its failure rate. Slowness is the duration of the worker's requests
+//! relative to the usual durations of their entries. An outstanding request counts as an answer of
+//! its current age, so a worker that hangs is avoided before its first timeout. Slowness decays
+//! towards 1 with a half-life of [`SLOWNESS_HALF_LIFE`] without answers, so that a worker that has
+//! recovered is tried again.
 
 use super::outliers::{Outliers, Sample};
 use crate::core::{
@@ -31,8 +32,8 @@
 const SLOWNESS_SMOOTHING: f64 = 0.3;
 /// Upper limit of a worker's slowness.
 const MAX_SLOWNESS: f64 = 100.0;
-/// Ratio of two scores up to which they count as equal. Such a difference is noise, and a worker must
-/// not lose every comparison by it.
+/// Ratio of two scores up to which they count as equal. Such a difference is noise, and a worker
+/// must not lose every comparison by it.
 const EQUAL_SCORE_RATIO: f64 = 1.1;
 /// Lower limit of measured durations, in milliseconds: the clock counts whole milliseconds.
 const MIN_DURATION_MS: f64 = 0.5;
@@ -65,8 +66,8 @@
 struct WorkerStats {
     slowness: f64,
     answered_at: Option<Millis>,
-    /// Outstanding requests, the oldest first: when each was sent, and the usual duration of its entry
-    /// in milliseconds.
+    /// Outstanding requests, the oldest first: when each was sent, and the usual duration of its
+    /// entry in milliseconds.
     sent: VecDeque<(Millis, Option<f64>)>,
 }
 
@@ -106,8 +107,8 @@
         stats.sent.push_back((now, usual_ms));
     }
 
-    /// Records the outcome of a request that was sent at `sent_at`, in a pool of `pool` workers. Returns
-    /// whether the worker is ejected for it.
+    /// Records the outcome of a request that was sent at `sent_at`, in a pool of `pool` workers.
+    /// Returns whether the worker is ejected for it.
     pub fn note_outcome(
         &mut self,
         worker: &WorkerId,
@@ -186,7 +187,8 @@
 
     fn note_duration(&mut self, entry: &EntryName, took_ms: f64) {
         match self.usual_ms.get_mut(entry) {
-            // An answer counts at most threefold, so that one slow worker can't raise the average far.
+            // An answer counts at most threefold, so that one slow worker can't raise the average
+            // far.
             Some(usual_ms) => {
                 *usual_ms += DURATION_SMOOTHING * (took_ms.min(*usual_ms * 3.0) - *usual_ms)
             }
