--- a/src/lapisdrum/policy/dispatch/interference/estimates.rs
+++ b/src/lapisdrum/policy/dispatch/interference/estimates.rs
@@ -83,7 +83,7 @@
     /// skipped.
     pub(super) fn pairs_in(&self, model: &mut InterferenceModel) -> Vec<(Image, Image, Evidence)> {
         let images: Vec<Image> = self.images.iter().map(|name| model.image(name)).collect();
-        let image = |number: u16| images.get(usize::from(number)).copied();
+        let image = |index: u16| images.get(usize::from(index)).copied();
         let pairs = self.pairs.iter();
         pairs
             .filter_map(|pair| Some((image(pair.victim)?, image(pair.aggressor)?, pair.evidence())))
--- a/src/lapisdrum/policy/dispatch/mitigation.rs
+++ b/src/lapisdrum/policy/dispatch/mitigation.rs
@@ -55,7 +55,7 @@
     /// The time for which it has run.
     pub ran: Duration,
     /// Its estimated remaining run time without a CPU limit.
-    pub left: Duration,
+    pub remaining: Duration,
 }
 
 /// A change to a best-effort task.
@@ -122,11 +122,11 @@
         after
     }
 
-    /// Its estimated remaining run time at its CPU limit.
-    fn left_at_cpu_limit(&self) -> Duration {
+    /// Its estimated remaining run time at its CPU limit; [`Duration::MAX`] at a limit of 0.
+    fn remaining_at_cpu_limit(&self) -> Duration {
         match self.cpu_limit_percent {
             0 => Duration::MAX,
-            cpu_limit_percent => self.left * 100 / cpu_limit_percent,
+            cpu_limit_percent => self.remaining * 100 / cpu_limit_percent,
         }
     }
 
@@ -166,20 +166,21 @@
         let forecasts = self.forecasts(best_effort);
         let before: f64 = forecasts.iter().map(UtilisationForecast::cost).sum();
         let missed_for = missed_for(&forecasts);
-        let open = best_effort.iter().enumerate();
-        let open = open
-            .filter(|(at, l)| !l.is_stopping && changed.iter().all(|(changed, _)| changed != at));
+        let candidates = best_effort.iter().enumerate();
+        let candidates = candidates.filter(|(at, task)| {
+            !task.is_stopping && changed.iter().all(|(changed, _)| changed != at)
+        });
         let mut best: Option<(usize, Action, f64)> = None;
-        for (at, l) in open {
-            let most = before - self.cost_without(best_effort, at);
-            for action in l.choices() {
-                let own = self.cost_of(l, action, missed_for);
-                let is_too_little = most - own < MIN_GAIN_SECONDS;
+        for (at, task) in candidates {
+            let max_gain = before - self.cost_without(best_effort, at);
+            for action in task.choices() {
+                let own = self.cost_of(task, action, missed_for);
+                let is_too_little = max_gain - own < MIN_GAIN_SECONDS;
                 if is_too_little {
                     continue;
                 }
                 let gain = before - self.cost_with(best_effort, at, action) - own;
-                if gain >= MIN_GAIN_SECONDS && best.is_none_or(|(.., most)| gain > most) {
+                if gain >= MIN_GAIN_SECONDS && best.is_none_or(|(.., best_gain)| gain > best_gain) {
                     best = Some((at, action, gain));
                 }
             }
@@ -192,8 +193,8 @@
         let all = all.map(|(s, load)| {
             let limit = self.inputs.model.limit(&s.victim);
             let mut forecast = UtilisationForecast::without_aggressors(s.tasks, limit, *load);
-            for l in best_effort {
-                let Some(aggressor) = l.aggressor() else {
+            for task in best_effort {
+                let Some(aggressor) = task.aggressor() else {
                     continue;
                 };
                 let interference = self.inputs.model.interference(s.victim.image, &aggressor);
@@ -201,7 +202,7 @@
                 // the model.
                 forecast.add_certain(
                     interference,
-                    utilisation::points_within(l.left_at_cpu_limit()),
+                    utilisation::points_within(task.remaining_at_cpu_limit()),
                 );
             }
             forecast
@@ -227,18 +228,20 @@
     }
 
     /// The cost of a change to the task itself, in seconds; negative if it raises the CPU limit.
-    fn cost_of(&self, l: &BestEffort, action: Action, missed_for: f64) -> f64 {
-        let left = l.left.as_secs_f64();
-        let restart = self.inputs.timings.restart_takes().as_secs_f64();
+    fn cost_of(&self, task: &BestEffort, action: Action, missed_for: f64) -> f64 {
+        let remaining = task.remaining.as_secs_f64();
+        let restart = self.inputs.timings.restart_time().as_secs_f64();
         match action {
-            Action::Stop if l.is_checkpointing => restart,
-            Action::Stop => restart + l.ran.as_secs_f64(),
-            Action::LimitCpu(cpu_limit_percent) if cpu_limit_percent < l.cpu_limit_percent => {
-                f64::from(l.cpu_limit_percent - cpu_limit_percent) / 100.0 * left.min(missed_for)
+            Action::Stop if task.is_checkpointing => restart,
+            Action::Stop => restart + task.ran.as_secs_f64(),
+            Action::LimitCpu(cpu_limit_percent) if cpu_limit_percent < task.cpu_limit_percent => {
+                f64::from(task.cpu_limit_percent - cpu_limit_percent) / 100.0
+                    * remaining.min(missed_for)
             }
             Action::LimitCpu(cpu_limit_percent) => {
-                let within = utilisation::seconds(POINTS);
-                -f64::from(cpu_limit_percent - l.cpu_limit_percent) / 100.0 * left.min(within)
+                let horizon = utilisation::seconds(POINTS);
+                -f64::from(cpu_limit_percent - task.cpu_limit_percent) / 100.0
+                    * remaining.min(horizon)
             }
         }
     }
@@ -247,7 +250,7 @@
 /// The time until the last forecast point at which a target is missed, in seconds; at least one
 /// point.
 fn missed_for(forecasts: &[UtilisationForecast]) -> f64 {
-    let is_missed = |at: &usize| forecasts.iter().any(|o| o.utilisation[*at] > o.limit);
+    let is_missed = |at: &usize| forecasts.iter().any(|f| f.utilisation[*at] > f.limit);
     let last = (0..POINTS).rev().find(is_missed);
     utilisation::seconds(last.map_or(1, |at| at + 1))
 }
--- a/src/lapisdrum/policy/dispatch/room.rs
+++ b/src/lapisdrum/policy/dispatch/room.rs
@@ -86,7 +86,7 @@
                 .unwrap_or_default(),
             refusals,
         };
-        shortage.main().map(|_| shortage)
+        shortage.main_reason().map(|_| shortage)
     }
 
     /// Returns the shortage of a task for which the pool's free capacity is reserved as headroom
@@ -101,7 +101,7 @@
     }
 
     /// Returns the most frequent reason for refusal.
-    pub fn main(&self) -> Option<Unfit> {
+    pub fn main_reason(&self) -> Option<Unfit> {
         self.refusals.first().map(|(why, _)| *why)
     }
 
--- a/src/lapisdrum/policy/dispatch/short_work.rs
+++ b/src/lapisdrum/policy/dispatch/short_work.rs
@@ -66,12 +66,12 @@
 
 impl ShortWork {
     /// Adds a placed short task to the held processors.
-    pub fn placed(&mut self, class: &Class, millicores: u64) {
+    pub fn note_placed(&mut self, class: &Class, millicores: u64) {
         self.demands.entry(class.clone()).or_default().held += millicores;
     }
 
     /// Removes an ended short task from the held processors.
-    pub fn over(&mut self, class: &Class, millicores: u64) {
+    pub fn note_ended(&mut self, class: &Class, millicores: u64) {
         if let Some(demand) = self.demands.get_mut(class) {
             demand.held = demand.held.saturating_sub(millicores);
         }
--- a/src/lapisdrum/policy/dispatch/timings.rs
+++ b/src/lapisdrum/policy/dispatch/timings.rs
@@ -15,24 +15,24 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Timings {
     /// Maximum time that a stop takes.
-    pub stop_takes: Duration,
+    pub max_stop_time: Duration,
     /// Time that a task takes to resume from its saved progress.
-    pub restore_takes: Duration,
+    pub restore_time: Duration,
     /// Maximum time that a serving task may exceed its target because of best-effort tasks.
-    pub overload_borne: Duration,
+    pub tolerated_overload: Duration,
 }
 
 impl Timings {
     /// Returns the expected time from a stop order until the task runs again on another host.
-    pub fn restart_takes(&self) -> Duration {
-        self.stop_takes / 2 + self.restore_takes + PLACEMENT_TIME
+    pub fn restart_time(&self) -> Duration {
+        self.max_stop_time / 2 + self.restore_time + PLACEMENT_TIME
     }
 
-    /// Returns how long a tail may be measured over its target before all best-effort tasks of the host are
-    /// stopped.
-    pub fn longest_over(&self) -> Duration {
-        let delay = self.stop_takes + TAIL_DELAY;
-        self.overload_borne
+    /// Returns how long tails may be measured over their targets before all best-effort tasks of
+    /// the host are stopped.
+    pub fn max_measured_overload(&self) -> Duration {
+        let delay = self.max_stop_time + TAIL_DELAY;
+        self.tolerated_overload
             .saturating_sub(delay)
             .max(MIN_TOLERATED_OVERLOAD)
     }
--- a/src/lapisdrum/policy/drain.rs
+++ b/src/lapisdrum/policy/drain.rs
@@ -45,12 +45,12 @@
 
 impl DrainRate {
     /// Records that items wait from `now` on.
-    pub fn busy(&mut self, now: Millis) {
+    pub fn note_busy(&mut self, now: Millis) {
         self.busy_until.get_or_insert(now);
     }
 
     /// Records that the queue is empty.
-    pub fn idle(&mut self, now: Millis) {
+    pub fn note_idle(&mut self, now: Millis) {
         self.advance(now);
         self.busy_until = None;
     }
--- a/src/lapisdrum/policy/outliers.rs
+++ b/src/lapisdrum/policy/outliers.rs
@@ -135,9 +135,9 @@
             .map_or(0.0, |stats| stats.failure_rate)
     }
 
-    /// Removes the records of all workers but those for which `is_there` holds.
-    pub fn retain(&mut self, is_there: impl Fn(&WorkerId) -> bool) {
-        self.workers.retain(|worker, _| is_there(worker));
+    /// Removes the records of all workers but those for which `is_known` holds.
+    pub fn retain(&mut self, is_known: impl Fn(&WorkerId) -> bool) {
+        self.workers.retain(|worker, _| is_known(worker));
     }
 
     fn is_outlier(&self, worker: &WorkerId, stats: &WorkerStats) -> bool {
--- a/src/lapisdrum/policy/queueing/mod.rs
+++ b/src/lapisdrum/policy/queueing/mod.rs
@@ -313,8 +313,8 @@
         let state = self.entries.entry(item.entry.clone()).or_default();
         state.waiting += 1;
         state.waiting_since.get_or_insert(now);
-        state.rate.busy(now);
-        self.rate.busy(now);
+        state.rate.note_busy(now);
+        self.rate.note_busy(now);
         if let Some(latest) = latest_start {
             self.by_deadline.insert((latest, ticket), ());
         }
@@ -341,11 +341,11 @@
             state.waiting -= 1;
             if state.waiting == 0 {
                 state.waiting_since = None;
-                state.rate.idle(now);
+                state.rate.note_idle(now);
             }
         }
         if self.items.is_empty() {
-            self.rate.idle(now);
+            self.rate.note_idle(now);
         }
         Some(waiting)
     }
--- a/src/lapisdrum/policy/routing.rs
+++ b/src/lapisdrum/policy/routing.rs
@@ -149,10 +149,10 @@
         &self.outliers
     }
 
-    /// Removes the records of all workers but those for which `is_there` holds.
-    pub fn retain(&mut self, is_there: impl Fn(&WorkerId) -> bool) {
-        self.workers.retain(|worker, _| is_there(worker));
-        self.outliers.retain(is_there);
+    /// Removes the records of all workers but those for which `is_known` holds.
+    pub fn retain(&mut self, is_known: impl Fn(&WorkerId) -> bool) {
+        self.workers.retain(|worker, _| is_known(worker));
+        self.outliers.retain(is_known);
     }
 
     fn draw(
--- a/src/lapisdrum/sched/owner/backlog.rs
+++ b/src/lapisdrum/sched/owner/backlog.rs
@@ -137,7 +137,10 @@
     room: impl FnOnce() -> Room,
     now: Millis,
 ) {
-    let (Some(why), true) = (shortage.main(), is_reason_due(owner, &waiting.step, now)) else {
+    let (Some(why), true) = (
+        shortage.main_reason(),
+        is_reason_due(owner, &waiting.step, now),
+    ) else {
         return;
     };
     let before = owner
--- a/src/lapisdrum/sched/owner/headroom.rs
+++ b/src/lapisdrum/sched/owner/headroom.rs
@@ -32,7 +32,7 @@
 pub fn note_placed(owner: &Owner, record: &RunRecord) {
     if let Some(class) = &record.short_class {
         let mut short_work = owner.short_work.borrow_mut();
-        short_work.placed(class, record.size.millicores);
+        short_work.note_placed(class, record.size.millicores);
     }
 }
 
@@ -40,7 +40,7 @@
 pub fn note_ended(owner: &Owner, record: &RunRecord) {
     if let Some(class) = &record.short_class {
         let mut short_work = owner.short_work.borrow_mut();
-        short_work.over(class, record.size.millicores);
+        short_work.note_ended(class, record.size.millicores);
     }
 }
 
--- a/src/lapisdrum/sched/owner/interference.rs
+++ b/src/lapisdrum/sched/owner/interference.rs
@@ -59,7 +59,7 @@
     if best_effort.is_empty() || serving.is_empty() {
         return;
     }
-    if over_for.is_some_and(|over| over >= cx.cfg.work.longest_over()) {
+    if over_for.is_some_and(|over| over >= cx.cfg.work.max_measured_overload()) {
         clear(cx, owner, worker, &runs, &best_effort, now);
         return;
     }
@@ -298,7 +298,7 @@
             is_checkpointing: record.is_checkpointing,
             is_stopping: record.known.stop != Stop::No,
             ran: now.since(record.since),
-            left: record.left(now),
+            remaining: record.left(now),
         });
     }
     (ids, best_effort, serving.into_values().collect())
--- a/tests/testsuite/policy/drain.rs
+++ b/tests/testsuite/policy/drain.rs
@@ -15,11 +15,11 @@
     let mut rate = DrainRate::default();
     for second in 0..10 {
         let start = Millis(second * 1_000);
-        rate.busy(start);
+        rate.note_busy(start);
         for i in 1..=10 {
             rate.note(start + Duration::from_millis(i * 10));
         }
-        rate.idle(start + Duration::from_millis(100));
+        rate.note_idle(start + Duration::from_millis(100));
     }
     let measured = rate
         .per_second(Millis(10_000))
@@ -32,7 +32,7 @@
 #[test]
 fn a_stalled_queue_has_a_falling_drain_rate() {
     let mut rate = DrainRate::default();
-    rate.busy(Millis(0));
+    rate.note_busy(Millis(0));
     for i in 1..=100 {
         rate.note(Millis(i * 10));
     }
--- a/tests/testsuite/sched/interference.rs
+++ b/tests/testsuite/sched/interference.rs
@@ -232,9 +232,9 @@
 }
 
 const TIMINGS: Timings = Timings {
-    stop_takes: Duration::from_millis(900),
-    restore_takes: Duration::from_millis(600),
-    overload_borne: Duration::from_secs(4),
+    max_stop_time: Duration::from_millis(900),
+    restore_time: Duration::from_millis(600),
+    tolerated_overload: Duration::from_secs(4),
 };
 
 /// A model that knows a serving image and a best-effort one, which adds twice its share of the host to the
@@ -264,7 +264,7 @@
         is_checkpointing: true,
         is_stopping: false,
         ran: Duration::from_secs(2),
-        left: Duration::from_secs(10),
+        remaining: Duration::from_secs(10),
     }
 }
 
@@ -324,7 +324,7 @@
 fn a_task_that_is_about_to_end_is_not_stopped() {
     let (model, serving, interfering) = interfering_pair();
     let nearly_done = BestEffort {
-        left: Duration::from_millis(300),
+        remaining: Duration::from_millis(300),
         ..best_effort(interfering, 0.5)
     };
     let actions = decide(&model, serving, &[nearly_done]);
@@ -372,17 +372,17 @@
     let report_delay = Duration::from_millis(1_800);
     for tolerated_s in 4..20 {
         let timings = Timings {
-            overload_borne: Duration::from_secs(tolerated_s),
+            tolerated_overload: Duration::from_secs(tolerated_s),
             ..TIMINGS
         };
-        let down = timings.longest_over() + timings.stop_takes + report_delay;
-        assert!(down <= timings.overload_borne, "{tolerated_s} s");
+        let down = timings.max_measured_overload() + timings.max_stop_time + report_delay;
+        assert!(down <= timings.tolerated_overload, "{tolerated_s} s");
     }
     let short = Timings {
-        overload_borne: Duration::from_millis(500),
+        tolerated_overload: Duration::from_millis(500),
         ..TIMINGS
     };
-    assert_eq!(short.longest_over(), Duration::from_secs(1));
+    assert_eq!(short.max_measured_overload(), Duration::from_secs(1));
 }
 
 /// Serving tasks reserve 30 of 32 cores. At low load, a best-effort task of 12 cores is placed beside them; at their
--- a/tests/testsuite/sched/room.rs
+++ b/tests/testsuite/sched/room.rs
@@ -77,7 +77,7 @@
     small.max_per_worker = Some(1);
     let hosts = [host(2), labelled, host(2)];
     let shortage = Shortage::of(&small, &hosts, &InterferenceModel::default()).expect("hosts");
-    assert_eq!(shortage.main(), Some(Unfit::Memory));
+    assert_eq!(shortage.main_reason(), Some(Unfit::Memory));
     assert_eq!(shortage.refusals_text().to_string(), "Memory:2 StepLimit:1");
     assert_eq!(
         Shortage::of(&small, &[], &InterferenceModel::default()),
--- a/tests/testsuite/sched/short_work.rs
+++ b/tests/testsuite/sched/short_work.rs
@@ -152,9 +152,9 @@
 fn headroom_for_short_tasks_outlives_a_lull_and_then_expires() {
     let mut work = ShortWork::default();
     let class = class("a", 0);
-    work.placed(&class, 3_000);
+    work.note_placed(&class, 3_000);
     note_waiting(&mut work, &class, 1_000, 0);
-    work.over(&class, 3_000);
+    work.note_ended(&class, 3_000);
     note_waiting(&mut work, &class, 0, 5);
     assert_eq!(work.held("a"), 0);
     assert_eq!(work.headroom(&class, 100_000), 4_000);
--- a/tests/testsuite/sched/world.rs
+++ b/tests/testsuite/sched/world.rs
@@ -609,9 +609,9 @@
 /// Timings that the simulated workers keep.
 fn work_timings() -> Timings {
     Timings {
-        stop_takes: Duration::from_millis(900),
-        restore_takes: Duration::from_millis(600),
-        overload_borne: Duration::from_secs(4),
+        max_stop_time: Duration::from_millis(900),
+        restore_time: Duration::from_millis(600),
+        tolerated_overload: Duration::from_secs(4),
     }
 }
 
--- a/tests/testsuite/settings/platform.rs
+++ b/tests/testsuite/settings/platform.rs
@@ -34,11 +34,14 @@
     let said = "stop_takes_ms = 200\nrestore_takes_ms = 250\noverload_borne_ms = 5000";
     let read = |bounds| PlatformSettings::try_from(settings(bounds).as_str());
     let timings = read(said).expect("settings").node.work;
-    assert_eq!(timings.stop_takes, Duration::from_millis(200));
-    assert_eq!(timings.restore_takes, Duration::from_millis(250));
-    assert_eq!(timings.longest_over(), Duration::from_millis(3_000));
+    assert_eq!(timings.max_stop_time, Duration::from_millis(200));
+    assert_eq!(timings.restore_time, Duration::from_millis(250));
+    assert_eq!(
+        timings.max_measured_overload(),
+        Duration::from_millis(3_000)
+    );
     let usual = read("").expect("settings").node.work;
-    assert_eq!(usual.overload_borne, Duration::from_secs(4));
+    assert_eq!(usual.tolerated_overload, Duration::from_secs(4));
 }
 
 /// Guards against a limit in the wrong unit: with hours of overload allowed, best-effort tasks would never be
