--- a/src/lapisdrum/policy/dispatch/duration.rs
+++ b/src/lapisdrum/policy/dispatch/duration.rs
@@ -2,8 +2,8 @@
 //!
 //! Load pattern: batch graphs of wide steps that together exceed the hosts' capacity. A step ends
 //! with its slowest task, best-effort tasks run slower than alone, and some are moved; so even
-//! under low load a job may take almost twice the estimate of its critical path. A scheduler that
-//! relies on the estimate starts jobs after a burst that can no longer meet their deadlines. Each
+//! under low load a job may take almost twice the estimate of its critical path. After a burst, a
+//! scheduler that relies on the estimate starts jobs that can no longer meet their deadlines. Each
 //! queue's factor tracks the recent durations of its jobs, and so also reflects slow or crowded
 //! hosts.
 
@@ -39,8 +39,8 @@
         *factor += (measured - *factor) * SMOOTHING_FACTOR;
     }
 
-    /// Returns the expected time from a job's first start to its end, in milliseconds, given the
-    /// estimated duration of its critical path.
+    /// Returns the expected duration of a chain of a job's steps: `chain_ms`, the estimate of its
+    /// run times, times the factor of the job's queue.
     pub fn expected_ms(&self, queue: &str, chain_ms: u64) -> u64 {
         let factor = self.factors.get(queue).copied().unwrap_or(INITIAL_FACTOR);
         (chain_ms as f64 * factor) as u64
--- a/src/lapisdrum/policy/dispatch/place.rs
+++ b/src/lapisdrum/policy/dispatch/place.rs
@@ -24,9 +24,10 @@
 /// Margin added to the expected load of a serving task when its idle processors are counted, as a
 /// fraction of what it reserves: reported loads are inaccurate while they swing.
 const LOAD_MARGIN: f64 = 0.05;
-/// A best-effort task is admitted where this percentage of its processors is idle; best-effort
-/// tasks on a host share the idle ones. At 100 the rest of each host stays unused under a backlog;
-/// much lower values make the tasks slow each other so much that fewer jobs are on time.
+/// Idle processors that a host needs to admit a best-effort task, in percent of what the task asks
+/// for; best-effort tasks on a host share the idle ones. At 100 the rest of each host stays unused
+/// under a backlog; much lower values make the tasks slow each other so much that fewer jobs are on
+/// time.
 const MIN_IDLE_PERCENT: u64 = 80;
 /// One host in this many, and at least one, may be kept free for tasks that found no host.
 const HOSTS_PER_KEPT_HOST: usize = 16;
@@ -117,7 +118,7 @@
 pub enum Kept {
     /// [`Load::Reserving`] tasks.
     Processors,
-    /// Every task but serving ones, as its memory is short too.
+    /// All but serving tasks: too little memory is free for the waiting task, too.
     All,
 }
 
@@ -193,7 +194,7 @@
     }
 
     /// Whether a serving task is expected to miss its target, or to miss it by more, because of the
-    /// task.
+    /// task to place.
     fn is_overloaded_by(&self, need: &Need, model: &InterferenceModel) -> bool {
         let Some(aggressor) = self.aggressor(need) else {
             return false;
--- a/src/lapisdrum/policy/drain.rs
+++ b/src/lapisdrum/policy/drain.rs
@@ -116,7 +116,7 @@
         self.last_return_us = self.last_return_us.max(from_us) + interval_us;
         if self.last_return_us > latest_us {
             // More callers are to return than can be served within the longest time: spread them
-            // evenly over all of it.
+            // evenly from `min_wait` to the longest time.
             self.last_return_us = latest_us;
             return min_wait + (MAX_RETRY_AFTER - min_wait).mul_f64(rng.random_range(0.0..=1.0));
         }
