--- a/src/lapisdrum/policy/dispatch/place.rs
+++ b/src/lapisdrum/policy/dispatch/place.rs
@@ -306,7 +306,7 @@
     if need.required_label.is_some_and(|label| !has(label)) {
         return Some(Unfit::Label);
     }
-    if need.max_per_worker.is_some_and(|most| host.of_step >= most) {
+    if need.max_per_worker.is_some_and(|max| host.of_step >= max) {
         return Some(Unfit::StepLimit);
     }
     match need.load {
@@ -397,7 +397,7 @@
             && reserved_by(&need.size, need.load).fits(&host.capacity)
             && host.kept_millicores + need.size.millicores <= host.not_serving_millicores()
             && need.required_label.is_none_or(has)
-            && need.max_per_worker.is_none_or(|most| host.of_step < most)
+            && need.max_per_worker.is_none_or(|max| host.of_step < max)
     };
     let able = hosts.iter_mut().filter(may_fit);
     let best = able.max_by_key(|host| (host.kept.is_some(), host.free().millicores));
--- a/src/lapisdrum/policy/dispatch/utilisation.rs
+++ b/src/lapisdrum/policy/dispatch/utilisation.rs
@@ -35,9 +35,9 @@
 }
 
 /// Returns the number of forecast points before this time has passed.
-pub fn points_within(left: Duration) -> usize {
+pub fn points_within(remaining: Duration) -> usize {
     (0..POINTS)
-        .take_while(|at| point_offset(*at) < left)
+        .take_while(|at| point_offset(*at) < remaining)
         .count()
 }
 
--- a/src/lapisdrum/policy/routing.rs
+++ b/src/lapisdrum/policy/routing.rs
@@ -114,7 +114,7 @@
         worker: &WorkerId,
         entry: &EntryName,
         sent_at: Millis,
-        end: SendOutcome,
+        outcome: SendOutcome,
         pool: usize,
         now: Millis,
     ) -> bool {
@@ -125,7 +125,7 @@
         if let Some(at) = stats.sent.iter().position(|(at, _)| *at == sent_at) {
             stats.sent.remove(at);
         }
-        match end {
+        match outcome {
             SendOutcome::Answered => {
                 let slowness_sample = (took_ms / usual_ms).min(MAX_SLOWNESS);
                 stats.note(slowness_sample, now);
