--- a/src/lapisdrum/policy/dispatch/mitigation.rs
+++ b/src/lapisdrum/policy/dispatch/mitigation.rs
@@ -1,14 +1,17 @@
-//! Decides which best-effort tasks are throttled or stopped when the latency tail of a serving task nears its target.
+//! Decides which best-effort tasks are throttled or stopped when the latency tail of a serving task
+//! nears its target.
 //!
-//! Load pattern: serving load rises under best-effort tasks that were harmless when they were placed, or a pair of
-//! images interferes more than estimated. Latency tails show it half a second late. Without mitigation a tail stays
-//! at ten times its target for as long as the batch task runs, some four seconds. Mitigation that picks the task with
-//! the most interference stopped tasks that had almost finished, and whole steps waited for them.
+//! Load pattern: serving load rises under best-effort tasks that were harmless when they were
+//! placed, or a pair of images interferes more than estimated. Latency tails show it half a second
+//! late. Without mitigation a tail stays at ten times its target for as long as the batch task
+//! runs, some four seconds. Mitigation that picks the task with the most interference stopped tasks
+//! that had almost finished, and whole steps then waited for them.
 //!
-//! So each change is weighed by its cost: for a stop, the time until the task runs again elsewhere and the progress
-//! that it had not saved; for a lower CPU limit, the work not done meanwhile; for no change, the serving tasks'
-//! missed targets until the best-effort task ends by itself ([`super::utilisation`]). The change that gains most is
-//! made first. Raising the limit of a throttled task is weighed in the same way.
+//! So each change is weighed by its cost: for a stop, the time until the task runs again elsewhere
+//! and the progress that it had not saved; for a lower CPU limit, the work not done meanwhile; for
+//! no change, the serving tasks' missed targets until the best-effort task ends by itself
+//! ([`super::utilisation`]). The change that gains most is made first. Raising the limit of a
+//! throttled task is weighed in the same way.
 
 use super::{
     interference::{Aggressor, Image, InterferenceModel, Victim},
@@ -20,7 +23,8 @@
 
 /// CPU limits that are set, in percent of what the task asks for.
 const CPU_LIMITS_PERCENT: [u32; 6] = [0, 20, 40, 60, 80, 100];
-/// The least gain for which a change is made, in seconds of a best-effort task: each is an order to a worker.
+/// The least gain for which a change is made, in seconds of a best-effort task: each is an order to
+/// a worker.
 const MIN_GAIN_SECONDS: f64 = 0.1;
 
 /// The serving tasks of one step on a host.
@@ -30,7 +34,8 @@
     pub victim: Victim,
     /// The number of tasks.
     pub tasks: u32,
-    /// Utilisation inferred from their latency tails, in excess of what the interference model expects.
+    /// Utilisation inferred from their latency tails, in excess of what the interference model
+    /// expects.
     pub residual: f64,
 }
 
@@ -50,7 +55,7 @@
     /// The time for which it has run.
     pub ran: Duration,
     /// Its estimated remaining run time without a CPU limit.
-    pub left: Duration,
+    pub remaining: Duration,
 }
 
 /// A change to a best-effort task.
@@ -73,7 +78,8 @@
     pub timings: &'a Timings,
 }
 
-/// Returns the changes to make on a host, at most one for each best-effort task, by its index in `best_effort`.
+/// Returns the changes to make on a host, at most one for each best-effort task, by its index in
+/// `best_effort`.
 pub fn decide(
     inputs: &DecisionInputs,
     serving: &[Serving],
@@ -116,11 +122,11 @@
         after
     }
 
-    /// Its estimated remaining run time at its CPU limit.
-    fn left_at_cpu_limit(&self) -> Duration {
+    /// Its estimated remaining run time at its CPU limit; [`Duration::MAX`] at a limit of 0.
+    fn remaining_at_cpu_limit(&self) -> Duration {
         match self.cpu_limit_percent {
             0 => Duration::MAX,
-            cpu_limit_percent => self.left * 100 / cpu_limit_percent,
+            cpu_limit_percent => self.remaining * 100 / cpu_limit_percent,
         }
     }
 
@@ -150,8 +156,8 @@
 }
 
 impl Host<'_> {
-    /// The change with the largest gain, among tasks that are neither changed nor being stopped; none if none gains
-    /// [`MIN_GAIN_SECONDS`].
+    /// The change with the largest gain, among tasks that are neither changed nor being stopped;
+    /// none if none gains [`MIN_GAIN_SECONDS`].
     fn best_change(
         &self,
         best_effort: &[BestEffort],
@@ -160,20 +166,21 @@
         let forecasts = self.forecasts(best_effort);
         let before: f64 = forecasts.iter().map(UtilisationForecast::cost).sum();
         let missed_for = missed_for(&forecasts);
-        let open = best_effort.iter().enumerate();
-        let open = open
-            .filter(|(at, l)| !l.is_stopping && changed.iter().all(|(changed, _)| changed != at));
+        let candidates = best_effort.iter().enumerate();
+        let candidates = candidates.filter(|(at, task)| {
+            !task.is_stopping && changed.iter().all(|(changed, _)| changed != at)
+        });
         let mut best: Option<(usize, Action, f64)> = None;
-        for (at, l) in open {
-            let most = before - self.cost_without(best_effort, at);
-            for action in l.choices() {
-                let own = self.cost_of(l, action, missed_for);
-                let is_too_little = most - own < MIN_GAIN_SECONDS;
+        for (at, task) in candidates {
+            let max_gain = before - self.cost_without(best_effort, at);
+            for action in task.choices() {
+                let own = self.cost_of(task, action, missed_for);
+                let is_too_little = max_gain - own < MIN_GAIN_SECONDS;
                 if is_too_little {
                     continue;
                 }
                 let gain = before - self.cost_with(best_effort, at, action) - own;
-                if gain >= MIN_GAIN_SECONDS && best.is_none_or(|(.., most)| gain > most) {
+                if gain >= MIN_GAIN_SECONDS && best.is_none_or(|(.., best_gain)| gain > best_gain) {
                     best = Some((at, action, gain));
                 }
             }
@@ -186,15 +193,16 @@
         let all = all.map(|(s, load)| {
             let limit = self.inputs.model.limit(&s.victim);
             let mut forecast = UtilisationForecast::without_aggressors(s.tasks, limit, *load);
-            for l in best_effort {
-                let Some(aggressor) = l.aggressor() else {
+            for task in best_effort {
+                let Some(aggressor) = task.aggressor() else {
                     continue;
                 };
                 let interference = self.inputs.model.interference(s.victim.image, &aggressor);
-                // No variance is added: `residual` already holds how far running tasks deviate from the model.
+                // No variance is added: `residual` already holds how far running tasks deviate from
+                // the model.
                 forecast.add_certain(
                     interference,
-                    utilisation::points_within(l.left_at_cpu_limit()),
+                    utilisation::points_within(task.remaining_at_cpu_limit()),
                 );
             }
             forecast
@@ -220,26 +228,29 @@
     }
 
     /// The cost of a change to the task itself, in seconds; negative if it raises the CPU limit.
-    fn cost_of(&self, l: &BestEffort, action: Action, missed_for: f64) -> f64 {
-        let left = l.left.as_secs_f64();
-        let restart = self.inputs.timings.restart_takes().as_secs_f64();
+    fn cost_of(&self, task: &BestEffort, action: Action, missed_for: f64) -> f64 {
+        let remaining = task.remaining.as_secs_f64();
+        let restart = self.inputs.timings.restart_time().as_secs_f64();
         match action {
-            Action::Stop if l.is_checkpointing => restart,
-            Action::Stop => restart + l.ran.as_secs_f64(),
-            Action::LimitCpu(cpu_limit_percent) if cpu_limit_percent < l.cpu_limit_percent => {
-                f64::from(l.cpu_limit_percent - cpu_limit_percent) / 100.0 * left.min(missed_for)
+            Action::Stop if task.is_checkpointing => restart,
+            Action::Stop => restart + task.ran.as_secs_f64(),
+            Action::LimitCpu(cpu_limit_percent) if cpu_limit_percent < task.cpu_limit_percent => {
+                f64::from(task.cpu_limit_percent - cpu_limit_percent) / 100.0
+                    * remaining.min(missed_for)
             }
             Action::LimitCpu(cpu_limit_percent) => {
-                let within = utilisation::seconds(POINTS);
-                -f64::from(cpu_limit_percent - l.cpu_limit_percent) / 100.0 * left.min(within)
+                let horizon = utilisation::seconds(POINTS);
+                -f64::from(cpu_limit_percent - task.cpu_limit_percent) / 100.0
+                    * remaining.min(horizon)
             }
         }
     }
 }
 
-/// The time until the last forecast point at which a target is missed, in seconds; at least one point.
+/// The time until the last forecast point at which a target is missed, in seconds; at least one
+/// point.
 fn missed_for(forecasts: &[UtilisationForecast]) -> f64 {
-    let is_missed = |at: &usize| forecasts.iter().any(|o| o.utilisation[*at] > o.limit);
+    let is_missed = |at: &usize| forecasts.iter().any(|f| f.utilisation[*at] > f.limit);
     let last = (0..POINTS).rev().find(is_missed);
     utilisation::seconds(last.map_or(1, |at| at + 1))
 }
