--- a/crates/lapisdrum-standins/src/worker/tasks.rs
+++ b/crates/lapisdrum-standins/src/worker/tasks.rs
@@ -293,7 +293,6 @@
         attempt: task.attempt,
         state: task.state,
         checkpoint: task.checkpoint.clone(),
-        message: (task.state == TaskState::Failed)
-            .then(|| "failed by the stand-in's `fails_tasks` switch".to_owned()),
+        message: (task.state == TaskState::Failed).then(|| "this worker fails it".to_owned()),
     }
 }
--- a/src/lapisdrum/api/operators.rs
+++ b/src/lapisdrum/api/operators.rs
@@ -114,12 +114,7 @@
     Ok(Filter {
         job: job.map_err(|e| bad(e.to_string(), "correct `job`"))?,
         worker: worker.map_err(|e| bad(e.to_string(), "correct `worker`"))?,
-        since: since.map_err(|e| {
-            bad(
-                e.to_string(),
-                "`since` is the time of an event's stamp, an integer",
-            )
-        })?,
+        since: since.map_err(|e| bad(e.to_string(), "`since` is the time of a stamp"))?,
     })
 }
 
@@ -198,7 +193,7 @@
         .with("retry-after", STORE_RETRY_AFTER_S),
         ChangeOutcome::Unknown => error(
             StatusCode::BAD_GATEWAY,
-            "the change may have been made: the answer of the platform's table was lost",
+            "the change may be in: its answer was lost",
             "repeat it with the same `lapisdrum-change` header; it is made at most once",
         ),
     }
--- a/src/lapisdrum/api/server.rs
+++ b/src/lapisdrum/api/server.rs
@@ -67,7 +67,7 @@
         ),
         BodyFault::Incomplete => error(
             StatusCode::BAD_REQUEST,
-            "the request body is incomplete",
+            "the body broke off",
             "send the request again; it was not run",
         ),
     };
--- a/src/lapisdrum/daemon/jobs.rs
+++ b/src/lapisdrum/daemon/jobs.rs
@@ -254,7 +254,7 @@
     }
     let size = entry.size;
     let reason = format!(
-        "it needs {} millicores, {} MB and {} accelerators, more than any host has for tasks",
+        "it takes {} millicores, {} MB and {} accelerators, and no host has as much for tasks",
         size.millicores, size.memory_mb, size.accelerators
     );
     Err(Refusal::NeverFits { reason })
--- a/src/lapisdrum/daemon/metrics.rs
+++ b/src/lapisdrum/daemon/metrics.rs
@@ -167,12 +167,12 @@
         );
         r.register(
             "jobs_waiting",
-            "Jobs waiting to be placed on a worker",
+            "Jobs that wait for a place",
             self.jobs_waiting.clone(),
         );
         r.register(
             "jobs_running",
-            "Jobs placed on a worker",
+            "Jobs that are placed on a worker",
             self.jobs_running.clone(),
         );
         r.register(
@@ -180,7 +180,11 @@
             "Tasks started on workers",
             self.task_starts.clone(),
         );
-        r.register("evictions", "Evictions of tasks", self.evictions.clone());
+        r.register(
+            "evictions",
+            "Tasks that lost their place",
+            self.evictions.clone(),
+        );
     }
 
     /// Registers the metrics of the daemon itself.
@@ -198,12 +202,12 @@
         );
         r.register(
             "platform_unknown",
-            "Transactions whose reply was lost",
+            "Lost transaction answers",
             self.platform_unknown.clone(),
         );
         r.register(
             "part_restarts",
-            "Restarts of daemon components",
+            "Parts started again",
             self.component_restarts.clone(),
         );
         r.register(
@@ -214,7 +218,7 @@
         r.register("shards_owned", "Shards owned", self.shards_owned.clone());
         r.register(
             "shards_lapsed",
-            "Shards owned under a lease that has expired",
+            "Shards owned under a lease that has run out",
             self.shards_lapsed.clone(),
         );
         r.register(
@@ -224,7 +228,7 @@
         );
         r.register(
             "daemons_live",
-            "Daemons that are not known to be silent, including this one",
+            "Daemons that are heard of",
             self.daemons_live.clone(),
         );
         r.register(
--- a/src/lapisdrum/sched/metrics.rs
+++ b/src/lapisdrum/sched/metrics.rs
@@ -101,63 +101,51 @@
         let row_seconds = self.row_seconds.clone();
         r.register(
             "row_seconds",
-            "Time until the outcome of a journal write is known, in seconds",
+            "Time until a journal row is settled",
             row_seconds,
         );
         let errors = self.store_errors.clone();
         r.register(
             "store_errors",
-            "Store calls that failed or got no reply",
+            "Store calls without a useful answer",
             errors,
         );
-        r.register(
-            "starts",
-            "Orders to start a run that were sent to workers",
-            self.starts.clone(),
-        );
+        r.register("starts", "Orders to start", self.starts.clone());
         let orders_unanswered = self.orders_unanswered.clone();
         r.register(
             "orders_silent",
-            "Orders to start a run that got no reply",
+            "Orders without an answer",
             orders_unanswered,
         );
         let cpu_limit_orders = self.cpu_limit_orders.clone();
-        r.register(
-            "paces",
-            "Orders to change the CPU limit of a task",
-            cpu_limit_orders,
-        );
+        r.register("paces", "Orders to work at another pace", cpu_limit_orders);
         let lost = self.runs_lost.clone();
         r.register(
             "runs_lost",
-            "Runs that ended without a report from their worker, or never started",
+            "Runs over without an end from their worker",
             lost,
         );
-        r.register("looks", "Polls of workers", self.polls.clone());
+        r.register("looks", "Looks at workers", self.polls.clone());
         r.register("takeovers", "Shards taken over", self.takeovers.clone());
         let active = self.jobs_active.clone();
-        r.register("jobs_active", "Jobs that have not ended", active);
+        r.register("jobs_active", "Jobs that are not over", active);
         let live = self.runs_live.clone();
         r.register("runs_live", "Runs that may be alive", live);
         let evacuated = self.runs_in_evacuated.clone();
         r.register(
             "runs_in_evacuated",
-            "Live runs in evacuated data centres",
+            "Runs left in evacuated data centres",
             evacuated,
         );
         r.register("submits", "Jobs submitted", self.submits.clone());
-        r.register("jobs", "Jobs that have ended", self.jobs.clone());
+        r.register("jobs", "Jobs over", self.jobs.clone());
         let seconds = self.job_seconds.clone();
         r.register(
             "job_seconds",
             "Time from acceptance to the job's end",
             seconds,
         );
-        r.register(
-            "run_ends",
-            "Runs that have ended, as reported by their worker",
-            self.ends.clone(),
-        );
+        r.register("run_ends", "Ends of runs", self.ends.clone());
     }
 
     /// Counts a submission by its outcome.
--- a/src/lapisdrum/store/client.rs
+++ b/src/lapisdrum/store/client.rs
@@ -55,7 +55,7 @@
 impl PlatformError {
     /// The error of a write that was not sent because the sender's lease has expired.
     pub fn lease_lapsed() -> Self {
-        Self::new("the lease has expired")
+        Self::new("the lease has run out")
     }
 
     fn new(message: impl fmt::Display) -> Self {
--- a/src/lapisdrum/worker/client.rs
+++ b/src/lapisdrum/worker/client.rs
@@ -120,7 +120,7 @@
         let time_left = out.time_left;
         match tokio::time::timeout(time_left, self.exchange(address, out)).await {
             Ok(end) => end,
-            Err(_) => RequestOutcome::Unknown("no response before the deadline".to_owned()),
+            Err(_) => RequestOutcome::Unknown("no answer before the deadline".to_owned()),
         }
     }
 
@@ -141,14 +141,12 @@
         // A response with another request's id must not be passed on, not even a refusal: the request
         // would be sent again although it may be running.
         if header_text(answer.headers(), REQUEST_HEADER) != Some(out.request.as_str()) {
-            return RequestOutcome::Unknown(
-                "the response has the id of another request".to_owned(),
-            );
+            return RequestOutcome::Unknown("the answer names another request".to_owned());
         }
         if status == StatusCode::SERVICE_UNAVAILABLE
             && answer.headers().contains_key(NOT_RUN_HEADER)
         {
-            return RequestOutcome::NotRun("the worker refused the request".to_owned());
+            return RequestOutcome::NotRun("the worker refused it".to_owned());
         }
         let content_type = header_text(answer.headers(), "content-type").map(str::to_owned);
         match answer.body().limit(out.max_response_bytes).await {
@@ -157,7 +155,7 @@
                 content_type,
                 body,
             }),
-            Err(e) => RequestOutcome::Unknown(format!("failed to read the response body: {e}")),
+            Err(e) => RequestOutcome::Unknown(format!("the answer broke off: {e}")),
         }
     }
 
@@ -240,9 +238,7 @@
             Err(e) => return CommandOutcome::Unanswered(e.to_string()),
         };
         let Some(clock) = worker_clock(answer.headers()) else {
-            return CommandOutcome::Unanswered(
-                "the response has no valid worker clock header".to_owned(),
-            );
+            return CommandOutcome::Unanswered("an answer without the worker's clock".to_owned());
         };
         let body = match answer.body().limit(MAX_COMMAND_RESPONSE_BYTES).await {
             Ok(body) => body,
