--- a/src/lapisdrum/policy/dispatch/interference/load.rs
+++ b/src/lapisdrum/policy/dispatch/interference/load.rs
@@ -1,7 +1,7 @@
 //! Tracks and forecasts the load of serving tasks from their measured utilisation.
 //!
 //! All tasks of a step share their load, so a task without aggressors measures it for the others. A
-//! latency tail is [`TAIL_AGE_S`] old when it is read, and load changes by half within seconds.
+//! latency tail is `TAIL_AGE_S` old when it is read, and load changes by half within seconds.
 //! While no period is known ([`super::seasonality`]), level and slope are tracked; with one, a mean
 //! and a sinusoid around it, which forecast the load for the run time of a best-effort task.
 
--- a/src/lapisdrum/policy/dispatch/interference/profile.rs
+++ b/src/lapisdrum/policy/dispatch/interference/profile.rs
@@ -9,7 +9,7 @@
 //! three measured pairs of an image are enough to predict its others.
 //!
 //! The matrices are fitted by alternating least squares over the pairs with evidence, regularised
-//! towards [`PRIOR_FACTOR`]. The covariance of the factors is kept, so that predictions for images
+//! towards `PRIOR_FACTOR`. The covariance of the factors is kept, so that predictions for images
 //! with little evidence have a high variance.
 
 use super::Estimate;
