--- a/crates/lapisdrum-load/src/policy/tasks.rs
+++ b/crates/lapisdrum-load/src/policy/tasks.rs
@@ -15,7 +15,7 @@
         time::Millis,
     },
     policy::{
-        eviction::{Distress, EvictionMemory, HostTask, MitigationStep},
+        eviction::{Distress, EvictionHistory, HostTask, MitigationStep},
         placement::{self, CandidateHost, RunningKind, TaskToPlace},
         slowdown::{History, Kind, Neighbour, Report, SlowdownModel},
     },
@@ -144,7 +144,7 @@
     hosts: Vec<Host>,
     waiting: VecDeque<Task>,
     known: SlowdownModel,
-    memory: EvictionMemory,
+    memory: EvictionHistory,
     result: TaskResult,
     rng: StdRng,
     next_job: u64,
@@ -180,7 +180,7 @@
             hosts: hosts.collect(),
             waiting: VecDeque::new(),
             known,
-            memory: EvictionMemory::default(),
+            memory: EvictionHistory::default(),
             result: TaskResult {
                 slowdown: Histogram::new_with_bounds(1, 1_000_000, 3)
                     .unwrap_or_else(|e| unreachable!("fixed bounds are valid: {e}")),
--- a/src/lapisdrum/daemon/pressure.rs
+++ b/src/lapisdrum/daemon/pressure.rs
@@ -15,7 +15,7 @@
         time::Millis,
     },
     policy::{
-        eviction::{Distress, EvictionMemory, HostTask, MitigationStep},
+        eviction::{Distress, EvictionHistory, HostTask, MitigationStep},
         health::{Health, Verdict, WorkerState},
         placement::RunningKind,
         slowdown::{History, Kind, Neighbour, Report, SlowdownModel},
@@ -46,7 +46,7 @@
     /// Failure history of workers and jobs.
     pub health: Health,
     /// Recent evictions for mitigation, which limit further ones.
-    pub memory: EvictionMemory,
+    pub memory: EvictionHistory,
     hosts: IndexMap<WorkerId, HostState>,
 }
 
--- a/src/lapisdrum/policy/eviction.rs
+++ b/src/lapisdrum/policy/eviction.rs
@@ -103,11 +103,11 @@
 
 /// Recent evictions, so that a task is not repeatedly evicted and placed back.
 #[derive(Debug, Default)]
-pub struct EvictionMemory {
+pub struct EvictionHistory {
     evicted: IndexMap<JobId, (WorkerId, Millis)>,
 }
 
-impl EvictionMemory {
+impl EvictionHistory {
     /// Records the eviction of a job's task from a worker.
     pub fn note(&mut self, job: &JobId, worker: &WorkerId, now: Millis) {
         self.evicted.insert(job.clone(), (worker.clone(), now));
@@ -144,7 +144,7 @@
         slowdown: f64,
         measured_at: Millis,
         tasks: &[HostTask<'_>],
-        memory: &EvictionMemory,
+        history: &EvictionHistory,
         now: Millis,
     ) -> Vec<MitigationStep> {
         if !self.is_fresh(measured_at) {
@@ -166,7 +166,9 @@
             0
         };
         let steps = match releasable {
-            _ if self.high_reports >= REPORTS_TO_MITIGATE => mitigate(slowdown, tasks, memory, now),
+            _ if self.high_reports >= REPORTS_TO_MITIGATE => {
+                mitigate(slowdown, tasks, history, now)
+            }
             Some(task) if self.releasable_reports >= REPORTS_TO_RELEASE => {
                 vec![MitigationStep::Release(task.job.clone())]
             }
@@ -196,14 +198,14 @@
 fn mitigate(
     slowdown: f64,
     tasks: &[HostTask<'_>],
-    memory: &EvictionMemory,
+    history: &EvictionHistory,
     now: Millis,
 ) -> Vec<MitigationStep> {
     let throttled = plan_throttles(slowdown, tasks);
     if !throttled.is_empty() {
         return throttled;
     }
-    let evicted = select_for_eviction(tasks, memory, now);
+    let evicted = select_for_eviction(tasks, history, now);
     evicted
         .map(|task| MitigationStep::Evict(task.job.clone()))
         .into_iter()
@@ -240,12 +242,12 @@
 /// priority, then least work lost.
 pub fn select_for_eviction<'a>(
     tasks: &'a [HostTask<'a>],
-    memory: &EvictionMemory,
+    history: &EvictionHistory,
     now: Millis,
 ) -> Option<&'a HostTask<'a>> {
     let candidates: Vec<&HostTask<'_>> = tasks
         .iter()
-        .filter(|t| t.class == Class::Batch && memory.may_evict(t.job, now))
+        .filter(|t| t.class == Class::Batch && history.may_evict(t.job, now))
         .collect();
     let max_harm = candidates.iter().map(|t| t.harm).max_by(f64::total_cmp)?;
     let harmful = candidates
--- a/tests/testsuite/policy/eviction.rs
+++ b/tests/testsuite/policy/eviction.rs
@@ -4,7 +4,7 @@
 use lapisdrum::{
     core::{catalogue::Class, id::JobId, time::Millis},
     policy::eviction::{
-        Distress, EVICTION_COOLDOWN, EvictionMemory, HostTask, MitigationStep,
+        Distress, EVICTION_COOLDOWN, EvictionHistory, HostTask, MitigationStep,
         SAME_WORKER_COOLDOWN, SETTLE_TIME, select_for_eviction,
     },
 };
@@ -36,7 +36,7 @@
             ..host_task(&noisy)
         },
     ];
-    let (mut distress, memory) = (Distress::default(), EvictionMemory::default());
+    let (mut distress, memory) = (Distress::default(), EvictionHistory::default());
     let mut order: Vec<(Millis, MitigationStep)> = Vec::new();
     for second in 1..60 {
         let now = Millis(second * 1_000);
@@ -67,7 +67,7 @@
 fn a_wave_is_throttled_in_one_step() {
     let jobs: Vec<JobId> = (0..6).map(job).collect();
     let tasks: Vec<HostTask<'_>> = jobs.iter().map(host_task).collect();
-    let (mut distress, memory) = (Distress::default(), EvictionMemory::default());
+    let (mut distress, memory) = (Distress::default(), EvictionHistory::default());
     assert!(
         distress
             .report(2.5, Millis(1), &tasks, &memory, Millis(5_001))
@@ -98,7 +98,7 @@
             ..host_task(&noisy)
         },
     ];
-    let (mut distress, memory) = (Distress::default(), EvictionMemory::default());
+    let (mut distress, memory) = (Distress::default(), EvictionHistory::default());
     let mut steps = Vec::new();
     for second in 1..120 {
         let now = Millis(second * 1_000);
@@ -130,7 +130,7 @@
             ..host_task(&c)
         },
     ];
-    let chosen = select_for_eviction(&tasks, &EvictionMemory::default(), Millis(0));
+    let chosen = select_for_eviction(&tasks, &EvictionHistory::default(), Millis(0));
     assert_eq!(chosen.map(|t| t.job), Some(&c));
 }
 
@@ -142,7 +142,7 @@
         class: Class::LongRunning,
         ..host_task(&stream)
     }];
-    assert!(select_for_eviction(&tasks, &EvictionMemory::default(), Millis(0)).is_none());
+    assert!(select_for_eviction(&tasks, &EvictionHistory::default(), Millis(0)).is_none());
 }
 
 /// Guards against tasks that are moved back and forth: an evicted task is neither placed on the
@@ -150,7 +150,7 @@
 #[test]
 fn an_evicted_task_is_not_moved_back_and_forth() {
     let (render, home) = (job(0), worker(0));
-    let mut memory = EvictionMemory::default();
+    let mut memory = EvictionHistory::default();
     memory.note(&render, &home, Millis(0));
     let soon = Millis(60_000);
     assert!(!memory.may_place(&render, &home, soon));
@@ -175,7 +175,7 @@
         let mut rng = seeded(seed);
         let jobs: Vec<JobId> = (0..4).map(job).collect();
         let mut throttled = [false; 4];
-        let (mut distress, mut memory) = (Distress::default(), EvictionMemory::default());
+        let (mut distress, mut memory) = (Distress::default(), EvictionHistory::default());
         let mut last_step: Option<Millis> = None;
         let mut evicted: Vec<(JobId, Millis)> = Vec::new();
         for second in 0..600_u64 {
