--- a/src/lapisdrum/sched/owner/jobs.rs
+++ b/src/lapisdrum/sched/owner/jobs.rs
@@ -21,11 +21,11 @@
 /// Retry delay for callers that are refused while the store does not accept rows.
 const STORE_UNAVAILABLE_RETRY: Duration = Duration::from_secs(1);
 
-/// Retry delay for callers while every data centre is evacuated; operators need at least seconds to
-/// restore one.
+/// Retry delay for callers while all workers of the shard are in evacuated data centres; operators
+/// need at least seconds to restore one.
 const EVACUATED_RETRY: Duration = Duration::from_secs(5);
 
-/// Accepts a job. A repeated submission of the same id returns the state of the existing job.
+/// Accepts a job. A repeated submission of the same id gets the outcome of the first.
 pub async fn submit(
     cx: &Cx,
     owner: &Rc<Owner>,
--- a/src/lapisdrum/sched/owner/session.rs
+++ b/src/lapisdrum/sched/owner/session.rs
@@ -116,7 +116,7 @@
     pub overload: Overload,
     /// Failures in a row, and the time of the last one or of the reset.
     pub failures: (u32, Millis),
-    /// Whether a task that polls it is running.
+    /// Whether the owner polls it; see [`start_polling`](super::poll::start_polling).
     pub is_polled: bool,
 }
 
