--- a/src/lapisdrum/sched/layout.rs
+++ b/src/lapisdrum/sched/layout.rs
@@ -119,8 +119,8 @@
         (0..self.shards).map(ShardId)
     }
 
-    /// The shard that owns a worker; none while its rack is not assigned.
-    pub fn owner_of(&self, worker: &WorkerReport) -> Option<ShardId> {
+    /// The shard of a worker; none while its rack is not assigned.
+    pub fn shard_of(&self, worker: &WorkerReport) -> Option<ShardId> {
         self.racks.get(rack_of(worker)).copied()
     }
 
@@ -235,7 +235,7 @@
 /// Assigns racks that the layout doesn't contain. Only the owner of the first shard may do so
 /// (`may_assign`); other processes read the layout that it wrote.
 pub async fn extend(cx: &Cx, workers: &[WorkerReport], may_assign: bool) {
-    let is_known = |layout: &Layout| workers.iter().all(|w| layout.owner_of(w).is_some());
+    let is_known = |layout: &Layout| workers.iter().all(|w| layout.shard_of(w).is_some());
     if cx.layout.borrow().as_deref().is_none_or(is_known) {
         return;
     }
--- a/src/lapisdrum/sched/owner/delegate.rs
+++ b/src/lapisdrum/sched/owner/delegate.rs
@@ -191,14 +191,14 @@
     let layout = cx.layout.borrow().clone()?;
     let wanted = u32::try_from(tasks).unwrap_or(u32::MAX);
     let others = layout.all().filter(|shard| *shard != owner.handle.shard);
-    let asked = others.map(async |shard| {
+    let requests = others.map(async |shard| {
         let handle = cx.handle(shard);
         let offer = front::free_capacity_offer(cx, &handle, need, wanted);
         let offered = tokio::time::timeout(OFFER_TIMEOUT, offer).await;
         // A shard that does not answer in time offers nothing in this round.
         (shard, offered.ok().flatten().unwrap_or_default())
     });
-    let offers = futures::future::join_all(asked).await;
+    let offers = futures::future::join_all(requests).await;
     let best_offer = offers.into_iter().max_by_key(|(_, room)| *room);
     best_offer.filter(|(_, room)| *room > 0)
 }
@@ -227,8 +227,8 @@
 /// Sends other shards the tasks and ends that they have not confirmed yet.
 async fn confirm_open(cx: &Cx, owner: &Rc<Owner>) {
     let open: Vec<JobId> = owner.delegations.borrow().open.iter().copied().collect();
-    let settling = open.iter().map(|job| confirm_job(cx, owner, *job));
-    futures::future::join_all(settling).await;
+    let confirmations = open.iter().map(|job| confirm_job(cx, owner, *job));
+    futures::future::join_all(confirmations).await;
     for job in open {
         // The job may have ended while its tasks were being adopted.
         if unconfirmed(owner, job).is_empty() {
@@ -270,7 +270,7 @@
     };
     let by_shard = job.delegated(id).into_iter();
     let open = by_shard.filter(|(shard, tasks)| is_open(*shard, tasks));
-    let ask = |(shard, tasks)| {
+    let to_request = |(shard, tasks)| {
         let tasks = GuestTasks {
             job: id,
             spec: JobSpec::clone(&job.spec),
@@ -281,7 +281,7 @@
         };
         (shard, tasks)
     };
-    open.map(ask).collect()
+    open.map(to_request).collect()
 }
 
 impl Owner {
@@ -333,13 +333,13 @@
         }
         let reports = self.open_workers(cx);
         let hosts = super::dispatch::hosts_of(cx, self, &reports);
-        let fitting = hosts.iter().filter(|host| {
+        let eligible = hosts.iter().filter(|host| {
             let label = need.required_label.as_ref();
             host.pool == need.pool
                 && !host.is_suspect
                 && label.is_none_or(|label| host.labels.contains(label))
         });
-        let room: u64 = fitting.map(|host| capacity_on(host, &need.size)).sum();
+        let room: u64 = eligible.map(|host| capacity_on(host, &need.size)).sum();
         Some(room.saturating_sub(self.interrupted_long_running()))
     }
 }
--- a/src/lapisdrum/sched/owner/directory.rs
+++ b/src/lapisdrum/sched/owner/directory.rs
@@ -34,7 +34,7 @@
 
 fn of_shard(cx: &Cx, shard: ShardId, mut reports: Vec<WorkerReport>) -> Vec<WorkerReport> {
     let layout = cx.layout.borrow().clone();
-    reports.retain(|report| layout.as_ref().and_then(|l| l.owner_of(report)) == Some(shard));
+    reports.retain(|report| layout.as_ref().and_then(|l| l.shard_of(report)) == Some(shard));
     reports
 }
 
--- a/tests/testsuite/sched/layout.rs
+++ b/tests/testsuite/sched/layout.rs
@@ -91,7 +91,7 @@
 fn a_worker_without_a_rack_has_an_owner() {
     let workers = [worker(1, "pool", "")];
     let layout = Layout::first(&workers, 128);
-    assert_eq!(layout.owner_of(&workers[0]), Some(ShardId(0)));
+    assert_eq!(layout.shard_of(&workers[0]), Some(ShardId(0)));
 }
 
 proptest! {
