--- a/src/lapisdrum/daemon/claims.rs
+++ b/src/lapisdrum/daemon/claims.rs
@@ -85,8 +85,11 @@
 /// notes, which can only keep a claim longer.
 #[derive(Clone, Copy, Debug)]
 struct Note {
+    /// Nonce of the claim; `None` if an earlier owner recorded the claim.
     nonce: Option<u64>,
+    /// When this owner first knew of the claim.
     since: Millis,
+    /// When this owner first saw the claim ended.
     ended_since: Option<Millis>,
 }
 
@@ -362,7 +365,9 @@
     is_stable.then(|| Homes::first(known)).flatten()
 }
 
-/// Ends, releases and forgets claims of an own shard.
+/// Checks the claims of an own shard: ends open ones that are too old or whose daemon has ended,
+/// asks the daemons of other open ones older than [`CHECK_HOLDER_AFTER`] whether they still serve
+/// them, and removes ended ones after the claim retention.
 fn maintain(cx: &Cx, shard: &Rc<Shard>) {
     let now = cx.clock.now();
     let mut events = Vec::new();
--- a/src/lapisdrum/daemon/listing.rs
+++ b/src/lapisdrum/daemon/listing.rs
@@ -12,8 +12,8 @@
 };
 use indexmap::IndexSet;
 
-/// Most jobs that one shard lists; older ones are omitted, since a shard may hold a hundred
-/// thousand and a list is meant to be read.
+/// Maximum number of jobs that one shard lists; older ones are omitted, since a shard may hold a
+/// hundred thousand and a list is meant to be read.
 pub const MAX_LISTED: usize = 1_000;
 
 scalar! {
--- a/src/lapisdrum/daemon/mitigation.rs
+++ b/src/lapisdrum/daemon/mitigation.rs
@@ -322,7 +322,7 @@
                 note_throttle(cx, &job, worker, UNTHROTTLED_PERMILLE);
             }
         }
-        // If the ledger can't record the stop, the task would stay down until the store is
+        // If the ledger can't record the eviction, the task would stay stopped until the table is
         // available.
         MitigationStep::Evict(job) if shard.can_write(cx) => {
             let now = cx.clock.now();
--- a/src/lapisdrum/daemon/peers.rs
+++ b/src/lapisdrum/daemon/peers.rs
@@ -61,7 +61,8 @@
     })
 }
 
-/// A list of rows was requested at most this many platform timeouts before it was read.
+/// Upper bound on the time between the request for a list of rows and the recorded time of its
+/// read, in platform timeouts.
 const MAX_LIST_AGE_TIMEOUTS: u32 = 2;
 
 /// Incarnations of other daemons that this process has heard of, and since when each has ended.
--- a/src/lapisdrum/daemon/shares.rs
+++ b/src/lapisdrum/daemon/shares.rs
@@ -198,7 +198,7 @@
     }
 }
 
-/// Whether an update must be repeated on a newer row.
+/// Whether an update is complete, or conflicted and must be repeated on a newer row.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum UpdateOutcome {
     Complete,
--- a/src/lapisdrum/daemon/spill.rs
+++ b/src/lapisdrum/daemon/spill.rs
@@ -49,8 +49,8 @@
     Unknown(String),
 }
 
-/// Has a request served by another daemon. `Err` when it is to be served here: `None` if it
-/// certainly did not run on a peer; `Some` with the reason if it may have run and is idempotent.
+/// Forwards a request to another daemon. `Err` when it is to be served here: `Err(None)` if it
+/// certainly did not run on a peer; `Err(Some(reason))` if it may have run and is idempotent.
 pub async fn run_on_peer(
     cx: &Cx,
     entry: &Entry,
@@ -127,7 +127,7 @@
     let timeout = cx.cfg.shards.terms.lengthened(cx.cfg.shards.terms.lease);
     let own = &cx.cfg.daemon.data_centre;
     let members = cx.members.borrow();
-    // Liveness is judged as of the last read of the rows: while the store is unavailable they do
+    // Liveness is judged as of the last read of the rows: while the table is unavailable they do
     // not change, and daemons that were live are still asked. Other data centres' rows are read
     // less often.
     let read_at = match is_local {
--- a/src/lapisdrum/daemon/starts.rs
+++ b/src/lapisdrum/daemon/starts.rs
@@ -61,9 +61,9 @@
     entry: EntryName,
     kind: Kind,
     class: Class,
-    /// Jobs of the entry that are already placed.
+    /// Number of jobs of the entry that are already placed.
     placed: u32,
-    /// Jobs that the entry's limit still allows.
+    /// Number of further jobs that the entry's limit allows.
     left: u32,
     /// Jobs that cannot be placed in this pass and return to the queue.
     deferred: Vec<JobId>,
--- a/src/lapisdrum/daemon/upkeep.rs
+++ b/src/lapisdrum/daemon/upkeep.rs
@@ -1,9 +1,10 @@
 //! Maintenance of a shard's ledger: removes old ended jobs and cancels the jobs of retired entries.
 //!
-//! Ended jobs are kept for a time, so that callers who ask late learn the outcome; without a bound
-//! on time *and* number, the state, its snapshots and the time of a recovery would grow without
-//! limit. Ages count from when this owner saw the end, since the ledger holds no times: a take-over
-//! keeps an ended job somewhat longer and never shorter. [`super::claims`] removes old claims.
+//! Ended jobs are kept for a time, so that callers who ask late still receive the outcome; without
+//! a bound on time *and* number, the state, its snapshots and the time of a recovery would grow
+//! without limit. Ages count from when this owner saw the end, since the ledger holds no times: a
+//! take-over keeps an ended job somewhat longer and never shorter. [`super::claims`] removes old
+//! claims.
 
 use super::{Cx, journal::Urgency, shard::Shard};
 use crate::{
