--- a/src/lapisdrum/daemon/catalogue.rs
+++ b/src/lapisdrum/daemon/catalogue.rs
@@ -299,14 +299,14 @@
         Err(faults) => return ChangeOutcome::Invalid(faults),
     };
     for _ in 0..MAX_CHANGE_ATTEMPTS {
-        let end = try_change(cx, &entry.name, &raw, if_match, &change).await;
-        if let Some(end) = end {
-            if let ChangeOutcome::Accepted(revision) = end {
+        let outcome = try_change(cx, &entry.name, &raw, if_match, &change).await;
+        if let Some(outcome) = outcome {
+            if let ChangeOutcome::Accepted(revision) = outcome {
                 // Needed if an earlier attempt committed the change; on failure the next poll reads
                 // it.
                 let _ = catch_up(cx, revision).await;
             }
-            return end;
+            return outcome;
         }
     }
     ChangeOutcome::StoreAway
@@ -386,11 +386,11 @@
         }
         TxnOutcome::Conflict(_) => None,
         TxnOutcome::Unknown(_) => {
-            let end = read_back(cx, &entry_key, change).await;
-            if end == ChangeOutcome::Accepted(revision) {
+            let outcome = read_back(cx, &entry_key, change).await;
+            if outcome == ChangeOutcome::Accepted(revision) {
                 put_in_force(cx, &change_row, stamp);
             }
-            Some(end)
+            Some(outcome)
         }
     }
 }
--- a/src/lapisdrum/daemon/claims.rs
+++ b/src/lapisdrum/daemon/claims.rs
@@ -371,7 +371,7 @@
 fn maintain(cx: &Cx, shard: &Rc<Shard>) {
     let now = cx.clock.now();
     let mut events = Vec::new();
-    let mut unconfirmed: IndexMap<Holder, Vec<RequestId>> = IndexMap::new();
+    let mut to_check: IndexMap<Holder, Vec<RequestId>> = IndexMap::new();
     {
         let state = shard.state();
         let mut notes = cx.claims.notes.borrow_mut();
@@ -389,7 +389,7 @@
                     events.extend(end_events(request.clone(), ClaimEnd::Unknown));
                 }
                 None if now.since(note.since) > CHECK_HOLDER_AFTER => {
-                    unconfirmed
+                    to_check
                         .entry(claim.by.clone())
                         .or_default()
                         .push(request.clone());
@@ -410,10 +410,10 @@
         // If the ledger does not accept them, the next poll proposes them again.
         let _ = shard.propose(cx, events, Urgency::Batch);
     }
-    if !unconfirmed.is_empty() && !cx.claims.is_checking_holders.replace(true) {
+    if !to_check.is_empty() && !cx.claims.is_checking_holders.replace(true) {
         let (cx, shard) = (Rc::clone(cx), Rc::clone(shard));
         supervisor::spawn("doubted-claims", async move {
-            for (holder, ids) in unconfirmed {
+            for (holder, ids) in to_check {
                 release_unserved(&cx, &shard, &holder, ids).await;
             }
             cx.claims.is_checking_holders.set(false);
--- a/src/lapisdrum/daemon/index.rs
+++ b/src/lapisdrum/daemon/index.rs
@@ -64,7 +64,7 @@
     }
 
     /// Captures the jobs that `events` refer to, before the events are applied to `state`.
-    pub fn before(state: &State, events: &[Event]) -> JobsBefore {
+    pub fn jobs_before(state: &State, events: &[Event]) -> JobsBefore {
         let jobs = events.iter().filter_map(Event::job);
         JobsBefore(
             jobs.map(|id| (id.clone(), state.jobs.get(id).map(indexed)))
--- a/src/lapisdrum/daemon/jobs.rs
+++ b/src/lapisdrum/daemon/jobs.rs
@@ -247,9 +247,13 @@
     let members = cx.members.borrow();
     let hosts = members.shard_hosts(&shard.id, cx.cfg.shards.count);
     let unused = State::default();
-    let kept = |host: &Host| grants::unclaimed_reserve(cx, &unused, host);
-    let room = |host: &Host| host.capacity.minus(&kept(host));
-    if hosts.is_empty() || hosts.iter().any(|host| entry.size.fits(&room(host))) {
+    let reserve = |host: &Host| grants::unclaimed_reserve(cx, &unused, host);
+    let task_capacity = |host: &Host| host.capacity.minus(&reserve(host));
+    if hosts.is_empty()
+        || hosts
+            .iter()
+            .any(|host| entry.size.fits(&task_capacity(host)))
+    {
         return Ok(entry);
     }
     let size = entry.size;
@@ -265,9 +269,10 @@
 fn check_limits(cx: &Cx, shard: &Shard, entry: Entry) -> Result<Entry, Refusal> {
     let counts = shard.journal.index().counts(&entry.name);
     let running = limits::job_limit(cx, shard, &entry);
-    let room = running.saturating_sub(counts.placed) + limits::queue_limit(cx, shard, &entry);
+    let max_waiting =
+        running.saturating_sub(counts.placed) + limits::queue_limit(cx, shard, &entry);
     // A shard without a share of the limit queues jobs too: shares are assigned by waiting jobs.
-    if counts.waiting >= room {
+    if counts.waiting >= max_waiting {
         return Err(Refusal::OverLimit {
             entry: entry.name,
             retry_after: NO_OWNER_RETRY,
--- a/src/lapisdrum/daemon/journal.rs
+++ b/src/lapisdrum/daemon/journal.rs
@@ -176,7 +176,7 @@
             WriterStatus::Lost => return Err(ProposeError::Lost),
         }
         let now = cx.clock.now();
-        let before = Index::before(&inner.state, &events);
+        let before = Index::jobs_before(&inner.state, &events);
         inner
             .state
             .apply_all(&events)
--- a/src/lapisdrum/daemon/mitigation.rs
+++ b/src/lapisdrum/daemon/mitigation.rs
@@ -338,8 +338,8 @@
         epoch: shard.epoch,
         permille,
     };
-    let end = cx.workers.throttle(address, job, &throttle).await;
-    matches!(end, CommandOutcome::Done(..))
+    let outcome = cx.workers.throttle(address, job, &throttle).await;
+    matches!(outcome, CommandOutcome::Done(..))
 }
 
 fn note_throttle(cx: &Cx, job: &JobId, worker: &WorkerId, permille: u32) {
--- a/src/lapisdrum/daemon/queue.rs
+++ b/src/lapisdrum/daemon/queue.rs
@@ -116,7 +116,7 @@
     /// Reserves capacity for a request. `None` when no worker or limit allows it.
     pub fn take(cx: &Cx, entry: &Entry) -> Option<Self> {
         let (worker, address) = choose_worker(cx, entry)?;
-        let share = shares::daemon_claim(cx, entry);
+        let share = shares::admission_request(cx, entry);
         if !cx.admission.borrow_mut().start(&share) {
             return None;
         }
@@ -222,7 +222,7 @@
         caller,
         class: entry.class,
         weight: entry.priority,
-        max_waiting: shares::daemon_claim(cx, entry).share.queue,
+        max_waiting: shares::admission_request(cx, entry).share.queue,
         expected_run: run.unwrap_or_default(),
         deadline: Some(deadline),
     };
@@ -319,7 +319,7 @@
 fn has_capacity(cx: &Cx, entry: &EntryName) -> bool {
     let entry = cx.catalogue.borrow().entry(entry);
     entry.is_some_and(|entry| {
-        let share = shares::daemon_claim(cx, &entry);
+        let share = shares::admission_request(cx, &entry);
         cx.admission.borrow().has_capacity(&share)
             && with_candidates(cx, &entry, 1, |candidates| !candidates.is_empty())
     })
@@ -366,7 +366,7 @@
 
 /// Charges a request to the rate limits of its entry and owner.
 pub fn admit(cx: &Cx, entry: &Entry) -> Result<(), Refusal> {
-    let admission_request: AdmissionRequest<'_> = shares::daemon_claim(cx, entry);
+    let admission_request: AdmissionRequest<'_> = shares::admission_request(cx, entry);
     let mut admission = cx.admission.borrow_mut();
     let admitted = admission.admit(&admission_request, cx.clock.now());
     admitted.map_err(|denied| Refusal::OverLimit {
--- a/src/lapisdrum/daemon/sessions.rs
+++ b/src/lapisdrum/daemon/sessions.rs
@@ -274,8 +274,8 @@
         return None;
     }
     let terms = &cx.cfg.shards.terms;
-    let right = shard.tenure().right_until(hold_of(shard, task), terms);
-    let end = (now + cx.cfg.shards.task_lease).min(right);
+    let hold_end = shard.tenure().right_until(hold_of(shard, task), terms);
+    let end = (now + cx.cfg.shards.task_lease).min(hold_end);
     if end <= now {
         return None;
     }
--- a/src/lapisdrum/daemon/shares.rs
+++ b/src/lapisdrum/daemon/shares.rs
@@ -48,7 +48,7 @@
 }
 
 /// The limits that a request of an entry counts against at this daemon.
-pub fn daemon_claim<'a>(cx: &Cx, entry: &'a Entry) -> AdmissionRequest<'a> {
+pub fn admission_request<'a>(cx: &Cx, entry: &'a Entry) -> AdmissionRequest<'a> {
     let (daemons, rank) = cx.shares.count_and_rank.get();
     let even = admission::divide(&entry.limits, daemons, rank);
     let own = cx.shares.requests.borrow().get(&entry.name).copied();
@@ -202,7 +202,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum UpdateOutcome {
     Complete,
-    Overtaken,
+    Conflict,
 }
 
 async fn update_share(cx: &Cx, entry: &Entry, row: &(u64, Shares), party: &Party) -> UpdateOutcome {
@@ -243,7 +243,7 @@
             wake_waiting(cx, party);
             UpdateOutcome::Complete
         }
-        TxnOutcome::Conflict(_) => UpdateOutcome::Overtaken,
+        TxnOutcome::Conflict(_) => UpdateOutcome::Conflict,
         // The next update reads whether the write took effect.
         TxnOutcome::Unknown(_) => UpdateOutcome::Complete,
     }
--- a/src/lapisdrum/daemon/spill.rs
+++ b/src/lapisdrum/daemon/spill.rs
@@ -7,7 +7,8 @@
 //!
 //! The peer serves the request at once or refuses it, and never forwards it. Under a system-wide
 //! overload the hops would add load themselves: a peer that had no capacity for an entry is not
-//! asked for it again for [`FULL_BACKOFF`], which bounds the calls to 10/s per peer and entry.
+//! asked for it again for [`UNAVAILABLE_BACKOFF`], which bounds the calls to 10/s per peer and
+//! entry.
 //!
 //! A call that was never sent or was refused leaves the request to be served here. The outcome of a
 //! call without a reply is unknown, and only an idempotent request is tried again after it.
@@ -30,11 +31,12 @@
 use std::{cell::RefCell, time::Duration};
 
 /// Time for which a peer that did not serve an entry's request is not asked for that entry again.
-const FULL_BACKOFF: Duration = Duration::from_millis(100);
-/// Minimum time to the deadline for a hop: a few round trips between data centres.
+const UNAVAILABLE_BACKOFF: Duration = Duration::from_millis(100);
+/// Minimum time to its deadline for a request to be forwarded: a few round trips between data
+/// centres.
 const MIN_TIME_LEFT: Duration = Duration::from_millis(20);
 /// Subtracted from the time that the peer is given, for the reply's network delay.
-const RETURN_MARGIN: Duration = Duration::from_millis(5);
+const REPLY_MARGIN: Duration = Duration::from_millis(5);
 
 /// Peers that did not serve a request of an entry, because they were full or gave no usable reply,
 /// with the time of the call.
@@ -75,7 +77,7 @@
             HopOutcome::Unknown(why) => unknown_reason = Some(why),
             HopOutcome::NotRun => {}
         }
-        note_full(cx, peer, &entry.name);
+        note_unavailable(cx, peer, &entry.name);
     }
     Err(unknown_reason)
 }
@@ -93,7 +95,7 @@
         entry: entry.name.clone(),
         body: req.body.to_vec(),
         content_type: req.content_type.clone(),
-        left: left.saturating_sub(RETURN_MARGIN),
+        left: left.saturating_sub(REPLY_MARGIN),
         caller: req.caller,
     };
     let call = cx.peers.call_within(address, PeerRequest::Run(run), left);
@@ -135,23 +137,27 @@
         false => members.all_read_at,
     };
     let read_at = read_at.unwrap_or(now);
-    let full = cx.unavailable_peers.0.borrow();
+    let unavailable = cx.unavailable_peers.0.borrow();
     let daemons = members.daemons.iter().filter(|(name, seen)| {
-        let asked_at = full.get(&((*name).clone(), entry.clone()));
-        let is_full = asked_at.is_some_and(|asked_at| now.since(*asked_at) < FULL_BACKOFF);
+        let asked_at = unavailable.get(&((*name).clone(), entry.clone()));
+        let is_backed_off =
+            asked_at.is_some_and(|asked_at| now.since(*asked_at) < UNAVAILABLE_BACKOFF);
         let is_live = read_at.since(seen.seen.since) <= timeout;
-        **name != cx.me.daemon && (seen.row.data_centre == *own) == is_local && is_live && !is_full
+        **name != cx.me.daemon
+            && (seen.row.data_centre == *own) == is_local
+            && is_live
+            && !is_backed_off
     });
     let candidates: Vec<_> = daemons.collect();
     let (name, seen) = candidates.choose(&mut rand::rng())?;
     Some(((*name).clone(), seen.row.holder.address.clone()))
 }
 
-fn note_full(cx: &Cx, peer: DaemonId, entry: &EntryName) {
+fn note_unavailable(cx: &Cx, peer: DaemonId, entry: &EntryName) {
     let now = cx.clock.now();
-    let mut full = cx.unavailable_peers.0.borrow_mut();
-    full.retain(|_, asked_at| now.since(*asked_at) < FULL_BACKOFF);
-    full.insert((peer, entry.clone()), now);
+    let mut unavailable = cx.unavailable_peers.0.borrow_mut();
+    unavailable.retain(|_, asked_at| now.since(*asked_at) < UNAVAILABLE_BACKOFF);
+    unavailable.insert((peer, entry.clone()), now);
 }
 
 /// Serves a request that another daemon forwarded.
--- a/src/lapisdrum/daemon/starts.rs
+++ b/src/lapisdrum/daemon/starts.rs
@@ -42,7 +42,7 @@
 /// Upper bound on the jobs of one pass, so that a burst does not block the thread.
 const MAX_JOBS_PER_PASS: usize = 500;
 /// Time without new tasks for a worker that rejected one for lack of capacity.
-const NO_ROOM_BACKOFF: Duration = Duration::from_secs(1);
+const REJECTED_BACKOFF: Duration = Duration::from_secs(1);
 
 /// Places waiting jobs until the shard is lost or released.
 pub async fn place_jobs(cx: &Cx, shard: &Rc<Shard>) {
@@ -298,7 +298,7 @@
         // This attempt did not start. Another attempt that runs there is stopped by the next poll.
         CommandOutcome::Rejected(reason, ..) => {
             if reason == RejectReason::NoRoom {
-                let until = cx.clock.now() + NO_ROOM_BACKOFF;
+                let until = cx.clock.now() + REJECTED_BACKOFF;
                 shard.session(worker, |session| session.no_capacity_until = until);
             }
             let reason = format!("worker rejected it: {reason:?}");
--- a/tests/testsuite/daemon/index.rs
+++ b/tests/testsuite/daemon/index.rs
@@ -135,7 +135,7 @@
         let (mut state, mut index) = (State::default(), Index::default());
         for (n, step) in steps {
             let events = [event(&state, n, step)];
-            let before = Index::before(&state, &events);
+            let before = Index::jobs_before(&state, &events);
             if state.apply_all(&events).is_ok() {
                 index.note(before, &state, Millis(1));
             }
@@ -160,7 +160,7 @@
     for n in 0..10 {
         for step in [Step::Accept, Step::End] {
             let events = [event(&state, n, step)];
-            let before = Index::before(&state, &events);
+            let before = Index::jobs_before(&state, &events);
             state.apply_all(&events).expect("the event belongs");
             index.note(before, &state, Millis(n * 1_000));
         }
