--- a/src/lapisdrum/daemon/claims.rs
+++ b/src/lapisdrum/daemon/claims.rs
@@ -85,8 +85,11 @@
 /// notes, which can only keep a claim longer.
 #[derive(Clone, Copy, Debug)]
 struct Note {
+    /// Nonce of the claim; `None` if an earlier owner recorded the claim.
     nonce: Option<u64>,
+    /// When this owner first knew of the claim.
     since: Millis,
+    /// When this owner first saw the claim ended.
     ended_since: Option<Millis>,
 }
 
@@ -362,11 +365,13 @@
     is_stable.then(|| Homes::first(known)).flatten()
 }
 
-/// Ends, releases and forgets claims of an own shard.
+/// Checks the claims of an own shard: ends open ones that are too old or whose daemon has ended,
+/// asks the daemons of other open ones older than [`CHECK_HOLDER_AFTER`] whether they still serve
+/// them, and removes ended ones after the claim retention.
 fn maintain(cx: &Cx, shard: &Rc<Shard>) {
     let now = cx.clock.now();
     let mut events = Vec::new();
-    let mut unconfirmed: IndexMap<Holder, Vec<RequestId>> = IndexMap::new();
+    let mut to_check: IndexMap<Holder, Vec<RequestId>> = IndexMap::new();
     {
         let state = shard.state();
         let mut notes = cx.claims.notes.borrow_mut();
@@ -384,7 +389,7 @@
                     events.extend(end_events(request.clone(), ClaimEnd::Unknown));
                 }
                 None if now.since(note.since) > CHECK_HOLDER_AFTER => {
-                    unconfirmed
+                    to_check
                         .entry(claim.by.clone())
                         .or_default()
                         .push(request.clone());
@@ -405,10 +410,10 @@
         // If the ledger does not accept them, the next poll proposes them again.
         let _ = shard.propose(cx, events, Urgency::Batch);
     }
-    if !unconfirmed.is_empty() && !cx.claims.is_checking_holders.replace(true) {
+    if !to_check.is_empty() && !cx.claims.is_checking_holders.replace(true) {
         let (cx, shard) = (Rc::clone(cx), Rc::clone(shard));
         supervisor::spawn("doubted-claims", async move {
-            for (holder, ids) in unconfirmed {
+            for (holder, ids) in to_check {
                 release_unserved(&cx, &shard, &holder, ids).await;
             }
             cx.claims.is_checking_holders.set(false);
--- a/src/lapisdrum/daemon/mitigation.rs
+++ b/src/lapisdrum/daemon/mitigation.rs
@@ -322,7 +322,7 @@
                 note_throttle(cx, &job, worker, UNTHROTTLED_PERMILLE);
             }
         }
-        // If the ledger can't record the stop, the task would stay down until the store is
+        // If the ledger can't record the eviction, the task would stay stopped until the table is
         // available.
         MitigationStep::Evict(job) if shard.can_write(cx) => {
             let now = cx.clock.now();
@@ -338,8 +338,8 @@
         epoch: shard.epoch,
         permille,
     };
-    let end = cx.workers.throttle(address, job, &throttle).await;
-    matches!(end, CommandOutcome::Done(..))
+    let outcome = cx.workers.throttle(address, job, &throttle).await;
+    matches!(outcome, CommandOutcome::Done(..))
 }
 
 fn note_throttle(cx: &Cx, job: &JobId, worker: &WorkerId, permille: u32) {
