--- a/src/lapisdrum/attribution/log_line.rs
+++ b/src/lapisdrum/attribution/log_line.rs
@@ -1,7 +1,7 @@
 //! Parses daemons' JSON log lines into events.
 //!
-//! Lines without an event of a job or of a shard's owner are skipped, and so is any text before a line's first
-//! brace: log collectors put the host's name there.
+//! Lines without an event of a job or of a shard's owner are skipped, and so is any text before a
+//! line's first brace: log collectors put the host's name there.
 
 use crate::sched::{
     event::RunId,
@@ -176,7 +176,8 @@
     }
 }
 
-/// Parses a line; `None` if it is not a daemon's log line or its message is not one of the known events.
+/// Parses a line; `None` if it is not a daemon's log line or its message is not one of the known
+/// events.
 pub fn read(raw: &str) -> Option<Line> {
     let at = raw.find('{')?;
     let wire: LineWire = serde_json::from_str(raw[at..].trim_end()).ok()?;
@@ -256,8 +257,8 @@
     })
 }
 
-/// Parses a committed take-over. The line does not carry the owner's token, so the version that the commit returned
-/// serves as the token.
+/// Parses a committed take-over. The line does not carry the owner's token, so the version that the
+/// commit returned serves as the token.
 fn taken_over(fields: &Fields) -> Option<LogEvent> {
     let version = fields.text("end")?.strip_prefix("Committed(")?;
     Some(LogEvent::TakenOver {
--- a/src/lapisdrum/attribution/path.rs
+++ b/src/lapisdrum/attribution/path.rs
@@ -1,9 +1,10 @@
 //! A job's critical path, divided into spans by what the time was spent on.
 //!
-//! A job ends with its last task, and a task can't start before the last task of the preceding steps is done.
-//! Followed back from the end, this gives one chain of tasks; delays of other tasks did not affect the job's end.
-//! Spans of the chain don't overlap: the job was not accepted yet, its shard had no owner, the task waited for
-//! placement, it ran, or it ran without completing and had to run again.
+//! A job ends with its last task, and a task can't start before the last task of the preceding
+//! steps is done. Followed back from the end, this gives one chain of tasks; delays of other tasks
+//! did not affect the job's end. Spans of the chain don't overlap: the job was not accepted yet,
+//! its shard had no owner, the task waited for placement, it ran, or it ran without completing and
+//! had to run again.
 
 use super::{
     log_line::RunOutcome,
@@ -27,7 +28,8 @@
     NoOwner,
     /// The shard's owner was replaying the journal.
     Recovering,
-    /// The task waited for placement. Holds the logged reason, or `dispatch` if none was logged before it was placed.
+    /// The task waited for placement. Holds the logged reason, or `dispatch` if none was logged
+    /// before it was placed.
     Place(String),
     /// The task was placed, but its placement was not durable yet.
     Journal,
@@ -80,8 +82,8 @@
     pub task: Option<String>,
 }
 
-/// The critical path of a job's first occurrence, in order of time; `None` if the log line of its acceptance is
-/// missing. The path of a job that has not ended reaches up to the last log line.
+/// The critical path of a job's first occurrence, in order of time; `None` if the log line of its
+/// acceptance is missing. The path of a job that has not ended reaches up to the last log line.
 pub fn critical(id: JobId, trace: &JobTrace, traces: &Traces) -> Option<Vec<Span>> {
     let (shape, accepted_ms) = (trace.shape.as_ref()?, trace.accepted_ms?);
     let mut upto = end_ms(trace, traces);
@@ -130,8 +132,8 @@
     }
 }
 
-/// The task that determines the job's end: the last to complete, or the first incomplete one if the job did not
-/// complete.
+/// The task that determines the job's end: the last to complete, or the first incomplete one if the
+/// job did not complete.
 fn last_task(id: JobId, trace: &JobTrace, shape: &Shape) -> Option<TaskId> {
     let is_first = |(task, _): &(&TaskId, &Vec<RunSpan>)| task.occurrence == 0;
     let first_occurrence = trace.runs.iter().filter(is_first);
@@ -190,7 +192,8 @@
         let within = |ms: i64| ms.clamp(at, upto_ms);
         let (placed, sent) = (within(run.placed_ms), within(run.sent_ms));
         let answered = within(run.answered_ms);
-        // If the owner ended during the run, no line logs the run's end: it is taken as lost when the next is placed.
+        // If the owner ended during the run, no line logs the run's end: it is taken as lost when
+        // the next is placed.
         let next_ms = runs
             .get(index + 1)
             .map(|next| (next.placed_ms, RunOutcome::Lost));
--- a/src/lapisdrum/attribution/totals.rs
+++ b/src/lapisdrum/attribution/totals.rs
@@ -51,7 +51,8 @@
     pub missed: u64,
     /// Submitted jobs that were never accepted.
     pub never_accepted: u64,
-    /// Sum of the jobs' estimated durations along their longest chain of steps, without any waiting.
+    /// Sum of the jobs' estimated durations along their longest chain of steps, without any
+    /// waiting.
     pub chain_ms: u64,
     /// Time on the critical paths by what it was spent on, largest first.
     pub spent: Vec<(Spent, i64)>,
--- a/src/lapisdrum/attribution/trace.rs
+++ b/src/lapisdrum/attribution/trace.rs
@@ -78,7 +78,8 @@
     pub changes: Vec<(i64, Service)>,
     /// Fencing token of the latest owner.
     token: u64,
-    /// Time of that owner's last logged start order, or of its take-over before the first, in Unix milliseconds.
+    /// Time of that owner's last logged start order, or of its take-over before the first, in Unix
+    /// milliseconds.
     last_order_ms: i64,
 }
 
@@ -206,7 +207,8 @@
         spans.sort_by_key(|span| span.run);
     }
 
-    /// Records the end of a run. Only the first end counts: a run that was given up may be reported again later.
+    /// Records the end of a run. Only the first end counts: a run that was given up may be reported
+    /// again later.
     fn end_run(&mut self, run: RunId, at_ms: i64, how: RunOutcome) {
         let spans = self.runs.entry(run.task).or_default();
         let known = spans.iter_mut().find(|span| span.run == run.run);
@@ -236,7 +238,8 @@
 impl ServiceHistory {
     fn taken_over(&mut self, at_ms: i64, token: u64) {
         let last_state = self.changes.last().map(|(_, service)| *service);
-        // A killed owner does not log its end, so it is taken to have served until its last start order.
+        // A killed owner does not log its end, so it is taken to have served until its last start
+        // order.
         if last_state == Some(Service::Serving) {
             self.changes.push((self.last_order_ms, Service::NoOwner));
         }
--- a/src/lapisdrum/core/job.rs
+++ b/src/lapisdrum/core/job.rs
@@ -47,7 +47,7 @@
         Waiting,
         /// Placed on a worker; it may run there.
         Placed(Placement),
-        /// It was completed, failed or was cancelled, and won't run again.
+        /// Completed, failed or cancelled; it won't run again.
         Ended(JobEnd),
     }
 
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Whether the job was completed, failed or was cancelled.
+    /// Whether the job has completed, failed or been cancelled.
     pub fn is_ended(&self) -> bool {
         matches!(self.phase, JobPhase::Ended(_))
     }
--- a/src/lapisdrum/peer/client.rs
+++ b/src/lapisdrum/peer/client.rs
@@ -72,8 +72,8 @@
         self.call_within(address, req, self.timeout).await
     }
 
-    /// Calls the daemon at `address` and waits for its reply for at most `limit`, which includes opening a
-    /// connection.
+    /// Calls the daemon at `address` and waits for its reply for at most `limit`, which includes
+    /// opening a connection.
     pub async fn call_within(
         &self,
         address: &str,
--- a/src/lapisdrum/state/shares.rs
+++ b/src/lapisdrum/state/shares.rs
@@ -139,8 +139,8 @@
         }
     }
 
-    /// A party's even share. Parties in the row that this one does not know yet count too; otherwise
-    /// the parties that know each other would divide the whole limit among themselves.
+    /// A party's even share. Parties in the row that this one does not know yet count too;
+    /// otherwise the parties that know each other would divide the whole limit among themselves.
     fn even_share_of(&self, view: &PartyView<'_>) -> u32 {
         let listed = u32::try_from(self.parts.len()).unwrap_or(u32::MAX);
         even_share(view.limit, view.parties.max(listed), view.rank)
--- a/src/lapisdrum/timeline/event.rs
+++ b/src/lapisdrum/timeline/event.rs
@@ -1,4 +1,4 @@
-//! The events of the time line.
+//! The events of the timeline.
 
 use crate::core::{
     id::{DaemonId, EntryName, Epoch, JobId, RequestId, Revision, ShardId, WorkerId},
@@ -176,7 +176,7 @@
         pub stamp: Stamp,
         /// The daemon that recorded the event.
         pub daemon: DaemonId,
-        /// What happened.
+        /// The event, with its details.
         pub what: Happening,
     }
 }
--- a/src/lapisdrum/timeline/ring.rs
+++ b/src/lapisdrum/timeline/ring.rs
@@ -25,7 +25,7 @@
 }
 
 impl Timeline {
-    /// Creates an empty time line that keeps the last `capacity` events and reads the host's clock.
+    /// Creates an empty timeline that keeps the last `capacity` events and reads the host's clock.
     pub fn new(daemon: &DaemonId, incarnation: Incarnation, capacity: usize) -> Self {
         Self::with_clock(daemon, incarnation, capacity, uhlc::system_time_clock)
     }
