--- a/src/lapisdrum/daemon/claims.rs
+++ b/src/lapisdrum/daemon/claims.rs
@@ -26,7 +26,7 @@
     },
     peer::wire::{ClaimCall, PeerReply, PeerRequest},
     state::{
-        claims::{self, ClaimStatus, Homes, MOST_CLAIMS},
+        claims::{self, ClaimStatus, Homes, MAX_CLAIMS},
         ledger::{ClaimEnd, Event},
         ownership::{Holder, Sighting},
     },
@@ -234,14 +234,14 @@
 pub async fn answer_claim(cx: &Cx, shard: &Rc<Shard>, call: ClaimCall) -> PeerReply {
     let found = claims::lookup(&shard.state(), &call.request, &call.entry);
     match found {
-        ClaimStatus::Nothing => {}
+        ClaimStatus::NotClaimed => {}
         ClaimStatus::InProgress => {
             return PeerReply::Refused(Refusal::InProgress { retry_after: RETRY });
         }
         ClaimStatus::Ended(end) => return PeerReply::ClaimEnded(end),
         ClaimStatus::OtherEntry => return PeerReply::Refused(Refusal::IdReused(call.request)),
     }
-    if shard.state().claims.len() >= MOST_CLAIMS {
+    if shard.state().claims.len() >= MAX_CLAIMS {
         return PeerReply::Refused(Refusal::Busy { retry_after: RETRY });
     }
     let claimed = Event::Claimed {
--- a/src/lapisdrum/state/claims.rs
+++ b/src/lapisdrum/state/claims.rs
@@ -22,8 +22,8 @@
 /// Largest response body that is kept for repeated requests, in bytes. A certificate check's is
 /// far smaller; larger ones would make the ledger grow with the callers' data.
 pub const MAX_KEPT_BODY_BYTES: usize = 4 * 1024;
-/// Most claims that a shard keeps; once reached, further ids are refused.
-pub const MOST_CLAIMS: usize = 100_000;
+/// Maximum number of claims that a shard keeps; once reached, further ids are refused.
+pub const MAX_CLAIMS: usize = 100_000;
 
 data! {
     /// The table row that lists the shards that keep claims.
@@ -130,7 +130,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClaimStatus {
     /// The id is not claimed.
-    Nothing,
+    NotClaimed,
     /// The request is being served.
     InProgress,
     /// The request has ended.
@@ -142,7 +142,7 @@
 /// Looks up the claim on `id` for a request to `entry`.
 pub fn lookup(state: &State, id: &RequestId, entry: &EntryName) -> ClaimStatus {
     match state.claims.get(id) {
-        None => ClaimStatus::Nothing,
+        None => ClaimStatus::NotClaimed,
         Some(claim) if claim.entry != *entry => ClaimStatus::OtherEntry,
         Some(Claim { end: None, .. }) => ClaimStatus::InProgress,
         Some(Claim { end: Some(end), .. }) => ClaimStatus::Ended(end.clone()),
