--- a/src/lapisdrum/attribution/totals.rs
+++ b/src/lapisdrum/attribution/totals.rs
@@ -32,7 +32,7 @@
     Late,
     /// Completed later than that, or past its objective and not ended by the last log line.
     Missed,
-    /// Not counted: failed, cancelled, or running and no older than its objective.
+    /// Not counted: failed, cancelled, or not ended and no older than its objective.
     Open,
 }
 
@@ -47,7 +47,7 @@
     pub on_time: u64,
     /// Batch jobs that completed within three times their objective.
     pub late: u64,
-    /// Batch jobs that completed later, or did not end in time.
+    /// Batch jobs that completed later, or exceeded their objective without having ended.
     pub missed: u64,
     /// Submitted jobs that were never accepted.
     pub never_accepted: u64,
--- a/src/lapisdrum/state/grants.rs
+++ b/src/lapisdrum/state/grants.rs
@@ -137,9 +137,10 @@
     }
 }
 
-/// One of `count` equal parts of a worker's request share. Slots that can't be divided evenly go
-/// one each to the lowest ranks; `rank` counts modulo `count`, so that callers can rotate it over
-/// the workers. `capacity` has all slots and the whole size of the worker.
+/// One of `count` equal parts of a worker's request share, which is all its slots and
+/// `share_percent` of its size. Slots that can't be divided evenly go one each to the lowest ranks;
+/// `rank` counts modulo `count`, so that callers can rotate it over the workers. `capacity` has all
+/// slots and the whole size of the worker.
 pub fn even_share(capacity: &Grant, share_percent: u32, rank: usize, count: usize) -> Grant {
     let (count, rank) = (to_u32(count).max(1), to_u32(rank));
     let extra = u32::from(rank % count < capacity.slots % count);
--- a/src/lapisdrum/timeline/ring.rs
+++ b/src/lapisdrum/timeline/ring.rs
@@ -5,8 +5,8 @@
 use std::{cell::RefCell, collections::VecDeque, time::Duration};
 use uhlc::{HLC, HLCBuilder, ID, NTP64, Timestamp};
 
-/// Stamps further ahead of this clock than this are refused. The limit is large because the events
-/// that follow a refused stamp can sort before their causes.
+/// Maximum lead of a peer's stamp over this daemon's clock; a stamp further ahead is refused. The
+/// limit is large because the events that follow a refused stamp can sort before their causes.
 const MAX_CLOCK_LEAD: Duration = Duration::from_secs(24 * 3_600);
 
 /// Events of one daemon, to be merged with those of others by stamp.
