--- a/src/lapisdrum/daemon/spill.rs
+++ b/src/lapisdrum/daemon/spill.rs
@@ -7,7 +7,7 @@
 //!
 //! The peer serves the request at once or refuses it, and never forwards it. Under a system-wide
 //! overload the hops would add load themselves: a peer that had no capacity for an entry is not
-//! asked for it again for [`UNAVAILABLE_BACKOFF`], which bounds the calls to 10/s per peer and
+//! asked for it again for `UNAVAILABLE_BACKOFF`, which bounds the calls to 10/s per peer and
 //! entry.
 //!
 //! A call that was never sent or was refused leaves the request to be served here. The outcome of a
