--- a/tests/testsuite/process/changes.rs
+++ b/tests/testsuite/process/changes.rs
@@ -1,4 +1,4 @@
-//! Catalogue changes, retirement, draining hosts and cancellation, tested on real processes.
+//! Catalogue changes, retirement, leaving hosts and cancellation, tested on real processes.
 
 use super::runs::{self, LIMIT};
 use crate::support::{process::Site, wait};
@@ -111,9 +111,9 @@
     .await;
 }
 
-/// Drains a host that runs a render and a stream. The render is checkpointed and resumed on the other
-/// host at once; the stream first gets time. Neither may run twice at the same time, and the draining
-/// host must get no new task.
+/// A host that runs a render and a stream is leaving. The render is checkpointed and resumed on the
+/// other host at once; the stream is stopped after its grace period. Neither may run twice at the same
+/// time, and the leaving host must get no new task.
 #[actix_rt::test]
 async fn work_moves_off_a_leaving_host() {
     let mut site = Site::start(1, 2).await;
--- a/tests/testsuite/process/users_platform.rs
+++ b/tests/testsuite/process/users_platform.rs
@@ -282,7 +282,7 @@
     .await;
 }
 
-/// A worker that reports that it drains must get no task from two seconds later on.
+/// Two seconds after a worker has reported that it drains, it must get no more tasks.
 #[actix_rt::test]
 async fn a_draining_worker_gets_no_task() {
     let site = Site::start(1).await;
